--- a/tealsail/adapter/__main__.py
+++ b/tealsail/adapter/__main__.py
@@ -1,4 +1,5 @@
 """python -m tealsail.adapter: the wire on standard input and output."""
+
 import sys
 
 from .frames import serve
--- a/tealsail/adapter/frames.py
+++ b/tealsail/adapter/frames.py
@@ -1,4 +1,5 @@
 """Batches of lines in, one reply a batch out."""
+
 import sys
 import traceback
 from typing import Any, BinaryIO, TextIO
@@ -56,16 +57,17 @@
         self.relays: dict[str, Relay] = {}
         self.lists: dict[str, Entries] = {}
         self.filling: Entries = []
-        self.missing = 0                        # entries of a list still to come
+        self.missing = 0  # entries of a list still to come
         self.events = {
-            "TOPOLOGY": self.topology, "DEMAND": self.demand, "REPLY": self.reply,
+            "TOPOLOGY": self.topology,
+            "DEMAND": self.demand,
+            "REPLY": self.reply,
             "HEADERS": lambda relay, f: relay.on_started(int(f["requestId"]), int(f["try"])),
             "ABANDONED": lambda relay, f: relay.on_abandoned(int(f["requestId"])),
             "TIMER": lambda relay, f: relay.on_wake(int(f["ctx"])),
             "HEARD": lambda relay, f: relay.on_told(int(f["originPeer"]), unhex(f["payload"])),
             "STAGE": self.stage,
-            "RETURNED": lambda relay, f: relay.on_flag(
-                int(f["unit"]), int(f["grade"]), words.tenths(f["old"])),
+            "RETURNED": lambda relay, f: relay.on_flag(int(f["unit"]), int(f["grade"]), words.tenths(f["old"])),
         }
 
     def event(self, name: str, f: Fields) -> None:
@@ -75,17 +77,26 @@
             if not self.missing:
                 raise BadInput("a list entry outside a list")
             self.missing -= 1
-            self.filling.append((int(f["unit"]), int(float(f["release"])), words.STATES[f["stageState"]],
-                                 int(f.get("campus", 0)), int(f.get("pod", 0)), float(f.get("share", 1)),
-                                 words.tenths(f.get("startTime", "0"))))
+            self.filling.append(
+                (
+                    int(f["unit"]),
+                    int(float(f["release"])),
+                    words.STATES[f["stageState"]],
+                    int(f.get("campus", 0)),
+                    int(f.get("pod", 0)),
+                    float(f.get("share", 1)),
+                    words.tenths(f.get("startTime", "0")),
+                )
+            )
         elif name == "DEFINE_LIST":
             self.filling = self.lists[f["slot"]] = []
             self.missing = int(f["hosts"])
         elif name == "ENLIST":
             number, seed = f.pop("relay"), int(f.pop("rngSeed"))
             door = Door(number, self.out)
-            self.guarded(number, lambda: self.relays.__setitem__(
-                number, Relay(door, words.settings(f), seed, self.now)))
+            self.guarded(
+                number, lambda: self.relays.__setitem__(number, Relay(door, words.settings(f), seed, self.now))
+            )
         elif name == "RETIRE":
             self.relays.pop(f["relay"], None)
         elif name in self.events:
@@ -97,27 +108,40 @@
 
     def topology(self, relay: Relay, f: Fields) -> None:
         kind = words.LISTS[f["form"]]
-        if kind != "failed":                     # comes to those who ask; no deployment here has lists to ask for
+        if kind != "failed":  # comes to those who ask; no deployment here has lists to ask for
             relay.on_list(kind, self.lists[f["slot"]])
 
     def demand(self, relay: Relay, f: Fields) -> None:
-        relay.on_invocation(int(f["requestId"]), int(f["grade"]), int(f.get("team", 0)), f.get("resource"),
-                            words.tenths(f["giveUpAt"]), words.tenths(f.get("effort", "0")),
-                            f.get("againByClient") == "1")
+        relay.on_invocation(
+            int(f["requestId"]),
+            int(f["grade"]),
+            int(f.get("team", 0)),
+            f.get("resource"),
+            words.tenths(f["giveUpAt"]),
+            words.tenths(f.get("effort", "0")),
+            f.get("againByClient") == "1",
+        )
 
     def reply(self, relay: Relay, f: Fields) -> None:
         load = f.get("serverStats")
         seen = {k: float(v) for k, v in (p.split(":") for p in load.split(","))} if load else None
-        relay.on_outcome(int(f["requestId"]), int(f["try"]), words.OUTCOMES[f["disposition"]],
-                         f.get("terminal") == "1", words.tenths(f["latency"]), seen)
+        relay.on_outcome(
+            int(f["requestId"]),
+            int(f["try"]),
+            words.OUTCOMES[f["disposition"]],
+            f.get("terminal") == "1",
+            words.tenths(f["latency"]),
+            seen,
+        )
 
     def stage(self, relay: Relay, f: Fields) -> None:
         """The answer to a vote, the platform's news, or both: only an `ok` carries news."""
         if f["how"] == "1":
             relay.on_vote_answer(words.ANSWERS[f["disposition"]])
         if f["disposition"] == "ok":
-            relay.on_stage(int(f["buildNo"]), int(f["ring"]), int(f["standing"]), float(f["mostShare"]),
-                           words.tenths(f["old"]))
+            relay.on_stage(
+                int(f["buildNo"]), int(f["ring"]), int(f["standing"]), float(f["mostShare"]), words.tenths(f["old"])
+            )
 
     def guarded(self, number: str, call: Any) -> None:
         """An exception in the module is that instance's fault, told on the wire; the process goes on."""
@@ -179,7 +203,7 @@
         except BadInput as problem:
             print(f"tealsail.adapter: line {number}: {problem}", file=complaints)
             return 2
-        except (KeyError, ValueError) as problem:            # a bad TURN, or bytes that are not UTF-8
+        except (KeyError, ValueError) as problem:  # a bad TURN, or bytes that are not UTF-8
             print(f"tealsail.adapter: line {number}: {type(problem).__name__}: {problem}", file=complaints)
             return 2
     return 0
--- a/tealsail/adapter/words.py
+++ b/tealsail/adapter/words.py
@@ -1,8 +1,17 @@
 """The wire's words and units, translated to the project's own and back (settings: tealsail/settings.py)."""
+
 from .. import settings as table
 
-OUTCOMES = {"ok": "served", "error": "error", "full": "full", "timeout": "timeout",
-            "connect_failed": "unreachable", "reset": "reset", "cancelled": "cancelled", "moot": "moot"}
+OUTCOMES = {
+    "ok": "served",
+    "error": "error",
+    "full": "full",
+    "timeout": "timeout",
+    "connect_failed": "unreachable",
+    "reset": "reset",
+    "cancelled": "cancelled",
+    "moot": "moot",
+}
 STATES = {"IN": "open", "LAME": "draining", "OUT": "gone"}
 LISTS = {"patch": "changes", "whole": "whole", "stale_copy": "old copy", "broken": "failed"}
 ANSWERS = {"ok": "ok", "moot": "moot", "full": "full", "error": "error", "timeout": "timeout"}
--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -5,24 +5,30 @@
 turned into even time by the wall clock of the moment when they were first seen.  A gap is a time in which nothing ran:
 a process that was stopped, a machine that slept.
 """
+
 from collections.abc import Callable
 from typing import Any
 
-TENTHS = 10_000                                  # in a second
-STEP = 0.2                                       # seconds between two looks: more is a step, less is followed
-GAP = 2.0                                        # seconds in which nothing ran, though something runs each half second
+TENTHS = 10_000  # in a second
+STEP = 0.2  # seconds between two looks: more is a step, less is followed
+GAP = 2.0  # seconds in which nothing ran, though something runs each half second
 
 
 class Clock:
     """`steady` and `wall` give seconds; called, it gives even time in tenths of a ms.  `woke` is told of a gap, in seconds,
     before whoever asked for the time goes on."""
 
-    def __init__(self, steady: Callable[[], float], wall: Callable[[], float],
-                 woke: Callable[[float], Any] | None = None) -> None:
+    def __init__(
+        self, steady: Callable[[], float], wall: Callable[[], float], woke: Callable[[float], Any] | None = None
+    ) -> None:
         self.steady, self.wall, self.woke = steady, wall, woke
-        self.zero, self.base, self.last = steady(), int(wall() * TENTHS), 0  # a float of Unix time is too coarse to add to
-        self.ran = self.zero                     # when something last ran, for all that is known
-        self.ahead = 0.0                         # of the wall clock over even time, in seconds
+        self.zero, self.base, self.last = (
+            steady(),
+            int(wall() * TENTHS),
+            0,
+        )  # a float of Unix time is too coarse to add to
+        self.ran = self.zero  # when something last ran, for all that is known
+        self.ahead = 0.0  # of the wall clock over even time, in seconds
 
     def __call__(self) -> int:
         steady = self.steady()
@@ -73,7 +79,7 @@
     `relay` is the module's (tealsail/policy.py); `now` in tenths of a ms."""
     for invocation in relay.known.values():
         for shot in invocation.shots:
-            shot.group = None                    # no evidence
+            shot.group = None  # no evidence
     relay.admission.cut_at = now
     for unit in relay.units.values():
-        unit.waiting, unit.missed = now, min(unit.missed, -2)    # a connection that failed meanwhile is no news
+        unit.waiting, unit.missed = now, min(unit.missed, -2)  # a connection that failed meanwhile is no news
--- a/tealsail/choices/endings.py
+++ b/tealsail/choices/endings.py
@@ -1,11 +1,12 @@
 """When a relay, a client's connection and a kept connection to a unit may end or be used again: what may still be on its way."""
+
 from collections.abc import Sequence
 
-ENOUGH = 30_000                                  # tenths of a ms behind the door's close, or the longest deadline if that is later
-UNUSED = 3_000                                   # within which one that was just welcomed asks, or connections may be idle in a crowd
-REST = 0.02                                      # seconds: nothing that belongs to an answer comes later than that behind it
-LOOK, SOONEST = 1.0, 0.01                        # seconds, most and least, between looks at unused connections to units
-AGAIN = 0.1, 0.2, 0.4, 0.8, 1.6                  # seconds to the next looks at a file that is half written: within the 4 s in which
+ENOUGH = 30_000  # tenths of a ms behind the door's close, or the longest deadline if that is later
+UNUSED = 3_000  # within which one that was just welcomed asks, or connections may be idle in a crowd
+REST = 0.02  # seconds: nothing that belongs to an answer comes later than that behind it
+LOOK, SOONEST = 1.0, 0.01  # seconds, most and least, between looks at unused connections to units
+AGAIN = 0.1, 0.2, 0.4, 0.8, 1.6  # seconds to the next looks at a file that is half written: within the 4 s in which
 # the former addresses may still answer
 
 
--- a/tealsail/choices/flood.py
+++ b/tealsail/choices/flood.py
@@ -3,19 +3,21 @@
 A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push out
 what others tell; where all together tell too much, who has told least of late is heard first.
 """
+
 from typing import NamedTuple
 
-SECOND = 10_000                                  # tenths of a ms; all is counted by whole seconds
-CELLS = 30                                       # of a note, at the least (tealsail/notes.py)
+SECOND = 10_000  # tenths of a ms; all is counted by whole seconds
+CELLS = 30  # of a note, at the least (tealsail/notes.py)
 
 
 class Limits(NamedTuple):
     """Notes a second."""
+
     each: int
     all: int
 
 
-SHOTS = Limits(1_000, 12_000)                    # small ones of shots: three for each invocation, a third to the asker
+SHOTS = Limits(1_000, 12_000)  # small ones of shots: three for each invocation, a third to the asker
 
 
 def limits(cells: int, most: int = 4_000) -> Limits:
--- a/tealsail/choices/hearsay.py
+++ b/tealsail/choices/hearsay.py
@@ -5,22 +5,24 @@
 what was told.  A word is three bytes and four for each zone, never as long as a verdict or counts (tealsail/notes.py),
 which pass it over.
 """
+
 import struct
 from collections import deque
 from typing import NamedTuple
 
-KIND, TROUBLE, ALONE = 0x7A, 1, 2                # of a word; its flags
-MOST_ZONES = 63                                  # of a word: 3 + 4 * 63 bytes
-MOST_WORDS = 64                                  # kept
-LISTENERS = 3                                    # told each beat
-SAYS = 3                                         # answers and misses that make a relay's word on a zone one
-ENOUGH = 3                                       # relays whose words can cast doubt
-EACH = 10                                        # answers of one relay that count as evidence
-ALERT = 50_000                                   # tenths of a ms after a word of trouble in which one tells too
+KIND, TROUBLE, ALONE = 0x7A, 1, 2  # of a word; its flags
+MOST_ZONES = 63  # of a word: 3 + 4 * 63 bytes
+MOST_WORDS = 64  # kept
+LISTENERS = 3  # told each beat
+SAYS = 3  # answers and misses that make a relay's word on a zone one
+ENOUGH = 3  # relays whose words can cast doubt
+EACH = 10  # answers of one relay that count as evidence
+ALERT = 50_000  # tenths of a ms after a word of trouble in which one tells too
 
 
 class Seen(NamedTuple):
     """Of a zone over the last span: answers in time, late ones (and errors), and no answer at all."""
+
     zone: int
     good: int
     late: int
@@ -28,9 +30,9 @@
 
 
 class Word(NamedTuple):
-    own: int                                     # the sender's zone
-    trouble: bool                                # a zone is not whole for the sender
-    alone: bool                                  # its own is not, by what it sees itself and not by the list
+    own: int  # the sender's zone
+    trouble: bool  # a zone is not whole for the sender
+    alone: bool  # its own is not, by what it sees itself and not by the list
     zones: tuple[Seen, ...]
 
 
@@ -50,7 +52,7 @@
         return None
     rows: dict[int, Seen] = {}
     for place in range(3, len(data), 4):
-        rows.setdefault(data[place], Seen(*data[place:place + 4]))
+        rows.setdefault(data[place], Seen(*data[place : place + 4]))
     return Word(data[1], bool(data[2] & TROUBLE), bool(data[2] & ALONE), tuple(rows.values()))
 
 
@@ -58,9 +60,9 @@
     """The latest words of others, one a sender; the oldest goes where there are too many."""
 
     def __init__(self, fresh: int) -> None:
-        self.fresh = fresh                       # tenths of a ms for which a word says something
+        self.fresh = fresh  # tenths of a ms for which a word says something
         self.words: dict[int, tuple[int, Word]] = {}
-        self.counted: dict[int, int] = {}        # sender -> when its answers last counted as evidence
+        self.counted: dict[int, int] = {}  # sender -> when its answers last counted as evidence
         self.news: deque[Seen] = deque(maxlen=MOST_WORDS)
         self.trouble_at = -1 << 60
 
@@ -73,7 +75,7 @@
         self.words[sender] = now, word
         if word.trouble:
             self.trouble_at = now
-        if now >= self.counted.get(sender, -1 << 60) + self.fresh // 2:      # what two words both hold counts once
+        if now >= self.counted.get(sender, -1 << 60) + self.fresh // 2:  # what two words both hold counts once
             self.counted[sender] = now
             self.news.extend(seen for seen in word.zones if seen.good + seen.late)
 
@@ -90,12 +92,13 @@
     def doubts(self) -> set[int]:
         """Zones out of reach by the words of several relays.  Relays of one zone have one voice together, so a zone's
         network that is cut off from another talks nobody out of it while a second zone reaches it."""
-        voices: dict[int, dict[int, list[bool]]] = {}            # zone -> the tellers' zones -> reached or not
+        voices: dict[int, dict[int, list[bool]]] = {}  # zone -> the tellers' zones -> reached or not
         for _, word in self.words.values():
             for seen in word.zones:
                 if seen.good + seen.late + seen.missed >= SAYS:
                     voices.setdefault(seen.zone, {}).setdefault(word.own, []).append(
-                        seen.good + seen.late >= seen.missed)
+                        seen.good + seen.late >= seen.missed
+                    )
         found = set()
         for zone, tellers in voices.items():
             reached = sum(2 * sum(each) >= len(each) for each in tellers.values())
--- a/tealsail/choices/pauses.py
+++ b/tealsail/choices/pauses.py
@@ -3,15 +3,16 @@
 Guards against a fleet in step: what 40 relays asked for together, and together again after the same pauses, was more than
 the list of units could answer at any one time, so nobody was ever answered.
 """
+
 from ..parts import Chance
 
-AGAIN, LONGEST_AGAIN = 0.1, 2.0                  # seconds: after a connection's end, and at the most
-FIRST, EACH, LONGEST_EACH = 0.1, 0.05, 1.0       # for each relay of the fleet: until a first question; after being turned
+AGAIN, LONGEST_AGAIN = 0.1, 2.0  # seconds: after a connection's end, and at the most
+FIRST, EACH, LONGEST_EACH = 0.1, 0.05, 1.0  # for each relay of the fleet: until a first question; after being turned
 # away as one of too many, and then at the most
-WITHIN = 10.0                                    # seconds within which lists are asked for, where the platform does not say
-PART = 0.4                                       # of the time within which a relay has to ask, for the mean of its pauses
-UNTOLD = 0.25                                    # seconds for which a relay that starts holds its door for the list it asked for
-LEAST, WIDTH = 0.1, 1.8                          # a pause is drawn evenly from this part of its bound, and so wide
+WITHIN = 10.0  # seconds within which lists are asked for, where the platform does not say
+PART = 0.4  # of the time within which a relay has to ask, for the mean of its pauses
+UNTOLD = 0.25  # seconds for which a relay that starts holds its door for the list it asked for
+LEAST, WIDTH = 0.1, 1.8  # a pause is drawn evenly from this part of its bound, and so wide
 
 
 class Pauses:
@@ -21,8 +22,9 @@
     draws part a fleet that began in step.
     """
 
-    def __init__(self, chance: Chance, first: float = AGAIN, longest: float = LONGEST_AGAIN,
-                 limit: float = LONGEST_AGAIN) -> None:
+    def __init__(
+        self, chance: Chance, first: float = AGAIN, longest: float = LONGEST_AGAIN, limit: float = LONGEST_AGAIN
+    ) -> None:
         self.chance, self.first, self.longest, self.limit = chance, first, longest, limit
         self.bound = first
 
--- a/tealsail/choices/returning.py
+++ b/tealsail/choices/returning.py
@@ -1,4 +1,5 @@
 """The way back of a zone that was lost: by time and by evidence, longer each time that it flaps."""
+
 from .tiers import Zoning
 
 UP, OUT, WAITING, RAMP = "up", "out", "waiting", "ramp"
@@ -14,8 +15,8 @@
     def __init__(self, zoning: Zoning, luck: float) -> None:
         self.zoning, self.luck = zoning, luck
         self.state, self.level = UP, 1.0
-        self.flaps, self.since = 0, -1 << 60     # how often it was lost of late; when the state began
-        self.good = self.bad = 0                 # answers in time and late, since the last step
+        self.flaps, self.since = 0, -1 << 60  # how often it was lost of late; when the state began
+        self.good = self.bad = 0  # answers in time and late, since the last step
         self.stepped = 0
 
     def lost(self, now: int) -> None:
@@ -52,7 +53,7 @@
             seen = self.good + self.bad
             needed = max(1.0, min(self.zoning.least, self.level * usual / 2))
             if seen >= needed and self.bad > self.zoning.late_part * seen:
-                self.level = max(self.zoning.first, self.level / 2)      # it falters: back, and again from there
+                self.level = max(self.zoning.first, self.level / 2)  # it falters: back, and again from there
                 self.good = self.bad = 0
                 self.stepped = now
             elif now >= self.stepped + self.zoning.step and self.good >= needed:
@@ -60,7 +61,7 @@
                 if self.level >= 1:
                     self.turn(UP, 1.0, now)
             elif now >= self.since + self.zoning.calm and not self.bad:
-                self.turn(UP, 1.0, now)          # nothing was sent there that could tell, for so long
+                self.turn(UP, 1.0, now)  # nothing was sent there that could tell, for so long
 
     def turn(self, state: str, level: float, now: int) -> None:
         self.state, self.level, self.since, self.stepped, self.good, self.bad = state, level, now, now, 0, 0
--- a/tealsail/choices/spill.py
+++ b/tealsail/choices/spill.py
@@ -7,6 +7,7 @@
 part.  So the sum stays under the stated limit whatever each relay sees, and nothing depends on what others have just
 decided: relays that act at one moment do not swing.
 """
+
 from typing import NamedTuple
 
 from .tiers import Tier, Zoning
@@ -15,6 +16,7 @@
 class View(NamedTuple):
     """A zone: weights that are usual there, that this relay can use now (silent, cold and returning units in part), and
     that all relays agree on."""
+
     usual: float
     able: float
     agreed: float
@@ -23,12 +25,14 @@
 class Split(NamedTuple):
     """`keep` by tier, nearest first: what is missing to one in all is to be rejected.  `room` by zone of the further
     tiers: the stated limit of what may go there, before evidence.  Both are parts of what a relay takes."""
+
     keep: list[float]
     room: dict[int, float]
 
 
-def split(order: list[Tier], zones: dict[int, View], give: dict[int, float], zoning: Zoning,
-          company: float = 1.0) -> Split:
+def split(
+    order: list[Tier], zones: dict[int, View], give: dict[int, float], zoning: Zoning, company: float = 1.0
+) -> Split:
     """`give`: 0 to 1 by zone, how far evidence lets work spill there.  `company`: the part of the relays of one's own zone
     that are in the same trouble; the fewer, the more each may have of what is their zone's together.  The first tier is the nearest that ever had
     units.  Where all zones fell alike nothing spills: there is nowhere better.  The usual use of a zone is taken to go
@@ -46,19 +50,25 @@
     room: dict[int, float] = {}
     for tier in order:
         usual = sum(zones[zone].usual for zone in tier.zones)
-        if not first:                            # none nearer ever had units
+        if not first:  # none nearer ever had units
             takes = 1 - sum(short[zone] for zone in tier.zones) / usual if usual else 0.0
             nearest, first = tier.zones, usual
         else:
             for zone in tier.zones:
-                extra = zones[zone].usual * max(0.0, zoning.spill_over - zoning.spare * (1 - min(health[zone], whole[zone])))
-                claims = {other: min(agreed[other], extra * agreed[other] / total) if total else 0.0 for other in agreed}
+                extra = zones[zone].usual * max(
+                    0.0, zoning.spill_over - zoning.spare * (1 - min(health[zone], whole[zone]))
+                )
+                claims = {
+                    other: min(agreed[other], extra * agreed[other] / total) if total else 0.0 for other in agreed
+                }
                 claimed = sum(claims.values()) - claims[zone]
                 allowed, others = sum(claims[one] for one in nearest), usual_of_all - zones[zone].usual
-                if others > 0:                   # and of what nobody is agreed to need, one's own zone's part
+                if others > 0:  # and of what nobody is agreed to need, one's own zone's part
                     allowed += max(0.0, extra - claimed) * first / others
                 room[zone] = min(zoning.spill_share, allowed / first / company)
-            takes = max(0.0, min(left, sum(room[zone] * give[zone] for zone in tier.zones), zoning.spill_share - spilled))
+            takes = max(
+                0.0, min(left, sum(room[zone] * give[zone] for zone in tier.zones), zoning.spill_share - spilled)
+            )
             spilled += takes
         keep.append(takes)
         left -= takes
@@ -79,6 +89,7 @@
 class Give:
     """How far evidence lets work spill to a zone: falls by a third when what spilled there comes late, and rises by a
     twentieth each beat while it comes in time.  Guards against feeding a fire: a zone that slows while it absorbs."""
+
     FALL, RISE, LEAST, FEW = 2 / 3, 0.05, 0.05, 3
 
     def __init__(self) -> None:
--- a/tealsail/choices/switch.py
+++ b/tealsail/choices/switch.py
@@ -4,6 +4,7 @@
 a rule differs, and so is what comes meanwhile: a moment of less freedom, for no more than the longest wait of a client.
 The way back is the same step.
 """
+
 from collections.abc import Callable, Iterable
 from typing import Any
 
@@ -12,20 +13,40 @@
 
 PATHS = {name: path for path, name in NAMES.items()}
 # what a running relay is built on: judges' order, windows, places of zones, connections
-FIXED = ("relays", "index", "zone", "zones", "list_mode", "exposure_span", "exposure_per", "connect_wait", "idle_time",
-         "ask_within", "may_tell")
+FIXED = (
+    "relays",
+    "index",
+    "zone",
+    "zones",
+    "list_mode",
+    "exposure_span",
+    "exposure_per",
+    "connect_wait",
+    "idle_time",
+    "ask_within",
+    "may_tell",
+)
 OF_WORKLOAD = ("name", "effect", "group")
-FOREIGN = {"fleetSize", "index", "requestClasses", "tenants"}    # as the platform names them: who, and for whom
+FOREIGN = {"fleetSize", "index", "requestClasses", "tenants"}  # as the platform names them: who, and for whom
 
 
 def least_each(old: list[float], new: list[float]) -> list[float]:
     """The lower cap of each stage; of stages that only one has, that one's."""
-    return [min(pair) for pair in zip(old, new)] + list(old[len(new):]) + list(new[len(old):])
+    return [min(pair) for pair in zip(old, new)] + list(old[len(new) :]) + list(new[len(old) :])
 
 
 STRICTER: dict[str, Callable[[Any, Any], Any]] = dict(
-    most_shots=min, free_shots=min, guarded_stages=max, caps=least_each, may_cancel=min, may_advise=min, longest_advice=min,
-    cold_from=min, warm_up=max, drain_grace=min)
+    most_shots=min,
+    free_shots=min,
+    guarded_stages=max,
+    caps=least_each,
+    may_cancel=min,
+    may_advise=min,
+    longest_advice=min,
+    cold_from=min,
+    warm_up=max,
+    drain_grace=min,
+)
 
 
 def fixed(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
@@ -77,8 +98,8 @@
     """The settings of one relay, and those on their way in."""
 
     def __init__(self, relay: Relay, facts: dict[str, Any]) -> None:
-        self.relay, self.facts = relay, facts    # as they came
-        self.fresh: Relay | None = None          # held strictly until what was at hand is over
+        self.relay, self.facts = relay, facts  # as they came
+        self.fresh: Relay | None = None  # held strictly until what was at hand is over
         self.at_hand: set[int] = set()
 
     def change(self, facts: dict[str, Any]) -> list[str]:
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -4,6 +4,7 @@
 send: a share of what this relay takes, and a rate over the next tier's own use.  What other relays tell of zones
 (hearsay.py) counts where this relay has seen nothing itself: never against its own answers.
 """
+
 from ..parts import Chance, Invocation, Ring, Shot, Stage, Unit, mix
 from .hearsay import LISTENERS, Hearsay, Seen, Word, decode, encode
 from .returning import OUT, RAMP, UP, Returning
@@ -11,14 +12,14 @@
 from .tiers import Zoning, tiers
 
 ANSWERED = ("served", "error", "full")
-IN_TIME = ("served", "full", "moot")             # if they come before they are late
+IN_TIME = ("served", "full", "moot")  # if they come before they are late
 MISSED = ("unreachable", "reset", "timeout")
-GONE = 0.5                                       # under so much of what is usual, against the best zone: lost
-UNANSWERED, DOUBTFUL = 5, 2                      # misses in a row, with no answer between: out of reach; in trouble
-FEW = 5                                          # answers and misses that a share of them needs
-PROBE, SELDOM = 5_000, 3                         # tenths of a ms between looks at a zone that is out; doubled so often
-LATE = 0.8                                       # of the promise
-FAR = 0.05                                       # of what is taken may go far for the trial's sake, with nothing short
+GONE = 0.5  # under so much of what is usual, against the best zone: lost
+UNANSWERED, DOUBTFUL = 5, 2  # misses in a row, with no answer between: out of reach; in trouble
+FEW = 5  # answers and misses that a share of them needs
+PROBE, SELDOM = 5_000, 3  # tenths of a ms between looks at a zone that is out; doubled so often
+LATE = 0.8  # of the promise
+FAR = 0.05  # of what is taken may go far for the trial's sake, with nothing short
 BUCKETS = 20
 
 
@@ -27,16 +28,16 @@
 
     def __init__(self, place: int, tier: int, zoning: Zoning, luck: float) -> None:
         self.place, self.tier = place, tier
-        self.rows: tuple[list[Unit], list[Unit]] = ([], [])      # of earlier builds, and on trial
-        self.listed = self.usual = 0.0           # weights: now, and the most of late
+        self.rows: tuple[list[Unit], list[Unit]] = ([], [])  # of earlier builds, and on trial
+        self.listed = self.usual = 0.0  # weights: now, and the most of late
         self.able = 0.0
         self.back = Returning(zoning, luck)
         self.answered, self.missed = Ring(zoning.span, BUCKETS), Ring(zoning.span, BUCKETS)
-        self.late = Ring(zoning.span, BUCKETS)   # of those answered
+        self.late = Ring(zoning.span, BUCKETS)  # of those answered
         self.probe_at = self.looks = self.row_of_misses = 0
-        self.unreached = False                   # out by its silence, not by the list
-        self.doubted = False                     # out by the words of others, with no answer of its own against them
-        self.alone = False                       # its present loss began with a silence, not with the list
+        self.unreached = False  # out by its silence, not by the list
+        self.doubted = False  # out by the words of others, with no answer of its own against them
+        self.alone = False  # its present loss began with a silence, not with the list
 
 
 class Zones(Stage):
@@ -46,16 +47,19 @@
         super().__init__(relay)
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
         self.order = tiers(own, many, zoning)
-        self.zones = {zone: Zone(zone, place, zoning, self.chance.share())
-                      for place, tier in enumerate(self.order) for zone in tier.zones}
+        self.zones = {
+            zone: Zone(zone, place, zoning, self.chance.share())
+            for place, tier in enumerate(self.order)
+            for zone in tier.zones
+        }
         self.gives = {zone: Give() for zone in self.zones}
-        self.keep = [1.0] + [0.0] * (len(self.order) - 1)        # by tier, what each may have, and the stated
-        self.room: dict[int, float] = {}         # limit of that by zone
-        self.nearest = 0                         # the first tier that has units
-        self.having: list[list[list[Zone]]] = [[[] for _ in self.order] for _ in (0, 1)]     # by side and tier
-        self.here: list[list[int]] = [[], []]    # tiers that have units, by side
-        self.out = 0                             # zones that are out of reach, for all that is known
-        self.home: Zone | None = None            # takes all, while nothing is out, short or on trial
+        self.keep = [1.0] + [0.0] * (len(self.order) - 1)  # by tier, what each may have, and the stated
+        self.room: dict[int, float] = {}  # limit of that by zone
+        self.nearest = 0  # the first tier that has units
+        self.having: list[list[list[Zone]]] = [[[] for _ in self.order] for _ in (0, 1)]  # by side and tier
+        self.here: list[list[int]] = [[], []]  # tiers that have units, by side
+        self.out = 0  # zones that are out of reach, for all that is known
+        self.home: Zone | None = None  # takes all, while nothing is out, short or on trial
         self.taken = Ring(zoning.span, BUCKETS)
         self.spilled = {zone: Ring(zoning.span, BUCKETS) for zone in self.zones}
         self.counts = {"kept": 0, "spilled": 0, "refused": 0, "probes": 0, "matched": 0, "doubted": 0, "told": 0}
@@ -81,8 +85,13 @@
                     zone.listed += unit.weight
         for zone in self.zones.values():
             zone.usual = max(zone.usual, zone.listed)
-        self.having = [[[zone for zone in self.zones.values() if zone.tier == tier and zone.rows[side]]
-                        for tier in range(len(self.order))] for side in (0, 1)]
+        self.having = [
+            [
+                [zone for zone in self.zones.values() if zone.tier == tier and zone.rows[side]]
+                for tier in range(len(self.order))
+            ]
+            for side in (0, 1)
+        ]
         self.here = [[tier for tier, zones in enumerate(having) if zones] for having in self.having]
         self.weigh()
 
@@ -95,11 +104,11 @@
         for give in self.gives.values():
             give.beat(self.zoning.late_part)
         self.hearsay.forget(now)
-        for seen in self.hearsay.evidence():     # a relay with little to do learns from those with more
+        for seen in self.hearsay.evidence():  # a relay with little to do learns from those with more
             zone = self.zones.get(seen.zone)
             if zone and zone.back.state == RAMP:
                 zone.back.told(seen.good, seen.late)
-            if zone and seen.good and zone.looks:            # others reach it: look again soon
+            if zone and seen.good and zone.looks:  # others reach it: look again soon
                 zone.looks, zone.probe_at = 0, min(zone.probe_at, now + PROBE)
         self.weigh()
         self.tell()
@@ -110,7 +119,7 @@
         if word is None:
             return self.hear_on(sender, data)
         self.hearsay.add(sender, word, self.relay.now)
-        if self.alone():                         # whether others of its zone are in the same trouble decides its room
+        if self.alone():  # whether others of its zone are in the same trouble decides its room
             self.weigh()
 
     def alone(self) -> bool:
@@ -127,7 +136,7 @@
         rows = []
         for zone in self.zones.values():
             answered, late, missed = (int(ring.total(now)) for ring in (zone.answered, zone.late, zone.missed))
-            if zone.unreached:                   # looks are seldom, answers were before: what made it so stands
+            if zone.unreached:  # looks are seldom, answers were before: what made it so stands
                 answered, late, missed = 0, 0, max(missed, UNANSWERED)
             if answered + missed:
                 rows.append(Seen(zone.place, max(0, answered - late), late, missed))
@@ -157,7 +166,7 @@
             elif not zone.unreached:
                 zone.back.there(now)
             seen = answered / (answered + missed) if answered + missed >= FEW else 1.0
-            doubted = zone.place in doubts and not answered      # one's own answers go before all words
+            doubted = zone.place in doubts and not answered  # one's own answers go before all words
             self.counts["doubted"] += doubted and not zone.doubted
             zone.doubted = doubted
             zone.able = zone.listed * seen * zone.back.level * (not doubted)
@@ -166,8 +175,13 @@
             views[zone.place] = View(zone.usual, zone.able, agreed)
         self.out = sum(zone.unreached or zone.doubted for zone in zones)
         self.nearest = min([zone.tier for zone in zones if zone.usual], default=0)
-        self.keep, self.room = split(self.order, views, {zone: each.level for zone, each in self.gives.items()},
-                                     self.zoning, troubled.get(self.own, 1.0) if alone else 1.0)
+        self.keep, self.room = split(
+            self.order,
+            views,
+            {zone: each.level for zone, each in self.gives.items()},
+            self.zoning,
+            troubled.get(self.own, 1.0) if alone else 1.0,
+        )
         home = self.having[0][self.nearest]
         whole = len(home) == 1 and not self.out and not self.relay.rows[1] and self.keep[self.nearest] >= 1
         self.home = home[0] if whole and home[0].able > 0 else None
@@ -177,9 +191,9 @@
         if not row:
             return False
         relay, home = self.relay, self.home
-        if invocation.tier is None:              # one draw for the invocation, whatever build it ends at
+        if invocation.tier is None:  # one draw for the invocation, whatever build it ends at
             self.taken.add(relay.now)
-            if home is not None:                 # the ordinary case, kept cheap: nothing to weigh or draw
+            if home is not None:  # the ordinary case, kept cheap: nothing to weigh or draw
                 invocation.tier = self.nearest
                 if self.next.forward(invocation, home.rows[0]):
                     self.counts["kept"] += 1
@@ -198,16 +212,20 @@
                 if self.next.forward(invocation, zone.rows[side]):
                     self.sent(zone)
                     return True
-        self.counts["refused"] += 1              # one row; the other build's may still take it
+        self.counts["refused"] += 1  # one row; the other build's may still take it
         return False
 
     def looked(self, invocation: Invocation, side: int) -> bool:
         """Now and then one that may run again goes to a zone that was out of reach, to see whether it still is."""
         now = self.relay.now
         for zone in self.zones.values():
-            if (zone.doubted or zone.unreached and zone.back.state == OUT) and now >= zone.probe_at and zone.rows[side] \
-                    and invocation.workload.effect == "harmless" \
-                    and (zone.tier <= self.nearest or self.may_spill(zone)):    # the stated limit holds for looks
+            if (
+                (zone.doubted or zone.unreached and zone.back.state == OUT)
+                and now >= zone.probe_at
+                and zone.rows[side]
+                and invocation.workload.effect == "harmless"
+                and (zone.tier <= self.nearest or self.may_spill(zone))
+            ):  # the stated limit holds for looks
                 zone.probe_at = now + int((PROBE << min(zone.looks, SELDOM)) * (0.75 + 0.5 * self.chance.share()))
                 zone.looks += 1
                 if self.next.forward(invocation, zone.rows[side]):
@@ -229,7 +247,7 @@
         """Tiers to try, in order: the drawn one, then what is nearer; for a build on trial whatever has units of it,
         for a further shot all there is."""
         here = self.here[side]
-        if invocation.shots:                     # a zone that has just failed it comes last
+        if invocation.shots:  # a zone that has just failed it comes last
             failed = {self.zones[shot.unit.zone].tier for shot in invocation.shots if shot.unit.zone in self.zones}
             return [tier for tier in here if tier not in failed] + [tier for tier in here if tier in failed]
         if side:
@@ -238,15 +256,15 @@
             return []
         if invocation.tier == self.nearest and len(here) == 1:
             return here
-        if invocation.tier not in here:          # no earlier unit there: the next one that has some
+        if invocation.tier not in here:  # no earlier unit there: the next one that has some
             return [tier for tier in here if tier > invocation.tier] + [tier for tier in here if tier < invocation.tier]
-        owed = self.relay.trial.owed             # far shots of the build on trial want a baseline as far away
+        owed = self.relay.trial.owed  # far shots of the build on trial want a baseline as far away
         on_trial = bool(self.relay.rows[1])
         far = [tier for tier in here if tier > self.nearest and owed[tier - self.nearest] >= 1] if on_trial else []
         if far and invocation.tier == self.nearest:
             self.counts["matched"] += 1
             return [far[0], self.nearest]
-        return [invocation.tier] + [tier for tier in here if tier != invocation.tier]     # cold units refuse most
+        return [invocation.tier] + [tier for tier in here if tier != invocation.tier]  # cold units refuse most
 
     def of(self, tier: int, side: int, tried: list[int]) -> list[Zone]:
         """The tier's zones that may be used, first one drawn by what may spill there, or by what they can do."""
@@ -280,8 +298,8 @@
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         zone = self.zones.get(shot.unit.zone)
-        if zone is self.home and outcome == "served" and zone:   # the ordinary case: all that may be asked later is
-            zone.answered.add(self.relay.now)                    # whether it answered at all
+        if zone is self.home and outcome == "served" and zone:  # the ordinary case: all that may be asked later is
+            zone.answered.add(self.relay.now)  # whether it answered at all
             zone.row_of_misses = 0
         elif zone:
             now, invocation = self.relay.now, shot.invocation
@@ -299,7 +317,7 @@
                 self.missed(zone)
             if (zone.tier > self.nearest or zone.back.state != UP or zone.unreached) and outcome != "cancelled":
                 self.learn(zone, outcome, late)
-            if shot.unit.rest_until > now:       # it goes to the end of its row, as in the rows of all zones
+            if shot.unit.rest_until > now:  # it goes to the end of its row, as in the rows of all zones
                 for row in zone.rows:
                     row.sort(key=lambda other: other is shot.unit)
         self.before.backward(shot, outcome, latency)
@@ -313,7 +331,7 @@
             self.weigh()
             self.tell()
         elif zone.row_of_misses == DOUBTFUL and zone.place == self.own and zone.back.state == UP:
-            self.weigh()                         # until it is out of reach for sure what failed there needs room elsewhere
+            self.weigh()  # until it is out of reach for sure what failed there needs room elsewhere
             self.tell()
 
     def learn(self, zone: Zone, outcome: str, late: bool) -> None:
@@ -323,5 +341,5 @@
             zone.back.saw(not late)
         if zone.unreached and outcome in ANSWERED:
             zone.unreached = False
-            zone.missed = Ring(self.zoning.span, BUCKETS)        # what was missed before says nothing now
+            zone.missed = Ring(self.zoning.span, BUCKETS)  # what was missed before says nothing now
             zone.back.there(self.relay.now)
--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -1,4 +1,5 @@
 """The lab's sub-commands: model, trial, record.  What they find goes into tables, files of JSON and charts."""
+
 import sys
 from collections.abc import Sequence
 from pathlib import Path
@@ -16,9 +17,9 @@
 from ..record.lines import Unreadable
 from ..world.rules import Breach
 
-FEWEST, MOST = 1, 1000                           # replicas
-MOST_UNITS = 30                                  # rows of a table
-WIDTH = 140                                      # of tables that go to a file or a pipe
+FEWEST, MOST = 1, 1000  # replicas
+MOST_UNITS = 30  # rows of a table
+WIDTH = 140  # of tables that go to a file or a pipe
 
 
 def run(chosen: dict[str, Any]) -> int:
@@ -26,8 +27,16 @@
     out = Console(highlight=False, width=None if sys.stdout.isatty() else WIDTH)
     try:
         if chosen["model"]:
-            for name, call in (("run", model_run), ("compare", model_compare), ("check", model_check),
-                               ("losses", model_losses), ("judges", model_judges), ("even", model_even), ("cost", model_cost), ("fields", model_fields)):
+            for name, call in (
+                ("run", model_run),
+                ("compare", model_compare),
+                ("check", model_check),
+                ("losses", model_losses),
+                ("judges", model_judges),
+                ("even", model_even),
+                ("cost", model_cost),
+                ("fields", model_fields),
+            ):
                 if chosen[name]:
                     return call(chosen, out)
         if chosen["hunt"]:
@@ -126,10 +135,12 @@
     return table
 
 
-def chart(path: str | None, out: Console, options: Sequence[runs.Option],
-          real: Sequence[Sequence[Result]] = ()) -> None:
+def chart(
+    path: str | None, out: Console, options: Sequence[runs.Option], real: Sequence[Sequence[Result]] = ()
+) -> None:
     if path:
         from ..lab import charts
+
         charts.options(path, options, real)
         out.print(f"chart: {path}")
         if options[0].results[0].use:
@@ -157,19 +168,25 @@
 
 def model_run(chosen: dict[str, Any], out: Console) -> int:
     scenario = read(chosen["SCENARIO"])
-    if chosen["--seed"] or chosen["--record"]:   # one day, in full
+    if chosen["--seed"] or chosen["--record"]:  # one day, in full
         seed = number(chosen, "--seed", 0, 1 << 62) if chosen["--seed"] else scenario.seed
         result, breaches = runs.play(scenario, seed, chosen["--record"])
         return one_day(chosen, out, result, breaches)
-    option, = modelled(chosen, [scenario])
+    (option,) = modelled(chosen, [scenario])
     table = Table(title=f"{scenario.name}: {len(option.results)} days in virtual time, 95% bars for one day")
     for column in ("figure", "mean [bar]", "mean known to"):
         table.add_column(column, justify="left" if column == "figure" else "right")
     for name, bar in option.bars.items():
         table.add_row(name, bar_text(name, bar), f"±{shown(bar.known, name)}")
     out.print(table)
-    save(chosen["--json"], {"scenario": scenario.name, "days": option.results,
-                            "bars": {name: bar._asdict() for name, bar in option.bars.items()}})
+    save(
+        chosen["--json"],
+        {
+            "scenario": scenario.name,
+            "days": option.results,
+            "bars": {name: bar._asdict() for name, bar in option.bars.items()},
+        },
+    )
     chart(chosen["--chart"], out, [option])
     return int(say_breaches(out, option.breaches, total(option.results)))
 
@@ -199,9 +216,15 @@
     out.print(table)
     if "service" in gaps and "harm" in gaps and {gaps["service"].better, gaps["harm"].better} == {"A", "B"}:
         out.print("mind: one option wins on service, the other on harm")
-    save(chosen["--json"], {"A": first.name, "B": second.name,
-                            "differences": {name: gap._asdict() for name, gap in gaps.items()},
-                            "days": {"A": first.results, "B": second.results}})
+    save(
+        chosen["--json"],
+        {
+            "A": first.name,
+            "B": second.name,
+            "differences": {name: gap._asdict() for name, gap in gaps.items()},
+            "days": {"A": first.results, "B": second.results},
+        },
+    )
     chart(chosen["--chart"], out, [first, second])
     broken = [say_breaches(out, option.breaches, total(option.results)) for option in (first, second)]
     return int(any(broken))
@@ -209,6 +232,7 @@
 
 def model_check(chosen: dict[str, Any], out: Console) -> int:
     from ..lab import trials
+
     scenarios = [read(chosen[name]) for name in ("A", "B")]
     repeats = number(chosen, "--repeats", 1, 20)
     at_once = number(chosen, "--at-once", 1, 16)
@@ -231,13 +255,24 @@
             values = [each.figures[name] for each in real[place] if name in each.figures]
             held = [bar.holds(value) for value in values]
             inside, outside = inside + sum(held), outside + len(held) - sum(held)
-            table.add_row(name, bar_text(name, bar), " ".join(shown(value, name) for value in values),
-                          "yes" if all(held) else f"{sum(held)} of {len(held)}" if any(held) else "NO")
+            table.add_row(
+                name,
+                bar_text(name, bar),
+                " ".join(shown(value, name) for value in values),
+                "yes" if all(held) else f"{sum(held)} of {len(held)}" if any(held) else "NO",
+            )
         out.print(table)
     part = inside / (inside + outside or 1)
     out.print(f"inside their bars: {inside} of {inside + outside} real figures ({part:.1%}; nominal 95%)")
-    save(chosen["--json"], {"bars": [{name: bar._asdict() for name, bar in option.bars.items()} for option in options],
-                            "real": real, "inside": inside, "outside": outside})
+    save(
+        chosen["--json"],
+        {
+            "bars": [{name: bar._asdict() for name, bar in option.bars.items()} for option in options],
+            "real": real,
+            "inside": inside,
+            "outside": outside,
+        },
+    )
     chart(chosen["--chart"], out, options, real)
     return int(broken or outside > 0)
 
@@ -245,6 +280,7 @@
 def limits(text: str) -> dict[str, float]:
     """name=figure, with commas between them."""
     from ..lab.hunt import LIMITS
+
     found = {}
     for each in text.split(","):
         name, _, figure = each.partition("=")
@@ -256,6 +292,7 @@
 
 def hunted(chosen: dict[str, Any], out: Console) -> int:
     from ..lab import hunt
+
     scenario = read(chosen["SCENARIO"])
     days, first = number(chosen, "--days", 1, 10_000), number(chosen, "--seed", 0, 1 << 62) if chosen["--seed"] else 1
     with Shown("days") as progress:
@@ -288,11 +325,25 @@
         for name, gap in rows.items():
             table.add_row(name, f"{gap.mean:+.4f} [{gap.low:+.4f}, {gap.high:+.4f}]", gap.better)
         out.print(table)
-    save(chosen["--json"], {each.name: {"days": each.figures, "bars": {name: bar._asdict() for name, bar in each.bars.items()},
-                                        "breaches": total([*each.hit, *each.calm])} for each in found}
-         | {"differences": {name: {figure: gap._asdict() for figure, gap in rows.items()} for name, rows in gaps.items()}})
+    save(
+        chosen["--json"],
+        {
+            each.name: {
+                "days": each.figures,
+                "bars": {name: bar._asdict() for name, bar in each.bars.items()},
+                "breaches": total([*each.hit, *each.calm]),
+            }
+            for each in found
+        }
+        | {
+            "differences": {
+                name: {figure: gap._asdict() for figure, gap in rows.items()} for name, rows in gaps.items()
+            }
+        },
+    )
     if chosen["--chart"]:
         from ..lab import charts
+
         charts.zones(chosen["--chart"], {each.name: each.hit for each in found})
         out.print(f"chart: {chosen['--chart']}")
     broken = [say_breaches(out, [], total([*each.hit, *each.calm])) for each in found]
@@ -301,6 +352,7 @@
 
 def model_even(chosen: dict[str, Any], out: Console) -> int:
     from ..lab import baselines
+
     scenario = read(chosen["SCENARIO"])
     many = number(chosen, "--replicas", max(2, FEWEST), MOST)
     with Shown("days") as progress:
@@ -310,10 +362,20 @@
     for name in baselines.SHOWN:
         table.add_column(name, justify="right")
     for name, each in found.items():
-        table.add_row(name, *(f"{each[figure].mean:.{1 if '_ms' in figure else 2}f} ±{each[figure].known:.2f}" if figure in each else "-"
-                              for figure in baselines.SHOWN))
+        table.add_row(
+            name,
+            *(
+                f"{each[figure].mean:.{1 if '_ms' in figure else 2}f} ±{each[figure].known:.2f}"
+                if figure in each
+                else "-"
+                for figure in baselines.SHOWN
+            ),
+        )
     out.print(table)
-    save(chosen["--json"], {name: {figure: bar._asdict() for figure, bar in each.items()} for name, each in found.items()})
+    save(
+        chosen["--json"],
+        {name: {figure: bar._asdict() for figure, bar in each.items()} for name, each in found.items()},
+    )
     return 0
 
 
@@ -325,15 +387,21 @@
     with Shown("fleets") as progress:
         rows = judging.table(progress=progress)
     lies = judging.lies()
-    for title, pick in (("a good build", lambda row: (row.before, row.after)),
-                        ("a build that fails 5%", lambda row: (row.back_before, row.back_after))):
-        table = Table(title=f"{title}: each tells each second | in turns (notes and bytes a second, CPU of the judge, its vote)")
+    for title, pick in (
+        ("a good build", lambda row: (row.before, row.after)),
+        ("a build that fails 5%", lambda row: (row.back_before, row.back_after)),
+    ):
+        table = Table(
+            title=f"{title}: each tells each second | in turns (notes and bytes a second, CPU of the judge, its vote)"
+        )
         for column in ("relays", *("notes", "bytes a relay", "core", "vote") * 2):
             table.add_column(column, justify="right")
         for row in rows:
             table.add_row(str(row.relays), *(cell for each in pick(row) for cell in heard_cells(each)))
         out.print(table)
-    table = Table(title="50 relays, a good build, some relays mad (200 notes a second, each a lie): no limit | limit by sender")
+    table = Table(
+        title="50 relays, a good build, some relays mad (200 notes a second, each a lie): no limit | limit by sender"
+    )
     for column in ("mad", *("notes", "bytes a relay", "core", "vote") * 2):
         table.add_column(column, justify="right")
     for mad, free, guarded in lies:
@@ -349,6 +417,7 @@
     save(chosen["--json"], {"fleets": rows, "lies": lies, "rolled": rolled})
     if chosen["--chart"]:
         from ..lab import charts
+
         charts.judges(chosen["--chart"], rows)
         out.print(f"chart: {chosen['--chart']}")
     return 0
@@ -375,6 +444,7 @@
     save(chosen["--json"], tables | {"decisions": {str(units): each._asdict() for units, each in decisions.items()}})
     if chosen["--chart"]:
         from ..lab import charts
+
         charts.cost(chosen["--chart"], tables)
         out.print(f"chart: {chosen['--chart']}")
     return 0
@@ -392,6 +462,7 @@
 
 def trial(chosen: dict[str, Any], out: Console) -> int:
     from ..lab import trials
+
     scenario = read(chosen["SCENARIO"])
     seed = number(chosen, "--seed", 0, 1 << 62) if chosen["--seed"] else scenario.seed
     with Shown(scenario.name) as progress:
@@ -406,9 +477,11 @@
 def record_import(chosen: dict[str, Any], out: Console) -> int:
     start = number(chosen, "--start", 0, 1 << 50) if chosen["--start"] else None
     found = imports.from_csv(chosen["CSV"], chosen["FILE"], start)
-    out.print(f"{found.lines} arrivals over {found.span / 10_000:.1f} s; {found.skipped} lines skipped"
-              + (f" (first: {found.first_problem})" if found.skipped else "")
-              + f"; {found.steps_back} steps back of the clock; longest gap {found.longest_gap / 10_000:.1f} s")
+    out.print(
+        f"{found.lines} arrivals over {found.span / 10_000:.1f} s; {found.skipped} lines skipped"
+        + (f" (first: {found.first_problem})" if found.skipped else "")
+        + f"; {found.steps_back} steps back of the clock; longest gap {found.longest_gap / 10_000:.1f} s"
+    )
     return 0
 
 
@@ -424,7 +497,9 @@
     out.print(table)
     for each in fitted.builds:
         (slow, fast), (few, many) = each.pace_bar, each.errors_bar
-        out.print(f"build {each.build}: work x {each.pace:.3f} [{slow:.3f}, {fast:.3f}], errors {each.errors:.4f} "
-                  f"[{few:.4f}, {many:.4f}], {each.shots} shots")
+        out.print(
+            f"build {each.build}: work x {each.pace:.3f} [{slow:.3f}, {fast:.3f}], errors {each.errors:.4f} "
+            f"[{few:.4f}, {many:.4f}], {each.shots} shots"
+        )
     save(chosen["--json"], fitted)
     return 0
--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -1,4 +1,5 @@
 """The command line's sub-commands."""
+
 import os
 import sys
 
@@ -84,6 +85,7 @@
         return 0
     if chosen["serve"] or chosen["check"] and not chosen["model"]:
         from . import serve
+
         return serve.run(chosen, os.environ)
     try:
         from . import lab
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -1,4 +1,5 @@
 """One relay in the foreground, from its start to its end."""
+
 import os
 import signal
 import sys
@@ -24,12 +25,19 @@
         told = read(environment)
         document = operators(chosen["--document"], told.facts)
         if chosen["check"]:
-            print(f"{told.name}: listens at {told.listen}; {len(told.known.entries)} units known; "
-                  f"{len(told.facts['workloads'])} workloads; {len(told.peers)} relays")
+            print(
+                f"{told.name}: listens at {told.listen}; {len(told.known.entries)} units known; "
+                f"{len(told.facts['workloads'])} workloads; {len(told.peers)} relays"
+            )
             return 0
         logger.remove()
-        logger.add(sys.stderr, level=chosen["--log-level"].upper(), backtrace=False, diagnose=False,
-                   format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}")
+        logger.add(
+            sys.stderr,
+            level=chosen["--log-level"].upper(),
+            backtrace=False,
+            diagnose=False,
+            format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}",
+        )
         return serve(told, document)
     except (BadStart, CannotListenError, ValueError, OSError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
@@ -70,9 +78,10 @@
     if not os.path.exists(path):
         return None
     from ..setup import document
+
     try:
         found = document.read(path)
-        found.seats(facts)                       # whether it fits what the platform told
+        found.seats(facts)  # whether it fits what the platform told
         return found
     except document.BadDocument as problem:
         raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
@@ -91,7 +100,8 @@
 def serve(told: Any, document: Any = None) -> int:
     """Run one relay until SIGTERM or SIGINT; SIGUSR1 prints the counters, SIGHUP has the file read again."""
     from twisted.internet import reactor
-    reactor.seconds = steady_clock()             # its timers too: a step of the wall clock must not fire or hold them
+
+    reactor.seconds = steady_clock()  # its timers too: a step of the wall clock must not fire or hold them
     globalLogBeginner.beginLoggingTo([network_fault], redirectStandardIO=False)
 
     def counted() -> None:
@@ -99,13 +109,17 @@
         logger.info("counters {}", relay.counters.show())
 
     def stop() -> None:
-        if not relay.stopped:                    # a second signal asks for nothing more
+        if not relay.stopped:  # a second signal asks for nothing more
             relay.stop().addCallback(lambda _: reactor.stop())
 
     try:
         relay = Relay(reactor, told, Counters(), document, time.time)
-        acts = {signal.SIGHUP: Reloads(reactor, relay).asked, signal.SIGUSR1: counted, signal.SIGTERM: stop,
-                signal.SIGINT: stop}             # before any client: from then on an end is in order
+        acts = {
+            signal.SIGHUP: Reloads(reactor, relay).asked,
+            signal.SIGUSR1: counted,
+            signal.SIGTERM: stop,
+            signal.SIGINT: stop,
+        }  # before any client: from then on an end is in order
         SIGNALS.act(acts, reactor.callFromThread)
         relay.start()
     except (ArithmeticError, AttributeError, LookupError, TypeError) as problem:
--- a/tealsail/command/signals.py
+++ b/tealsail/command/signals.py
@@ -1,4 +1,5 @@
 """Signals from the program's first line on: what comes before there is anything to act on it is kept until there is."""
+
 import signal
 from collections.abc import Callable
 from typing import Any
@@ -6,10 +7,11 @@
 
 class Signals:
     """SIGHUP and SIGUSR1 end a process that has no handler, which would be a crash of a relay that only starts."""
+
     KEPT = signal.SIGHUP, signal.SIGUSR1
 
     def __init__(self) -> None:
-        self.early: dict[int, None] = {}         # each once, in the order of their coming
+        self.early: dict[int, None] = {}  # each once, in the order of their coming
 
     def keep(self) -> None:
         for number in self.KEPT:
@@ -24,4 +26,4 @@
             later(acts[number])
 
 
-SIGNALS = Signals()                              # the process has one of each
+SIGNALS = Signals()  # the process has one of each
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -5,6 +5,7 @@
 (votes, notes, shots to call off, log lines) and is due at `Facade.due`.  Nothing is decided here.  Times are
 whole tenths of a millisecond of the clock handed in.
 """
+
 import heapq
 import traceback
 from typing import Any, Callable, Iterable, NamedTuple, Union
@@ -18,6 +19,7 @@
 
 class Shoot(NamedTuple):
     """Send it to this unit as its shot number `place`, and stop waiting after `wait`."""
+
     unit: int
     place: int
     wait: int
@@ -25,6 +27,7 @@
 
 class Reject(NamedTuple):
     """Final answer: not done, trying again is harmless (after `come_back`, 0: no advice)."""
+
     come_back: int
 
 
@@ -37,6 +40,7 @@
 
 class Outcome(NamedTuple):
     """How a shot ended: served, error, full, timeout, unreachable, reset, cancelled or moot."""
+
     number: int
     place: int
     outcome: str
@@ -45,11 +49,13 @@
 
 class Departed(NamedTuple):
     """The client waits no longer."""
+
     number: int
 
 
 class Listed(NamedTuple):
     """One entry of the list of units; `state` is open, draining or gone; `started` 0 for long ago."""
+
     unit: int
     build: int
     state: str
@@ -61,12 +67,14 @@
 
 class Units(NamedTuple):
     """The list of units: `kind` is changes, whole or old copy."""
+
     kind: str
     entries: list[Listed]
 
 
 class Standing(NamedTuple):
     """Where the newest build stands, and for how long already."""
+
     build: int
     stage: int
     phase: str
@@ -76,17 +84,20 @@
 
 class Counted(NamedTuple):
     """What came of the last vote: ok, moot, full, error or timeout."""
+
     answer: str
 
 
 class Heard(NamedTuple):
     """A note from another relay."""
+
     relay: int
     data: bytes
 
 
 class Flagged(NamedTuple):
     """A client found an answer of this unit wrong."""
+
     unit: int
     workload: int
     age: int
@@ -103,6 +114,7 @@
 
 class Note(NamedTuple):
     """To the relay of that number, or to all of them (-1)."""
+
     relay: int
     data: bytes
 
@@ -114,6 +126,7 @@
 
 class Wants(NamedTuple):
     """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was asked)."""
+
     votes: list[Vote]
     notes: list[Note]
     calls_off: list[CallOff]
@@ -126,28 +139,38 @@
     it handles a call is kept and returned.  An exception of the module is logged and costs at most the
     invocation at hand its answer."""
 
-    def __init__(self, facts: dict[str, Any], seed: int, clock: Callable[[], int],
-                 seats: Iterable[Callable[[Relay], Any]] = ()) -> None:
+    def __init__(
+        self, facts: dict[str, Any], seed: int, clock: Callable[[], int], seats: Iterable[Callable[[Relay], Any]] = ()
+    ) -> None:
         self.clock = clock
         self.step: Step = None
-        self.at = 0                              # the invocation that the call at hand is about
+        self.at = 0  # the invocation that the call at hand is about
         self.wants = Wants([], [], [], [], [])
-        self.wakes: list[tuple[int, int, int]] = []              # when, in what order, token
+        self.wakes: list[tuple[int, int, int]] = []  # when, in what order, token
         self.count = self.waking = self.faults = 0
         self.workloads = {each["name"]: place for place, each in enumerate(facts.get("workloads", []))}
         self.customers = {each["name"]: place for place, each in enumerate(facts.get("customers", []))}
         self.relay = Relay(self, facts, seed, clock())
-        for seat in seats:                       # stages of other choices (tealsail/choices/)
+        for seat in seats:  # stages of other choices (tealsail/choices/)
             self.relay.seat(seat(self.relay))
 
-    def pick(self, workload: str, customer: str, key: str | None, give_up: int, work: int = 0,
-             repeat: bool = False) -> tuple[int, Step]:
+    def pick(
+        self, workload: str, customer: str, key: str | None, give_up: int, work: int = 0, repeat: bool = False
+    ) -> tuple[int, Step]:
         """Take an invocation: its number from now on, and what to do with it (None: a step comes out of `tick`)."""
         self.count += 1
         self.at = self.count
         return self.count, self.guarded(
-            Forfeit(), self.relay.on_invocation, self.count, self.workloads[workload],
-            self.place(customer), key, give_up, work, repeat)
+            Forfeit(),
+            self.relay.on_invocation,
+            self.count,
+            self.workloads[workload],
+            self.place(customer),
+            key,
+            give_up,
+            work,
+            repeat,
+        )
 
     def place(self, customer: str) -> int:
         """Of a customer; one that nobody listed has the place for those, not another's."""
@@ -161,8 +184,9 @@
                 shots = relay.known[number].shots if number in relay.known else []
                 latency = self.clock() - shots[place].sent if place < len(shots) else 0
                 self.at = number
-                return self.guarded(Forfeit(), relay.on_outcome, number, place, outcome,
-                                    outcome == "served", latency, load)
+                return self.guarded(
+                    Forfeit(), relay.on_outcome, number, place, outcome, outcome == "served", latency, load
+                )
             case Departed(number):
                 return self.guarded(None, relay.on_abandoned, number)
             case Units(kind, entries):
@@ -200,12 +224,16 @@
         self.step, self.relay.now = None, self.clock()
         try:
             call(*what)
-        except Exception as problem:             # the module's fault must not end the process
+        except Exception as problem:  # the module's fault must not end the process
             self.faults += 1
             self.step = failed
-            self.log(f"fault {type(problem).__name__}: {problem}: "
-                     + " < ".join(f"{frame.name}:{frame.lineno}" for frame in
-                                  reversed(traceback.extract_tb(problem.__traceback__)[-4:])))
+            self.log(
+                f"fault {type(problem).__name__}: {problem}: "
+                + " < ".join(
+                    f"{frame.name}:{frame.lineno}"
+                    for frame in reversed(traceback.extract_tb(problem.__traceback__)[-4:])
+                )
+            )
         step, self.step, self.at = self.step, None, 0
         return step
 
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -4,6 +4,7 @@
 happens and carries out the calls below.  Times are whole tenths of a millisecond of one clock that
 only goes forward; ids are whatever the host uses at its door.
 """
+
 from typing import Protocol
 
 
--- a/tealsail/lab/bars.py
+++ b/tealsail/lab/bars.py
@@ -9,22 +9,24 @@
 Wilks, "Determination of sample sizes for setting tolerance limits" (Ann. Math. Stat. 12, 1941) for ordered values; the
 usual formulas for a normal sample of unknown variance; Student's quantile by Hill's expansion (Algorithm 396, 1970).
 """
+
 from math import sqrt
 from statistics import NormalDist
 from typing import NamedTuple
 
 LEVEL = 0.95
-HIGHER = ("service", "within", "released", "lowest")       # better if more; what is not listed here is better if less
+HIGHER = ("service", "within", "released", "lowest")  # better if more; what is not listed here is better if less
 NEUTRAL = ("at_trial", "shots", "released_s", "back_s")
 
 
 class Bar(NamedTuple):
     """Of one figure over `many` days: one more day lies in low to high; the mean is known to within `known`."""
+
     mean: float
     low: float
     high: float
     known: float
-    spread: float                                # standard deviation between days
+    spread: float  # standard deviation between days
     many: int
 
     def holds(self, value: float) -> bool:
@@ -33,11 +35,12 @@
 
 class Difference(NamedTuple):
     """B over A of one figure, day by day."""
+
     mean: float
     low: float
     high: float
     many: int
-    better: str                                  # A, B, or can't tell
+    better: str  # A, B, or can't tell
 
 
 def student(level: float, freedom: int) -> float:
@@ -46,13 +49,17 @@
         raise ValueError("no spread from one value")
     if freedom == 1:
         from math import pi, tan
+
         return tan(pi * level / 2)
     if freedom == 2:
         return level * sqrt(2 / (1 - level * level))
     z, n = NormalDist().inv_cdf((1 + level) / 2), float(freedom)
-    terms = ((z ** 3 + z) / 4, (5 * z ** 5 + 16 * z ** 3 + 3 * z) / 96,
-             (3 * z ** 7 + 19 * z ** 5 + 17 * z ** 3 - 15 * z) / 384,
-             (79 * z ** 9 + 776 * z ** 7 + 1482 * z ** 5 - 1920 * z ** 3 - 945 * z) / 92_160)
+    terms = (
+        (z**3 + z) / 4,
+        (5 * z**5 + 16 * z**3 + 3 * z) / 96,
+        (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / 384,
+        (79 * z**9 + 776 * z**7 + 1482 * z**5 - 1920 * z**3 - 945 * z) / 92_160,
+    )
     return z + sum(term / n ** (place + 1) for place, term in enumerate(terms))
 
 
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -4,6 +4,7 @@
 the bound.  The ideas are published (Mitzenmacher, The Power of Two Choices, 1996, and How Useful Is Old Information, 2000); the code is
 our own.
 """
+
 import heapq
 from array import array
 from collections import Counter
@@ -24,9 +25,9 @@
 from .scenario import Scenario
 from .traffic import clients_of
 
-FEW = 8                                          # units of a subset, and of the look at some
+FEW = 8  # units of a subset, and of the look at some
 SHOWN = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "idle", "idle_chance", "even_99th", "even_least")
-Chooser = Callable[[int], Unit]                  # of a relay's first try
+Chooser = Callable[[int], Unit]  # of a relay's first try
 
 
 class Choosers:
@@ -41,10 +42,13 @@
             "even draws": lambda relay: self.chance.pick(units),
             "round robin": self.robin,
             "two, by own counts": lambda relay: self.least(self.some(2), lambda unit: self.own[relay][unit.name]),
-            "subset of eight, by own counts": lambda relay: self.least(self.subsets[relay], lambda unit: self.own[relay][unit.name]),
+            "subset of eight, by own counts": lambda relay: self.least(
+                self.subsets[relay], lambda unit: self.own[relay][unit.name]
+            ),
             "two, seen exactly": lambda relay: self.least(self.some(2), lambda unit: len(unit.jobs)),
             "eight, seen exactly": lambda relay: self.least(self.some(FEW), lambda unit: len(unit.jobs)),
-            "all, seen exactly": lambda relay: self.least(units, lambda unit: len(unit.jobs))}
+            "all, seen exactly": lambda relay: self.least(units, lambda unit: len(unit.jobs)),
+        }
 
     def some(self, many: int) -> list[Unit]:
         """So many different ones by chance."""
@@ -111,10 +115,16 @@
     return baseline(scenario, seed, name) if name else play(scenario, seed)[0].figures
 
 
-def table(scenario: Scenario, replicas: int, jobs: int, progress: Callable[[int, int], None]) -> dict[str, dict[str, Bar]]:
+def table(
+    scenario: Scenario, replicas: int, jobs: int, progress: Callable[[int, int], None]
+) -> dict[str, dict[str, Bar]]:
     """By chooser and figure, the program last; all on the same days."""
     names = [*Choosers([], 0, 0).named, ""]
-    work = [(name, each, day_seed(each, replica)) for replica, each in enumerate(drawn(scenario, replicas)) for name in names]
+    work = [
+        (name, each, day_seed(each, replica))
+        for replica, each in enumerate(drawn(scenario, replicas))
+        for name in names
+    ]
     found: dict[str, list[Any]] = {name: [] for name in names}
     with ProcessPoolExecutor(jobs or None) as pool:
         waiting = [(name, pool.submit(one, each, seed, name)) for name, each, seed in work]
--- a/tealsail/lab/charts.py
+++ b/tealsail/lab/charts.py
@@ -1,4 +1,5 @@
 """Charts as PNG files: service over time with bars, latency curves, days by zone, what the model costs."""
+
 from collections.abc import Sequence
 from pathlib import Path
 
@@ -51,14 +52,22 @@
         left.plot(seconds, mean, color=colour, label=f"{option.name} (model, {len(rows)} days)")
         if len(rows) > 1:
             reach = student(0.95, len(rows) - 1) * rows.std(axis=0, ddof=1)
-            left.fill_between(seconds, numpy.clip(mean - reach, 0, 1), numpy.clip(mean + reach, 0, 1), color=colour,
-                              alpha=0.15, linewidth=0)
+            left.fill_between(
+                seconds,
+                numpy.clip(mean - reach, 0, 1),
+                numpy.clip(mean + reach, 0, 1),
+                color=colour,
+                alpha=0.15,
+                linewidth=0,
+            )
             lowest = min(lowest, float(numpy.clip(mean - reach, 0, 1).min()))
         lowest = min(lowest, float(mean.min()))
         draw_latency(right, option.results[0], colour, option.name)
         for number, result in enumerate(real[place] if place < len(real) else ()):
             row, seconds = over_time([result])
-            left.plot(seconds, row[0], "--", color=colour, linewidth=1, label=None if number else f"{option.name} (real)")
+            left.plot(
+                seconds, row[0], "--", color=colour, linewidth=1, label=None if number else f"{option.name} (real)"
+            )
             lowest = min(lowest, float(row.min()))
             draw_latency(right, result, colour, "" if number else f"{option.name} (real)", "--")
     left.set_ylim(max(0.0, lowest - 0.05), 1.01)
@@ -82,17 +91,28 @@
 def zones(path: Path | str, shown: dict[str, Sequence[Result]]) -> None:
     """For each option, means over its days: service of each zone's relays, shots by pair of zones, and how close units
     that had just started came to their limit (the worst of each second)."""
-    figure, axes = pyplot.subplots(3, len(shown), figsize=(5.2 * len(shown), 8.4), sharex=True, sharey="row", squeeze=False)
+    figure, axes = pyplot.subplots(
+        3, len(shown), figsize=(5.2 * len(shown), 8.4), sharex=True, sharey="row", squeeze=False
+    )
     for column, (name, days) in enumerate(shown.items()):
         series = sorted({each for day in days for each in day.series})
         places = [each.partition(".")[2] for each in series if each.startswith("service.")]
         for place, zone in enumerate(places):
-            axes[0][column].plot(rows_of(days, f"service.{zone}", 1.0).mean(axis=0), color=COLOURS[place % len(COLOURS)], label=f"zone {zone}")
+            axes[0][column].plot(
+                rows_of(days, f"service.{zone}", 1.0).mean(axis=0),
+                color=COLOURS[place % len(COLOURS)],
+                label=f"zone {zone}",
+            )
         for each in (each for each in series if each.startswith("shots.")):
             own, _, to = each.partition(".")[2].partition(">")
-            axes[1][column].plot(rows_of(days, each).mean(axis=0), "-" if own != to else ":", label=f"{own} to {to}",
-                                 color=COLOURS[places.index(to) % len(COLOURS)] if to in places else None, linewidth=1,
-                                 alpha=0.5 if own == to else 1)
+            axes[1][column].plot(
+                rows_of(days, each).mean(axis=0),
+                "-" if own != to else ":",
+                label=f"{own} to {to}",
+                color=COLOURS[places.index(to) % len(COLOURS)] if to in places else None,
+                linewidth=1,
+                alpha=0.5 if own == to else 1,
+            )
         cold = rows_of(days, "cold")
         axes[2][column].plot(cold.mean(axis=0), color=COLOURS[0], label="mean of days")
         axes[2][column].plot(cold.max(axis=0), ":", color=COLOURS[1], label="worst day")
@@ -111,16 +131,22 @@
 
 def use(path: Path | str, result: Result) -> None:
     """Shots at each unit by second, as a heat map, units in the order in which they first got one."""
-    names = sorted(result.use, key=lambda name: (next((at for at, many in enumerate(result.use[name]) if many), 0), name))
+    names = sorted(
+        result.use, key=lambda name: (next((at for at, many in enumerate(result.use[name]) if many), 0), name)
+    )
     rows = numpy.array([result.use[name] for name in names], dtype=float)
     figure, axis = pyplot.subplots(figsize=(10, min(12.0, 2 + 0.05 * len(names))))
-    picture = axis.imshow(rows, aspect="auto", interpolation="nearest", cmap="viridis",
-                          vmax=float(numpy.quantile(rows, 0.999)) or 1.0)
+    picture = axis.imshow(
+        rows, aspect="auto", interpolation="nearest", cmap="viridis", vmax=float(numpy.quantile(rows, 0.999)) or 1.0
+    )
     axis.set_xlabel("second of the day")
     axis.set_ylabel("unit")
-    axis.set_title(f"{result.name} ({result.source}): shots at each unit by second; waste "
-                   f"{result.figures.get('waste', 0):.2f}, herd {result.figures.get('herd', 0):.1f} "
-                   f"(even draws {result.figures.get('herd_chance', 0):.1f})", fontsize=9)
+    axis.set_title(
+        f"{result.name} ({result.source}): shots at each unit by second; waste "
+        f"{result.figures.get('waste', 0):.2f}, herd {result.figures.get('herd', 0):.1f} "
+        f"(even draws {result.figures.get('herd_chance', 0):.1f})",
+        fontsize=9,
+    )
     figure.colorbar(picture, ax=axis)
     figure.tight_layout()
     figure.savefig(path, dpi=100)
@@ -146,14 +172,20 @@
     """What a judge hears, what it costs, and time to its vote, by fleet size: told each second, and in turns."""
     figure, axes = pyplot.subplots(1, 3, figsize=(14, 4))
     sizes = [row.relays for row in rows]
-    for axis, text, value in ((axes[0], "notes a second at the judge", lambda each: each.taken),
-                              (axes[1], "bytes a second sent by a relay", lambda each: each.sent_bytes),
-                              (axes[2], "seconds to the vote", lambda each: each.vote_s)):
+    for axis, text, value in (
+        (axes[0], "notes a second at the judge", lambda each: each.taken),
+        (axes[1], "bytes a second sent by a relay", lambda each: each.sent_bytes),
+        (axes[2], "seconds to the vote", lambda each: each.vote_s),
+    ):
         axis.plot(sizes, [value(row.before) for row in rows], "o--", color=COLOURS[1], label="each second, good build")
         axis.plot(sizes, [value(row.after) for row in rows], "o-", color=COLOURS[0], label="in turns, good build")
         if axis is axes[2]:
-            axis.plot(sizes, [value(row.back_before) for row in rows], "s--", color=COLOURS[3], label="each second, fails 5%")
-            axis.plot(sizes, [value(row.back_after) for row in rows], "s-", color=COLOURS[2], label="in turns, fails 5%")
+            axis.plot(
+                sizes, [value(row.back_before) for row in rows], "s--", color=COLOURS[3], label="each second, fails 5%"
+            )
+            axis.plot(
+                sizes, [value(row.back_after) for row in rows], "s-", color=COLOURS[2], label="in turns, fails 5%"
+            )
         axis.set_xscale("log")
         axis.set_xlabel("relays")
         axis.set_ylabel(text)
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -1,5 +1,6 @@
 """What the model costs: CPU of one core for each invocation, for more relays and for more units; and what a decision
 costs with the operator's document and without."""
+
 import time
 from collections import deque
 from collections.abc import Callable
@@ -19,12 +20,15 @@
     a second, or each unit as many as it takes to have 2,000 in all."""
     rate = max(1_000.0, 10.0 * relays)
     tree: dict[str, Any] = {
-        "name": f"{relays} relays, {units} units", "seconds": seconds,
+        "name": f"{relays} relays, {units} units",
+        "seconds": seconds,
         "fleet": {"relays": relays, "units": units, "start_ms": [500, 1000]},
         "unit": {"cores": max(2.0, rate * 0.02 * 4 / units), "slots": 256, "room": 64},
-        "clients": {"rate": rate}, "builds": [{"number": 2, "offered_s": 2.0}],
+        "clients": {"rate": rate},
+        "builds": [{"number": 2, "offered_s": 2.0}],
         "platform": {"on_votes": 1},
-        "workload": [{"name": "fetch", "effect": "harmless", "work": {"mean_ms": 20}}]}
+        "workload": [{"name": "fetch", "effect": "harmless", "work": {"mean_ms": 20}}],
+    }
     return convert(tree)
 
 
@@ -55,12 +59,13 @@
 class Decision(NamedTuple):
     """Microseconds of CPU for a pick and what came of it, without the document and with it, and the median ratio of
     rounds played in turns."""
+
     without: float
     with_it: float
     ratio: float
 
 
-ROUNDS, PICKS, BESIDE = 9, 3_000, 20             # of a decision's cost; invocations at hand at once
+ROUNDS, PICKS, BESIDE = 9, 3_000, 20  # of a decision's cost; invocations at hand at once
 DECISION_UNITS = (60, 300, 1500)
 
 
@@ -71,8 +76,9 @@
     facade = Facade(facts, 1, lambda: now, one.operators().seats(facts))
     facade.report(Standing(one.build, 0, "released", 1.0, 1_000_000))
     zones = len(one.fleet.zones)
-    facade.report(Units("whole", [Listed(unit, one.build, "open", unit % zones, 0, 1.0, 0)
-                                  for unit in range(one.fleet.units)]))
+    facade.report(
+        Units("whole", [Listed(unit, one.build, "open", unit % zones, 0, 1.0, 0) for unit in range(one.fleet.units)])
+    )
     waiting: deque[Outcome] = deque()
     before = time.process_time()
     for place in range(picks):
--- a/tealsail/lab/fields.py
+++ b/tealsail/lab/fields.py
@@ -1,4 +1,5 @@
 """The fields of a typed document as rows of a table, made from its types alone."""
+
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
@@ -8,6 +9,7 @@
 
 class Row(NamedTuple):
     """All as text."""
+
     field: str
     kind: str
     bounds: str
@@ -54,8 +56,15 @@
     if isinstance(told, (inspect.VarTupleType, inspect.ListType)):
         least = f"at least {told.min_length}" if told.min_length else ""
         return " ".join(filter(None, (bounds(told.item_type), least)))
-    signs = (("ge", ">="), ("gt", ">"), ("le", "<="), ("lt", "<"), ("min_length", "length >="),
-             ("max_length", "length <="), ("pattern", ""))
+    signs = (
+        ("ge", ">="),
+        ("gt", ">"),
+        ("le", "<="),
+        ("lt", "<"),
+        ("min_length", "length >="),
+        ("max_length", "length <="),
+        ("pattern", ""),
+    )
     found = [(sign, getattr(told, name, None)) for name, sign in signs]
     return " ".join(f"{sign} {value}".strip() for sign, value in found if value is not None)
 
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -1,4 +1,5 @@
 """What a record says of a day: service, answers, latencies and what the roll-out cost, from its lines alone."""
+
 from array import array
 import msgspec
 import numpy
@@ -6,25 +7,26 @@
 from ..record.lines import Any_Line, Came, End, Fault, Head, Line, Log, Ran, Shot, Stage, Take, Unit, Vote
 
 SECOND = 10_000
-FORGET = 12 * SECOND                             # after its abandon time a first try is counted as it stands
+FORGET = 12 * SECOND  # after its abandon time a first try is counted as it stands
 
 
 class Result(msgspec.Struct):
     """One day in figures.  `series` holds a value for each second of the day: asked, service; where there are zones, for
     each its service and asked, and `shots.a>b`, from relays of one zone to units of another; `cold`, how close a unit that
     had just started came to what it may be sent (1)."""
+
     name: str
     seed: int
     source: str
     figures: dict[str, float]
     series: dict[str, list[float]]
-    curve: list[float] = []                      # latency in ms at PARTS of those served
+    curve: list[float] = []  # latency in ms at PARTS of those served
     breaches: dict[str, int] = {}
-    notes: list[str] = []                        # stages, verdicts with their reasons, votes and faults, a line each
-    sent: dict[str, list[int]] = {}              # unit -> build, shots, served, errors, all else
-    late_ms: float = 0.0                         # by how much whoever played it ran late at worst
-    use: dict[str, list[int]] = {}               # unit -> shots that came to it, by second
-    owners: list[str] = []                       # who acted for the fleet, a line for each change
+    notes: list[str] = []  # stages, verdicts with their reasons, votes and faults, a line each
+    sent: dict[str, list[int]] = {}  # unit -> build, shots, served, errors, all else
+    late_ms: float = 0.0  # by how much whoever played it ran late at worst
+    use: dict[str, list[int]] = {}  # unit -> shots that came to it, by second
+    owners: list[str] = []  # who acted for the fleet, a line for each change
 
 
 PARTS = (0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 0.9999, 1.0)
@@ -32,6 +34,7 @@
 
 class First:
     """A client's first try and what came of it and its repeats."""
+
     __slots__ = ("take", "touched", "answer")
 
     def __init__(self, take: Take) -> None:
@@ -40,6 +43,7 @@
 
 class Group:
     """Sums over first tries: of the whole day, of a workload, a customer or a zone."""
+
     __slots__ = ("asked", "honoured", "many", "within", "answers")
 
     def __init__(self) -> None:
@@ -81,9 +85,11 @@
     if words[:1] != ["verdict"] or not each:
         return text
     verdict = {"1": "on", "2": "hold", "3": "back"}.get(words[1], words[1])
-    canary, baseline = " ".join(rows[:each]), " ".join(rows[each:2 * each])
-    return (f"verdict {verdict} on build {words[4]}: canary {canary}, baseline {baseline} "
-            "(served-failed@median of the promise)")
+    canary, baseline = " ".join(rows[:each]), " ".join(rows[each : 2 * each])
+    return (
+        f"verdict {verdict} on build {words[4]}: canary {canary}, baseline {baseline} "
+        "(served-failed@median of the promise)"
+    )
 
 
 class Figures:
@@ -91,13 +97,13 @@
 
     def __init__(self) -> None:
         self.head: Head | None = None
-        self.open: dict[int, First] = {}         # by the number of the first try
-        self.tries: dict[tuple[int, int], int] = {}              # relay and number -> first
+        self.open: dict[int, First] = {}  # by the number of the first try
+        self.tries: dict[tuple[int, int], int] = {}  # relay and number -> first
         self.whole = Group()
         self.groups: dict[tuple[str, int | str], Group] = {}
         self.latencies: dict[tuple[str, int | str], array] = {}  # by workload, customer and zone, of those served
-        self.served = array("q")                 # and of all
-        self.asked, self.kept = array("d"), array("d")           # payoff by second
+        self.served = array("q")  # and of all
+        self.asked, self.kept = array("d"), array("d")  # payoff by second
         self.shots = self.at_trial = self.wasted = 0
         self.harmed = 0.0
         self.on_trial = -1
@@ -105,8 +111,8 @@
         self.released: dict[int, int] = {}
         self.back: dict[int, int] = {}
         self.notes: list[str] = []
-        self.sent: dict[str, list[int]] = {}     # as in a result
-        self.at_unit: dict[tuple[int, int, int], list[int]] = {} # shots that are out
+        self.sent: dict[str, list[int]] = {}  # as in a result
+        self.at_unit: dict[tuple[int, int, int], list[int]] = {}  # shots that are out
         self.last = self.late = self.swept = 0
 
     def __call__(self, line: Line) -> None:
@@ -139,8 +145,8 @@
         self.customers = [each.get("name", "") for each in head.facts.get("customers", [])]
         zones = head.day.get("fleet", {}).get("zones", [])
         self.zones = list(zones) if len(zones) > 1 else []
-        self.by_zone = {zone: (array("d"), array("d")) for zone in self.zones}   # payoff asked and kept by second
-        self.pairs: dict[tuple[str, str], array] = {}            # shots by second, from a zone to a zone
+        self.by_zone = {zone: (array("d"), array("d")) for zone in self.zones}  # payoff asked and kept by second
+        self.pairs: dict[tuple[str, str], array] = {}  # shots by second, from a zone to a zone
         self.zone_of: dict[str, str] = {}
 
     def take(self, line: Take) -> None:
@@ -232,8 +238,9 @@
                 case Stage(at, build, stage, phase, cap):
                     self.notes.append(f"{at / SECOND:7.2f}s build {build} stage {stage} {phase}, cap {cap:.0%}")
                 case Vote(at, relay, build, stage, verdict, _):
-                    self.notes.append(f"{at / SECOND:7.2f}s relay {relay} votes {verdict} on build {build} "
-                                      f"stage {stage}")
+                    self.notes.append(
+                        f"{at / SECOND:7.2f}s relay {relay} votes {verdict} on build {build} stage {stage}"
+                    )
                 case Log(at, relay, text):
                     self.notes.append(f"{at / SECOND:7.2f}s relay {relay}: {reason(text)}")
                 case Fault(at, text):
@@ -269,12 +276,12 @@
                     figures[f"{answer}.{kind}.{name}"] = group.answers.get(answer, 0) / many
                 figures |= quantiles(f".{kind}.{name}", self.latencies[kind, place])
         served = numpy.frombuffer(self.served, dtype=numpy.int64) if self.served else numpy.zeros(0, numpy.int64)
-        series = {"asked": [round(each, 6) for each in self.asked],
-                  "service": shares(self.asked, self.kept)}
+        series = {"asked": [round(each, 6) for each in self.asked], "service": shares(self.asked, self.kept)}
         for zone, (asked, kept) in self.by_zone.items():
             series |= {f"asked.{zone}": [round(each, 6) for each in asked], f"service.{zone}": shares(asked, kept)}
         for (own, to), counts in sorted(self.pairs.items()):
             series[f"shots.{own}>{to}"] = list(counts)
         curve = [float(each) / 10 for each in numpy.quantile(served, PARTS)] if len(served) else []
-        return Result(head.name, head.seed, head.source, figures, series, curve, breaches or {}, self.notes, self.sent,
-                      late / 10)
+        return Result(
+            head.name, head.seed, head.source, figures, series, curve, breaches or {}, self.notes, self.sent, late / 10
+        )
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -9,6 +9,7 @@
 Cold units are left out.  A build's pace is the ratio of its mean to that of the build before, workload by workload.
 The overhead is what the relay and the sockets add: from a client's intended send to the unit, and from the unit to it.
 """
+
 from collections import deque
 from math import exp, log, sqrt
 from pathlib import Path
@@ -22,14 +23,15 @@
 from ..world.draws import POINTS
 from .scenario import BadScenario, Scenario, convert, over
 
-FEW, ENOUGH = 200, 400                           # shots: fewer are said to be few; from so many quantiles count
-MOST = 200_000                                   # values kept of one workload and build
-QUANTILES = 129                                  # of a fitted table
+FEW, ENOUGH = 200, 400  # shots: fewer are said to be few; from so many quantiles count
+MOST = 200_000  # values kept of one workload and build
+QUANTILES = 129  # of a fitted table
 OVERHEADS = 20_000
 
 
 class WorkloadFit(msgspec.Struct):
     """Milliseconds; `draws` holds a quantile table for each bootstrap draw."""
+
     name: str
     shots: int
     mean_ms: float
@@ -42,6 +44,7 @@
 
 class BuildFit(msgspec.Struct):
     """Against the first build of the record."""
+
     build: int
     shots: int
     pace: float
@@ -55,6 +58,7 @@
 class Fit(msgspec.Struct):
     """`there_ms` and `back_ms`: what the relay and the sockets add, on the way to a unit and back (0: not known);
     `overheads` the same by draw."""
+
     source: str
     version: int
     workloads: list[WorkloadFit]
@@ -69,16 +73,16 @@
 
     def __init__(self) -> None:
         self.head: Head | None = None
-        self.times: dict[tuple[int, int], list[int]] = {}        # workload and build -> tenths of a ms
+        self.times: dict[tuple[int, int], list[int]] = {}  # workload and build -> tenths of a ms
         self.answers: dict[int, list[int]] = {}  # build -> answers, errors
-        self.workload: dict[tuple[int, int], tuple[int, int]] = {}       # relay, number -> workload, taken at
-        self.out: dict[tuple[int, int, int], tuple[str, int, int, bool]] = {}    # shot -> unit, build, sent, alone
+        self.workload: dict[tuple[int, int], tuple[int, int]] = {}  # relay, number -> workload, taken at
+        self.out: dict[tuple[int, int, int], tuple[str, int, int, bool]] = {}  # shot -> unit, build, sent, alone
         self.at_unit: dict[str, int] = {}
-        self.own_time: dict[str, list[float]] = {}               # unit -> its own time, and up to when that has gone on
-        self.begun_own: dict[tuple[int, int, int], float] = {}   # shot -> its unit's own time at its start
+        self.own_time: dict[str, list[float]] = {}  # unit -> its own time, and up to when that has gone on
+        self.begun_own: dict[tuple[int, int, int], float] = {}  # shot -> its unit's own time at its start
         self.warm_from: dict[str, int] = {}
         self.builds: dict[str, int] = {}
-        self.own = False                         # the record has the units' own lines
+        self.own = False  # the record has the units' own lines
         self.warm_up, self.cores, self.slots = 0, 1.0, 1
         self.there: deque[int] = deque(maxlen=OVERHEADS)
         self.back: deque[int] = deque(maxlen=OVERHEADS)
@@ -101,7 +105,7 @@
             case Shot(at, relay, number, place, unit, build) if not self.own:
                 self.began((relay, number, place), at, unit, build)
             case Ran(at, relay, number, place, unit):
-                if not self.own:                 # what relays sent before does not count in the units' own lines
+                if not self.own:  # what relays sent before does not count in the units' own lines
                     self.own, self.out, self.at_unit = True, {}, {}
                 self.began((relay, number, place), at, unit, self.builds.get(unit, 0))
                 taken = self.workload.get((relay, number))
@@ -161,6 +165,7 @@
     logs = numpy.log(values)
     centre, spread = float(logs.mean()), float(logs.std())
     from statistics import NormalDist
+
     normal = NormalDist(centre, max(spread, 1e-6))
     edge = 0.25 / POINTS
     return [round(exp(normal.inv_cdf(min(max(float(part), edge), 1 - edge))) / 10, 4) for part in parts]
@@ -196,7 +201,7 @@
         if [each.get("name", str(place)) for place, each in enumerate(seen.head.facts.get("workloads", []))] != names:
             raise ValueError(f"{path}: other workloads than in {paths[0]}")
     base = min(build for seen in days for _, build in seen.times)
-    chosen = [days[place] for place in chance.integers(0, len(days), draws)]     # of each draw its day
+    chosen = [days[place] for place in chance.integers(0, len(days), draws)]  # of each draw its day
     workloads = []
     for place, name in enumerate(names):
         by_day = values_of(days, place, base)
@@ -205,19 +210,37 @@
         values = numpy.concatenate(by_day)
         likely = len(values) < ENOUGH
         again = [resampled(values_of([seen], place, base) or by_day, chance) for seen in chosen]
-        note = f"few shots: wide; a lognormal by maximum likelihood" if likely and len(values) < FEW else \
-            "a lognormal by maximum likelihood" if likely else "as seen"
-        workloads.append(WorkloadFit(
-            name, len(values), round(float(values.mean()) / 10, 4),
-            interval([float(each.mean()) / 10 for each in again]), float(values.std() / values.mean()), note,
-            quantiles(values, likely), [quantiles(each, likely) for each in again]))
+        note = (
+            f"few shots: wide; a lognormal by maximum likelihood"
+            if likely and len(values) < FEW
+            else "a lognormal by maximum likelihood"
+            if likely
+            else "as seen"
+        )
+        workloads.append(
+            WorkloadFit(
+                name,
+                len(values),
+                round(float(values.mean()) / 10, 4),
+                interval([float(each.mean()) / 10 for each in again]),
+                float(values.std() / values.mean()),
+                note,
+                quantiles(values, likely),
+                [quantiles(each, likely) for each in again],
+            )
+        )
     numbers = sorted({build for seen in days for build in seen.answers} - {base})
     builds = [build_fit(days, chosen, build, base, chance) for build in numbers]
     source = ", ".join(Path(path).name for path in paths)
-    return Fit(source, 2, workloads, [each for each in builds if each],
-               float(numpy.median([each for seen in days for each in seen.there] or [0])) / 10,
-               float(numpy.median([each for seen in days for each in seen.back] or [0])) / 10,
-               [overhead(seen) for seen in chosen] if all(seen.there and seen.back for seen in days) else [])
+    return Fit(
+        source,
+        2,
+        workloads,
+        [each for each in builds if each],
+        float(numpy.median([each for seen in days for each in seen.there] or [0])) / 10,
+        float(numpy.median([each for seen in days for each in seen.back] or [0])) / 10,
+        [overhead(seen) for seen in chosen] if all(seen.there and seen.back for seen in days) else [],
+    )
 
 
 def overhead(seen: Seen) -> tuple[float, float]:
@@ -230,8 +253,9 @@
     return values[chance.integers(0, len(values), len(values))]
 
 
-def build_fit(days: list[Seen], chosen: list[Seen], build: int, base: int,
-              chance: numpy.random.Generator) -> BuildFit | None:
+def build_fit(
+    days: list[Seen], chosen: list[Seen], build: int, base: int, chance: numpy.random.Generator
+) -> BuildFit | None:
     """Pace over the workloads that both builds served on one day, weighted by the root of the shots there are."""
     whole = paired(days, build, base)
     if not whole:
@@ -256,15 +280,26 @@
     for seen in chosen:
         of_day, bad_of_day = answers([seen]) if answers([seen])[0] else (many, bad)
         shares.append(round(float(chance.beta(bad_of_day + 0.5, of_day - bad_of_day + 0.5)), 6))
-    return BuildFit(build, sum(len(new) for new, _ in whole), round(pace(whole, False), 4), interval(paces), paces,
-                    round(bad / many, 6), interval(shares), shares)
+    return BuildFit(
+        build,
+        sum(len(new) for new, _ in whole),
+        round(pace(whole, False), 4),
+        interval(paces),
+        paces,
+        round(bad / many, 6),
+        interval(shares),
+        shares,
+    )
 
 
 def paired(days: list[Seen], build: int, base: int) -> list[tuple[numpy.ndarray, numpy.ndarray]]:
     """What a build and the base took of each workload that both served on one day."""
-    return [(numpy.array(values, dtype=float), numpy.array(seen.times[place, base], dtype=float))
-            for seen in days for (place, each), values in seen.times.items()
-            if each == build and seen.times.get((place, base))]
+    return [
+        (numpy.array(values, dtype=float), numpy.array(seen.times[place, base], dtype=float))
+        for seen in days
+        for (place, each), values in seen.times.items()
+        if each == build and seen.times.get((place, base))
+    ]
 
 
 def drawn(scenario: Scenario, many: int) -> list[Scenario]:
@@ -302,6 +337,8 @@
     if fitted.there_ms:
         overheads = fitted.overheads or [(fitted.there_ms, fitted.back_ms)]
         there, back = overheads[draw % len(overheads)]
-        clients = {"clients": {"there_ms": there, "back_ms": back},
-                   "network": {"near_ms": 0.0, "far_ms": 0.0, "handshake_ms": 0.0}}
+        clients = {
+            "clients": {"there_ms": there, "back_ms": back},
+            "network": {"near_ms": 0.0, "far_ms": 0.0, "handshake_ms": 0.0},
+        }
     return convert(over(tree, clients) | {"fit": ""}, scenario.name)
--- a/tealsail/lab/hunt.py
+++ b/tealsail/lab/hunt.py
@@ -4,6 +4,7 @@
 A schedule is text in the script's language, so what is found is played by `model run` and by `trial` alike.  Hypothesis is
 not used for the shrinking: a day takes seconds, and lines are dropped one after another just as well.
 """
+
 import os
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
@@ -13,27 +14,35 @@
 from .runs import play
 from .scenario import Scenario, convert
 
-LIMITS = {"waste": 0.5, "herd": 3.0, "idle": 6.0}        # waste as it is; herd and idle over what even draws give
+LIMITS = {"waste": 0.5, "herd": 3.0, "idle": 6.0}  # waste as it is; herd and idle over what even draws give
 OVER_CHANCE = ("herd", "idle")
-FEWEST, MOST = 2, 6                              # lines of a schedule
-LAST = 0.75                                      # of the day: nothing begins later
-TRIES = 60                                       # days that one shrinking may take
+FEWEST, MOST = 2, 6  # lines of a schedule
+LAST = 0.75  # of the day: nothing begins later
+TRIES = 60  # days that one shrinking may take
 
 
 class Find(NamedTuple):
     """A day that fails: by what (a rule's name, or a figure's), and its shortest script."""
+
     seed: int
     why: dict[str, float]
     script: str
-    before: int                                  # lines that it had at first
+    before: int  # lines that it had at first
 
 
 def relays(chance: Chance, day: Scenario) -> str:
     """Some of them, in the script's words."""
     zones = day.fleet.zones
     scope = f" of zone {pick(chance, zones)}" if len(zones) > 1 and chance.share() < 0.4 else ""
-    return pick(chance, [lambda: "the keeper", lambda: "the judges", lambda: f"{percent(chance, 10, 70)} of relays{scope}",
-                         lambda: f"{1 + int(chance.share() * min(5, day.fleet.relays - 1))} relays{scope}"])()
+    return pick(
+        chance,
+        [
+            lambda: "the keeper",
+            lambda: "the judges",
+            lambda: f"{percent(chance, 10, 70)} of relays{scope}",
+            lambda: f"{1 + int(chance.share() * min(5, day.fleet.relays - 1))} relays{scope}",
+        ],
+    )()
 
 
 def pick(chance: Chance, items: Sequence[Any]) -> Any:
@@ -51,17 +60,26 @@
     during, some = f"from {at}s for {span}s", relays(chance, day)
     units = f"{percent(chance, 5, 40)} of units"
     kinds: list[Callable[[], str]] = [
-        lambda: f"at {at}s pause {some} for {span}s", lambda: f"{during} hold {some} to {percent(chance, 5, 60)}",
-        lambda: f"at {at}s kill {some} for {span}s", lambda: f"at {at}s restart {some}",
+        lambda: f"at {at}s pause {some} for {span}s",
+        lambda: f"{during} hold {some} to {percent(chance, 5, 60)}",
+        lambda: f"at {at}s kill {some} for {span}s",
+        lambda: f"at {at}s restart {some}",
         lambda: f"{during} cut {some} from the others" + (" one way" if chance.share() < 0.5 else ""),
-        lambda: f"{during} cut {some} from the list", lambda: f"{during} cut {some} from the platform",
-        lambda: f"{during} cut neighbours", lambda: f"{during} notes lost {percent(chance, 10, 100)}",
-        lambda: f"{during} notes late {int(10 + 500 * chance.share())}ms", lambda: f"{during} notes doubled 50%",
+        lambda: f"{during} cut {some} from the list",
+        lambda: f"{during} cut {some} from the platform",
+        lambda: f"{during} cut neighbours",
+        lambda: f"{during} notes lost {percent(chance, 10, 100)}",
+        lambda: f"{during} notes late {int(10 + 500 * chance.share())}ms",
+        lambda: f"{during} notes doubled 50%",
         lambda: f"{during} notes reordered {int(10 + 500 * chance.share())}ms",
         lambda: f"{during} notes replayed after {round(0.5 + 5 * chance.share(), 1)}s 30%",
-        lambda: f"{during} list stale at {some}", lambda: f"at {at}s run clocks of {some} x {pick(chance, (1.1, 1.2))} for {span}s",
-        lambda: f"at {at}s kill {units} for {span}s", lambda: f"{during} slow {units} x {pick(chance, (2, 4))}",
-        lambda: f"at {at}s hang {units} for {span}s", lambda: f"at {at}s fail 30% of answers of {units} for {span}s"]
+        lambda: f"{during} list stale at {some}",
+        lambda: f"at {at}s run clocks of {some} x {pick(chance, (1.1, 1.2))} for {span}s",
+        lambda: f"at {at}s kill {units} for {span}s",
+        lambda: f"{during} slow {units} x {pick(chance, (2, 4))}",
+        lambda: f"at {at}s hang {units} for {span}s",
+        lambda: f"at {at}s fail 30% of answers of {units} for {span}s",
+    ]
     return pick(chance, kinds)()
 
 
@@ -90,7 +108,7 @@
     while lines and tries > 0:
         shorter = False
         for first in range(0, len(lines), part):
-            left = lines[:first] + lines[first + part:]
+            left = lines[:first] + lines[first + part :]
             tries -= 1
             if tries >= 0 and fails(left):
                 lines, shorter = left, True
@@ -107,13 +125,19 @@
     why = failing(day, seed, lines, limits)
     if not why:
         return None
-    worst = next(iter(why))                      # a broken rule before a figure
+    worst = next(iter(why))  # a broken rule before a figure
     short = shrink(lines, lambda left: worst in failing(day, seed, left, limits))
     return Find(seed, failing(day, seed, short, limits), "\n".join(short), len(lines))
 
 
-def hunt(day: Scenario, days: int, first: int, limits: dict[str, float], jobs: int = 0,
-         progress: Callable[[int, int], None] | None = None) -> list[Find]:
+def hunt(
+    day: Scenario,
+    days: int,
+    first: int,
+    limits: dict[str, float],
+    jobs: int = 0,
+    progress: Callable[[int, int], None] | None = None,
+) -> list[Find]:
     """Days of that many seeds from `first` on; those that fail, shrunk."""
     found = []
     with ProcessPoolExecutor(jobs or os.cpu_count() or 1) as pool:
--- a/tealsail/lab/imports.py
+++ b/tealsail/lab/imports.py
@@ -1,4 +1,5 @@
 """Records made from other traces: CSV for now."""
+
 import csv
 from pathlib import Path
 from typing import Iterator, NamedTuple
@@ -7,13 +8,14 @@
 from ..record.lines import VERSION, Head, Take
 
 COLUMNS = ("at_ms", "workload", "customer", "key")
-MOST_NAMES = 10_000                              # different workloads or customers
-LONGEST = 400                                    # characters of a name or key
+MOST_NAMES = 10_000  # different workloads or customers
+LONGEST = 400  # characters of a name or key
 SECOND = 10_000
 
 
 class Imported(NamedTuple):
     """Times are tenths of a ms."""
+
     lines: int
     span: int
     skipped: int
@@ -23,7 +25,7 @@
 
 
 class Row(NamedTuple):
-    at: float                                    # milliseconds
+    at: float  # milliseconds
     workload: str
     customer: str
     key: str
@@ -58,6 +60,7 @@
 
 class Problems(list):
     """Keeps the count of all and the text of the first."""
+
     count = 0
 
     def append(self, text: str) -> None:
@@ -80,9 +83,19 @@
             raise ValueError(f"{source}: more than {MOST_NAMES} workloads or customers")
     problems, count, steps_back, gap, at, last = Problems(), 0, 0, 0, 0, None
     writer = Writer(target)
-    writer(Head(0, VERSION, "import", Path(source).name, 0, {
-        "workloads": [{"name": name, "promised": SECOND, "abandon": 3 * SECOND} for name in workloads],
-        "customers": [{"name": name, "share": 1.0} for name in customers]}))
+    writer(
+        Head(
+            0,
+            VERSION,
+            "import",
+            Path(source).name,
+            0,
+            {
+                "workloads": [{"name": name, "promised": SECOND, "abandon": 3 * SECOND} for name in workloads],
+                "customers": [{"name": name, "share": 1.0} for name in customers],
+            },
+        )
+    )
     for row in rows(source, problems):
         if last is None:
             last = row.at if start is None else start
@@ -90,7 +103,8 @@
         steps_back += passed < 0
         gap, at, last = max(gap, passed), at + max(0, passed), row.at
         count += 1
-        writer(Take(at, 0, count, at, workloads[row.workload], customers[row.customer], row.key, at + 3 * SECOND,
-                    count))
+        writer(
+            Take(at, 0, count, at, workloads[row.workload], customers[row.customer], row.key, at + 3 * SECOND, count)
+        )
     writer.close()
     return Imported(count, at, problems.count, problems[0] if problems else "", steps_back, gap)
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -3,6 +3,7 @@
 The judge is the facade that real relays use; of the others only what they tell is played: outcomes drawn for each, told in
 the form, at the times and to the number of receivers that the module has them tell.
 """
+
 import time
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,20 +18,21 @@
 from .costs import scenario
 
 FLEETS = (50, 500, 1_000, 2_500, 10_000)
-BEAT, TENTHS = 5_000, 10_000                     # tenths of a ms
+BEAT, TENTHS = 5_000, 10_000  # tenths of a ms
 UNITS, ON_TRIAL_UNITS = 60, 12
 SECONDS = 24
-SERVED, FAILED, BUCKET = 0, 1, 4                 # of a row; the bucket of the usual latency
+SERVED, FAILED, BUCKET = 0, 1, 4  # of a row; the bucket of the usual latency
 START = 1_000 * TENTHS
 
 
 class Heard_Fleet(NamedTuple):
     """Of one fleet.  `vote_s`: from the first outcome to the judge's first vote, -1 for none."""
+
     relays: int
-    notes: float                                 # that come to the judge a second
-    taken: float                                 # that it takes
-    sent_bytes: float                            # by one relay a second, to all receivers
-    cpu: float                                   # part of a core that hearing costs the judge
+    notes: float  # that come to the judge a second
+    taken: float  # that it takes
+    sent_bytes: float  # by one relay a second, to all receivers
+    cpu: float  # part of a core that hearing costs the judge
     vote: str
     vote_s: float
 
@@ -73,10 +75,24 @@
     return max(range(relays), key=lambda at: mix(2, at))
 
 
-def heard(relays: int, rate: float, errors: float, seed: int = 1, thinned: bool = True, mad: int = 0, lies: int = 200,
-          guarded: bool = True, seconds: int = SECONDS, matched: bool = True,
-          together: bool = False, lasting: bool = False, turns: tuple[float, float] = (1e9, 0.0),
-          restart: float = 1e9, lost: tuple[float, float] = (1e9, 1e9), earlier: float = 0.0) -> Heard_Fleet:
+def heard(
+    relays: int,
+    rate: float,
+    errors: float,
+    seed: int = 1,
+    thinned: bool = True,
+    mad: int = 0,
+    lies: int = 200,
+    guarded: bool = True,
+    seconds: int = SECONDS,
+    matched: bool = True,
+    together: bool = False,
+    lasting: bool = False,
+    turns: tuple[float, float] = (1e9, 0.0),
+    restart: float = 1e9,
+    lost: tuple[float, float] = (1e9, 1e9),
+    earlier: float = 0.0,
+) -> Heard_Fleet:
     """`rate`: outcomes a second of canary and of baseline at each relay; `mad` relays tell `lies` notes a second that the
     canary fails, each of another start.  `together`: all relays started in the same half second, so they tell in the same.
     `lasting`: the build has been released, its units all fail a little as the judge itself sees them, and the day ends with a
@@ -90,8 +106,15 @@
         """As a relay starts: from the list and where the build stands."""
         facade = Facade(facts, seed, lambda: now)
         facade.report(Standing(2, 0, "released" if lasting else "on trial", 1.0 if lasting else 0.2, now - START))
-        facade.report(Units("whole", [Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * TENTHS)
-                                      for unit in range(UNITS)]))
+        facade.report(
+            Units(
+                "whole",
+                [
+                    Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * TENTHS)
+                    for unit in range(UNITS)
+                ],
+            )
+        )
         return facade
 
     facade, anew = started(), False
@@ -106,13 +129,26 @@
         if now - START > turns[0] * TENTHS:
             fleet.errors = turns[1]
         fleet.work(BEAT / TENTHS)
-        mail = [(relay, data) for relay in senders[mad:]
-                for data in fleet.notes(relay, beat + (0 if together else mix(relay, 5) % 2), thin,
-                                        matched and relay >= earlier * relays, relay >= earlier * relays)]
+        mail = [
+            (relay, data)
+            for relay in senders[mad:]
+            for data in fleet.notes(
+                relay,
+                beat + (0 if together else mix(relay, 5) % 2),
+                thin,
+                matched and relay >= earlier * relays,
+                relay >= earlier * relays,
+            )
+        ]
         sent += sum(len(data) for _, data in mail)
         for relay in liars:
-            mail += [(relay, data) for lie in range(lies // 2) for data in count_notes(
-                2, mix(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1])]
+            mail += [
+                (relay, data)
+                for lie in range(lies // 2)
+                for data in count_notes(
+                    2, mix(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
+                )
+            ]
         if not anew and now - START >= restart * TENTHS:
             facade, anew = started(), True
         if lost[0] * TENTHS <= now - START < lost[1] * TENTHS:
@@ -133,43 +169,81 @@
             vote, vote_s = votes[0].verdict, (now - START) / TENTHS
             break
     lasted = (beat + 1) / 2
-    return Heard_Fleet(relays, come / lasted, taken / lasted, sent * (JUDGES + 1) / lasted / relays, spent / lasted, vote, vote_s)
+    return Heard_Fleet(
+        relays, come / lasted, taken / lasted, sent * (JUDGES + 1) / lasted / relays, spent / lasted, vote, vote_s
+    )
 
 
 class Row(NamedTuple):
     """One fleet: before (all relays told each second, and failures of the canary each half), and now."""
+
     relays: int
     before: Heard_Fleet
     after: Heard_Fleet
-    back_before: Heard_Fleet                     # the same with a build that fails 5%
+    back_before: Heard_Fleet  # the same with a build that fails 5%
     back_after: Heard_Fleet
 
 
-def table(fleets: tuple[int, ...] = FLEETS, rate: float = 2.0, progress: Callable[[int, int], None] | None = None) -> list[Row]:
+def table(
+    fleets: tuple[int, ...] = FLEETS, rate: float = 2.0, progress: Callable[[int, int], None] | None = None
+) -> list[Row]:
     """A good build and one that fails 5%, by fleet size; the relays started together."""
     rows = []
     for place, relays in enumerate(fleets):
-        rows.append(Row(relays, *(heard(relays, rate, errors, thinned=now, matched=now, together=True)
-                                  for errors in (0.003, 0.05) for now in (False, True))))
+        rows.append(
+            Row(
+                relays,
+                *(
+                    heard(relays, rate, errors, thinned=now, matched=now, together=True)
+                    for errors in (0.003, 0.05)
+                    for now in (False, True)
+                ),
+            )
+        )
         if progress:
             progress(place + 1, len(fleets))
     return rows
 
 
-def lies(mads: tuple[int, ...] = (0, 1, 5), relays: int = 50, rate: float = 20.0) -> list[tuple[int, Heard_Fleet, Heard_Fleet]]:
+def lies(
+    mads: tuple[int, ...] = (0, 1, 5), relays: int = 50, rate: float = 20.0
+) -> list[tuple[int, Heard_Fleet, Heard_Fleet]]:
     """A good build, with mad relays among the fleet: without the limit on notes, and with it."""
-    return [(mad, heard(relays, rate, 0.003, mad=mad, guarded=False), heard(relays, rate, 0.003, mad=mad)) for mad in mads]
+    return [
+        (mad, heard(relays, rate, 0.003, mad=mad, guarded=False), heard(relays, rate, 0.003, mad=mad)) for mad in mads
+    ]
 
 
 class Mixed(NamedTuple):
     """While a fleet is rolled: how many of so many days end with the build sent back."""
-    earlier: float                               # that part of the relays is of before
+
+    earlier: float  # that part of the relays is of before
     good: int
-    bad: int                                     # fails 5%, after eight seconds without messages
+    bad: int  # fails 5%, after eight seconds without messages
 
 
 def mixed(parts: tuple[float, ...] = (0.0, 0.1, 0.25, 0.5, 1.0), seeds: int = 5, relays: int = 400) -> list[Mixed]:
     """A good build of relays that started together, and a bad one whose evidence was lost at first."""
-    return [Mixed(part, *(sum(heard(relays, rate, errors, seed, seconds=12, together=not lost, earlier=part,
-                                    lost=(0.0, 8.0) if lost else (1e9, 1e9)).vote == "back" for seed in range(seeds))
-                          for rate, errors, lost in ((20.0, 0.003, False), (4.0, 0.05, True)))) for part in parts]
+    return [
+        Mixed(
+            part,
+            *(
+                sum(
+                    heard(
+                        relays,
+                        rate,
+                        errors,
+                        seed,
+                        seconds=12,
+                        together=not lost,
+                        earlier=part,
+                        lost=(0.0, 8.0) if lost else (1e9, 1e9),
+                    ).vote
+                    == "back"
+                    for seed in range(seeds)
+                )
+                for rate, errors, lost in ((20.0, 0.003, False), (4.0, 0.05, True))
+            ),
+        )
+        for part in parts
+    ]
--- a/tealsail/lab/loopback/addresses.py
+++ b/tealsail/lab/loopback/addresses.py
@@ -5,16 +5,17 @@
 comes to an address outside 127.0.0.0/8 is closed.  A unit that is dead has no listener, so a connection is refused.
 Relays themselves listen at one address each.
 """
+
 import random
 import socket
 from typing import NamedTuple
 
-FIRST, LAST, BLOCK = 10_000, 29_999, 2_000       # ports tried: below those that the system hands out; of one trial
+FIRST, LAST, BLOCK = 10_000, 29_999, 2_000  # ports tried: below those that the system hands out; of one trial
 TRIES = 200
 LIST, PLATFORM, RELAYS, NOTES, UNITS = range(5)  # ports from the block's first on; units' are the rest
-MOST_RELAYS, MOST_UNITS = 1_000, BLOCK - UNITS   # that have room
-HOSTS, PAIRS = 60, 128                           # second bytes: of a relay's own address, and from here on of pairs
-EVERYONE = 1_023                                 # as the second of a pair: all others
+MOST_RELAYS, MOST_UNITS = 1_000, BLOCK - UNITS  # that have room
+HOSTS, PAIRS = 60, 128  # second bytes: of a relay's own address, and from here on of pairs
+EVERYONE = 1_023  # as the second of a pair: all others
 
 
 class Place(NamedTuple):
@@ -79,7 +80,7 @@
             port = draw.randrange(FIRST, LAST - BLOCK + 2, BLOCK)
             lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
-                lock.bind(("127.0.0.1", port + LIST))            # datagrams: the list itself is asked over TCP
+                lock.bind(("127.0.0.1", port + LIST))  # datagrams: the list itself is asked over TCP
                 self.port, self.lock = port, lock
                 return
             except OSError:
--- a/tealsail/lab/loopback/agents.py
+++ b/tealsail/lab/loopback/agents.py
@@ -2,6 +2,7 @@
 
 One listener each for all relays; which relay calls is told by the address that it connected to.
 """
+
 import json
 import re
 from collections.abc import Callable
@@ -19,32 +20,51 @@
 from .scene import Scene
 
 LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
-LONGEST_WAIT = 60.0                              # seconds of a watch
+LONGEST_WAIT = 60.0  # seconds of a watch
 ASKED = re.compile(rb"GET /catalog/members(?:\?after=(\d{1,12})&wait_ms=(\d{1,9}))? HTTP/1\.1\r\n")
 STATES = {"open": "ready", "draining": "draining", "gone": "gone"}
 PHASES = {"on trial": "canary", "going back": "reverting", "released": "stable", "withdrawn": "reverted"}
 VERDICTS = {"blank": "none", "go": "on", "stay": "hold", "stop": "back"}
 ERRORS = {"moot": "STALE", "full": "BUSY", "error": "FAILED"}
-PING = 1.0                                       # seconds
+PING = 1.0  # seconds
 
 
-def listing(scene: Scene, numbers: Callable[[str], int], relay: int, version: int, whole: bool,
-            entries: list[Entry]) -> dict[str, Any]:
+def listing(
+    scene: Scene, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
+) -> dict[str, Any]:
     """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
-    return {"generation": version, "reset": whole, "instances": [
-        {"instanceId": each.name, "hostPort": str(scene.addresses.unit(relay, numbers(each.name))),
-         "zone": each.zone, "cell": each.cell, "lifecycle": STATES[each.state], "weight": each.weight,
-         "startedAtMs": scene.unix_ms(each.started) if each.started else 0, "build": each.build}
-        for each in entries]}
+    return {
+        "generation": version,
+        "reset": whole,
+        "instances": [
+            {
+                "instanceId": each.name,
+                "hostPort": str(scene.addresses.unit(relay, numbers(each.name))),
+                "zone": each.zone,
+                "cell": each.cell,
+                "lifecycle": STATES[each.state],
+                "weight": each.weight,
+                "startedAtMs": scene.unix_ms(each.started) if each.started else 0,
+                "build": each.build,
+            }
+            for each in entries
+        ],
+    }
 
 
 def standing(scene: Scene, state: State) -> dict[str, Any]:
-    return {"Revision": state.build, "Wave": state.stage, "State": PHASES[state.phase], "MaxShare": state.cap,
-            "AgeMs": max(0, (scene.now() - state.since) // 10)}
+    return {
+        "Revision": state.build,
+        "Wave": state.stage,
+        "State": PHASES[state.phase],
+        "MaxShare": state.cap,
+        "AgeMs": max(0, (scene.now() - state.since) // 10),
+    }
 
 
 class Wire(Protocol):
     """One connection of a relay to a service; cut off, nothing goes in or out and nothing is said of it."""
+
     service = ""
 
     def __init__(self, desk: Any) -> None:
@@ -71,6 +91,7 @@
 
 class Desk(Factory):
     """What the two services have in common."""
+
     noisy = False
     wire: type[Wire] = Wire
 
@@ -83,19 +104,23 @@
 
     def mend(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
-        for wire in [wire for wire in self.wires if wire.muted
-                     and self.day.network.has(self.scene.now(), wire.relay, wire.service)]:
+        for wire in [
+            wire
+            for wire in self.wires
+            if wire.muted and self.day.network.has(self.scene.now(), wire.relay, wire.service)
+        ]:
             wire.transport.abortConnection()
 
 
 class ListWire(Wire):
     """One connection to the agent; one call at a time."""
+
     service = "list"
 
     def __init__(self, desk: "ListDesk") -> None:
         super().__init__(desk)
-        self.waiting: Any = None                 # the end of a watch's wait
-        self.after = -1                          # the version that the watch has
+        self.waiting: Any = None  # the end of a watch's wait
+        self.after = -1  # the version that the watch has
 
     def dataReceived(self, data: bytes) -> None:
         if not self.reached():
@@ -137,8 +162,9 @@
         for entry in entries:
             scene.tell(Told(scene.now(), relay, entry.name, entry.build, entry.state, entry.started))
         body = json.dumps(listing(scene, desk.numbers, relay, version, whole, entries)).encode()
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
-                             % len(body) + body)
+        self.transport.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        )
 
     def rest(self) -> None:
         if self.waiting and self.waiting.active():
@@ -152,6 +178,7 @@
 
 class ListDesk(Desk):
     """The list as the relays' agents have it."""
+
     wire = ListWire
 
     def __init__(self, scene: Scene, day: Day, numbers: Callable[[str], int]) -> None:
@@ -162,7 +189,7 @@
         """That relay's agent has been sent the list up to that version."""
         now, roster = self.scene.now(), self.day.roster
         if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
-            return                               # told once it moves again, or is reached
+            return  # told once it moves again, or is reached
         _, entries = roster.news(relay, version)
         if entries:
             for wire in [wire for wire in self.wires if wire.relay == relay and wire.waiting]:
@@ -171,6 +198,7 @@
 
 class PlatformWire(Wire):
     """One connection to the platform."""
+
     service = "platform"
     subscribed = False
 
@@ -218,6 +246,7 @@
 
 class PlatformDesk(Desk):
     """The platform; `vote` takes (relay, build, stage, verdict) and returns its answer."""
+
     wire = PlatformWire
 
     def __init__(self, scene: Scene, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -1,4 +1,5 @@
 """Clients on sockets: arrivals at their times whatever the answers do, over connections as clients keep them."""
+
 from collections import Counter
 from typing import Any
 
@@ -15,20 +16,25 @@
 from .scene import Scene
 from .words import Answered, Begin, Close, Over, Relays
 
-JOIN = 2.0                                       # seconds to connect in
-MOMENT, NEVER = 10_000, 1 << 60                  # tenths of a ms
-PATIENCE = 2_000                                 # tenths of a ms beyond the abandon time: then a client closes
+JOIN = 2.0  # seconds to connect in
+MOMENT, NEVER = 10_000, 1 << 60  # tenths of a ms
+PATIENCE = 2_000  # tenths of a ms beyond the abandon time: then a client closes
 REJECTED = (b"53300", b"57P03")
 
 
 def statement(arrival: Arrival, workload: str, effect: str, customer: str, wait: int) -> bytes:
     """As a client words it; `wait` in milliseconds."""
-    fields = f"id={arrival.number},c={workload}" + (f",t={customer}" if customer else "") + f",d={wait}" \
+    fields = (
+        f"id={arrival.number},c={workload}"
+        + (f",t={customer}" if customer else "")
+        + f",d={wait}"
         + (",r=1" if arrival.repeat else "")
+    )
     if effect == "harmless":
         return f"SELECT content FROM kv WHERE name = '{arrival.key}' /* {fields} */".encode()
-    return (f"INSERT INTO kv (name, content) VALUES ('{arrival.key}', '\\x9f03') RETURNING content "
-            f"/* {fields} */").encode()
+    return (
+        f"INSERT INTO kv (name, content) VALUES ('{arrival.key}', '\\x9f03') RETURNING content /* {fields} */"
+    ).encode()
 
 
 def advice(body: bytes) -> int:
@@ -58,13 +64,25 @@
         crowd, scene = self.crowd, self.crowd.scene
         now = scene.now()
         self.arrival, self.answer, self.come_back = arrival, "", 0
-        scene.tell(Take(now, self.relay, arrival.number, arrival.intended, arrival.workload, arrival.customer,
-                       arrival.key, arrival.give_up, arrival.first))
+        scene.tell(
+            Take(
+                now,
+                self.relay,
+                arrival.number,
+                arrival.intended,
+                arrival.workload,
+                arrival.customer,
+                arrival.key,
+                arrival.give_up,
+                arrival.first,
+            )
+        )
         crowd.late[max(0, now - arrival.at)] += 1
         wait = max(1, (arrival.give_up - now) // 10)
         each = scene.scenario.workload[arrival.workload]
-        self.transport.write(messages.query(statement(arrival, each.name, each.effect,
-                                                      scene.whose[arrival.customer], wait)))
+        self.transport.write(
+            messages.query(statement(arrival, each.name, each.effect, scene.whose[arrival.customer], wait))
+        )
         self.timer = scene.reactor.callLater(scene.wait(arrival.give_up + PATIENCE), self.leave)
 
     def dataReceived(self, data: bytes) -> None:
@@ -109,8 +127,8 @@
         if self in idle:
             idle.remove(self)
         if self.arrival and not self.answer and self.crowd.ends(self.relay):
-            return self.crowd.crossed(self)      # a relay that ends closed it before it had read the query, in order or,
-                                                 # where the query came just then, by a reset
+            return self.crowd.crossed(self)  # a relay that ends closed it before it had read the query, in order or,
+            # where the query came just then, by a reset
         self.finish("lost")
 
 
@@ -124,11 +142,11 @@
         self.clients = Day(scene.scenario.parts(), scene.seed, clients_of(scene.scenario, scene.seed)).clients
         self.idle: list[list[Asking]] = [[] for _ in range(scene.relays)]
         self.ready: set[int] = set()
-        self.last: list[int] = []                # those that were ending when last told
-        self.ending: dict[int, int] = {}         # relay that was told to end -> when it still ran
-        self.open = 0                            # invocations without an answer, and repeats to come
-        self.late: Counter[int] = Counter()      # tenths of a ms -> arrivals that were so late
-        self.lost_alive: list[tuple[int, int]] = []                # relay and when
+        self.last: list[int] = []  # those that were ending when last told
+        self.ending: dict[int, int] = {}  # relay that was told to end -> when it still ran
+        self.open = 0  # invocations without an answer, and repeats to come
+        self.late: Counter[int] = Counter()  # tenths of a ms -> arrivals that were so late
+        self.lost_alive: list[tuple[int, int]] = []  # relay and when
         self.resent: list[tuple[int, int]] = []  # relay and number of what it had not read when it ended
         self.closing = False
 
@@ -139,7 +157,9 @@
                 self.next()
             case Relays(ready, ending):
                 now = self.scene.now()
-                self.ending = {relay: at for relay, at in self.ending.items() if now - at < MOMENT} | dict.fromkeys(self.last, now)
+                self.ending = {relay: at for relay, at in self.ending.items() if now - at < MOMENT} | dict.fromkeys(
+                    self.last, now
+                )
                 self.ready, self.last = set(ready), ending
                 self.ending |= dict.fromkeys(ending, NEVER)
             case Close():
@@ -197,8 +217,19 @@
 
     def unserved(self, relay: int, arrival: Arrival) -> None:
         """No relay could be reached: the try counts as asked for, and no relay has lost it."""
-        self.scene.tell(Take(self.scene.now(), relay, arrival.number, arrival.intended, arrival.workload, arrival.customer,
-                             arrival.key, arrival.give_up, arrival.first))
+        self.scene.tell(
+            Take(
+                self.scene.now(),
+                relay,
+                arrival.number,
+                arrival.intended,
+                arrival.workload,
+                arrival.customer,
+                arrival.key,
+                arrival.give_up,
+                arrival.first,
+            )
+        )
         self.ended(relay, arrival, "lost", 0)
 
     def crossed(self, asking: Asking) -> None:
@@ -210,7 +241,7 @@
         scene.tell(End(scene.now(), asking.relay, arrival.number, "lost"))
         self.resent.append((asking.relay, arrival.number))
         self.open -= 1
-        self.serve(arrival, (asking.relay - arrival.relay) % scene.relays + 1)   # not by the one that ends
+        self.serve(arrival, (asking.relay - arrival.relay) % scene.relays + 1)  # not by the one that ends
 
     def free(self, asking: Asking) -> None:
         self.idle[asking.relay].append(asking)
--- a/tealsail/lab/loopback/crew.py
+++ b/tealsail/lab/loopback/crew.py
@@ -1,4 +1,5 @@
 """The parts of a trial that are not its director: in the director's process, or each in one of its own (`python -m` it)."""
+
 import resource
 import sys
 import time
@@ -19,8 +20,8 @@
 from .words import Cast, Over, Stop, Word, Wrong, decode, encode
 
 PARTS = {"units": Stalls, "clients": Crowd, "notes": Post}
-LONGEST = 64 * 1024 * 1024                       # bytes of a word
-DESCRIPTORS = 65_536                             # that a process may hold, as far as the system allows
+LONGEST = 64 * 1024 * 1024  # bytes of a word
+DESCRIPTORS = 65_536  # that a process may hold, as far as the system allows
 
 
 def widen() -> None:
@@ -51,7 +52,8 @@
         self.scene, self.name, self.held, self.ended = scene, f"{part}-{place}", b"", False
         self.record, self.errors = folder / f"{self.name}.record", b""
         self.process = scene.reactor.spawnProcess(
-            self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.crew"], None)
+            self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.crew"], None
+        )
         self.tell(Cast(part, place, many, scene.scenario.plain(), scene.seed, scene.addresses.port, str(self.record)))
 
     def tell(self, word: Word) -> None:
@@ -69,7 +71,9 @@
     def processEnded(self, reason: Failure) -> None:
         self.ended = True
         if self.errors or reason.value.exitCode:
-            self.scene.wrong(f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}")
+            self.scene.wrong(
+                f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
+            )
             self.scene.say(Over({}, [], 0.0))
 
 
@@ -80,7 +84,7 @@
         self.reactor, self.held = reactor, b""
         self.part: Any = None
         self.writer: Writer | None = None
-        self.out: Any = None                     # the transport to the director
+        self.out: Any = None  # the transport to the director
 
     def dataReceived(self, data: bytes) -> None:
         *lines, self.held = (self.held + data).split(b"\n")
@@ -111,6 +115,7 @@
     from twisted.internet import reactor
     from twisted.internet.protocol import Protocol
     from twisted.internet.stdio import StandardIO
+
     widen()
     member = Member(steady(reactor))
 
--- a/tealsail/lab/loopback/notes.py
+++ b/tealsail/lab/loopback/notes.py
@@ -3,6 +3,7 @@
 The kernel says that address with each datagram (IP_PKTINFO), and it is set in the same way as the source of what is passed
 on, so the receiver sees the address at which it knows the sender.
 """
+
 import heapq
 import socket
 import struct
@@ -13,12 +14,12 @@
 from .scene import Scene
 from .words import Begin, Net, Over
 
-IP_PKTINFO = 8                                   # of Linux's <linux/in.h>; the socket module has no name for it yet
-INFO = struct.Struct("=i4s4s")                   # struct in_pktinfo: interface, local address, address sent to
+IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
+INFO = struct.Struct("=i4s4s")  # struct in_pktinfo: interface, local address, address sent to
 ROOM = socket.CMSG_SPACE(INFO.size)
-LONGEST, ROUND = 256, 512                        # bytes of a note; datagrams taken before others get their turn
-WAITING = 100_000                                # notes on their way at a time; more are lost
-BUFFER = 8 * 1024 * 1024                         # bytes of the socket's buffers, as far as the system allows
+LONGEST, ROUND = 256, 512  # bytes of a note; datagrams taken before others get their turn
+WAITING = 100_000  # notes on their way at a time; more are lost
+BUFFER = 8 * 1024 * 1024  # bytes of the socket's buffers, as far as the system allows
 
 
 class Post:
@@ -61,10 +62,16 @@
                 data, ancillary, _, _ = self.socket.recvmsg(LONGEST + 1, ROOM)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:                      # what an earlier note met at a closed port
+            except OSError:  # what an earlier note met at a closed port
                 continue
-            sender, to = next((addresses.pair(INFO.unpack(info[:INFO.size])[2]) for level, kind, info in ancillary
-                               if (level, kind) == (socket.IPPROTO_IP, IP_PKTINFO)), (-1, -1))
+            sender, to = next(
+                (
+                    addresses.pair(INFO.unpack(info[: INFO.size])[2])
+                    for level, kind, info in ancillary
+                    if (level, kind) == (socket.IPPROTO_IP, IP_PKTINFO)
+                ),
+                (-1, -1),
+            )
             if not 0 <= sender < self.scene.relays:
                 continue
             if len(data) > LONGEST:
@@ -89,17 +96,19 @@
 
     def plan(self) -> None:
         if self.waiting and not (self.timer and self.timer.active()):
-            self.timer = self.scene.reactor.callLater(max(0.0, self.waiting[0][0] - self.scene.reactor.seconds()), self.deliver)
+            self.timer = self.scene.reactor.callLater(
+                max(0.0, self.waiting[0][0] - self.scene.reactor.seconds()), self.deliver
+            )
 
     def deliver(self) -> None:
-        now = self.scene.reactor.seconds() + 0.0005      # what is due within half a ms goes with it
+        now = self.scene.reactor.seconds() + 0.0005  # what is due within half a ms goes with it
         while self.waiting and self.waiting[0][0] <= now:
             _, _, sender, to, data = heapq.heappop(self.waiting)
             known, place = self.scene.addresses.peer(to, sender), self.scene.addresses.relay(to)
             info = INFO.pack(0, socket.inet_aton(known.host), bytes(4))
             try:
                 self.socket.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, (place.host, place.port))
-            except OSError:                      # nobody listens, or its buffer is full: lost, as notes may be
+            except OSError:  # nobody listens, or its buffer is full: lost, as notes may be
                 self.dropped += 1
         self.plan()
 
--- a/tealsail/lab/loopback/scene.py
+++ b/tealsail/lab/loopback/scene.py
@@ -1,4 +1,5 @@
 """What every part of a trial knows: the day, a clock, and where to tell what happens."""
+
 import time
 from collections.abc import Callable
 from typing import Any
@@ -12,14 +13,29 @@
     """`tell` takes lines of the record, `wrong` what a relay did that no rule has a name for, `say` words to the director
     (words.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as seconds of their reactors."""
 
-    def __init__(self, reactor: Any, scenario: Scenario, seed: int, port: int, tell: Callable[[Line], None],
-                 wrong: Callable[[str], None], say: Callable[[Any], None]) -> None:
-        self.reactor, self.scenario, self.seed, self.tell, self.wrong, self.say = reactor, scenario, seed, tell, wrong, say
+    def __init__(
+        self,
+        reactor: Any,
+        scenario: Scenario,
+        seed: int,
+        port: int,
+        tell: Callable[[Line], None],
+        wrong: Callable[[str], None],
+        say: Callable[[Any], None],
+    ) -> None:
+        self.reactor, self.scenario, self.seed, self.tell, self.wrong, self.say = (
+            reactor,
+            scenario,
+            seed,
+            tell,
+            wrong,
+            say,
+        )
         self.relays = scenario.fleet.relays
         self.addresses = Addresses(port)
         self.workloads = {each.name: place for place, each in enumerate(scenario.workload)}
         self.whose = [each.name for each in scenario.customer] or [""]
-        self.zero, self.begun = 0.0, False       # the record's zero; it begins once all relays are up
+        self.zero, self.begun = 0.0, False  # the record's zero; it begins once all relays are up
 
     def begin(self, zero: float) -> None:
         self.zero, self.begun = zero, True
--- a/tealsail/lab/loopback/shifted.py
+++ b/tealsail/lab/loopback/shifted.py
@@ -6,6 +6,7 @@
 real + lead + (real - since) * (rate - 1), the wall clock that much more than it would and `step` besides.  What the system
 itself waits for (a time-out of epoll) is not moved: a relay with a fast clock is late for its own timers by that part.
 """
+
 import mmap
 import os
 import runpy
@@ -27,7 +28,7 @@
     def read(self) -> tuple[float, float, float, float]:
         """Both copies have to be the same: else one is being written."""
         while True:
-            first, second = self.memory[:SHAPE.size], self.memory[SHAPE.size:2 * SHAPE.size]
+            first, second = self.memory[: SHAPE.size], self.memory[SHAPE.size : 2 * SHAPE.size]
             if first == second:
                 return SHAPE.unpack(first)
 
@@ -41,8 +42,9 @@
     monotonic, wall, gettime = time.monotonic, time.time, time.clock_gettime
     time.monotonic = lambda: monotonic() + shift.ahead()
     time.time = lambda: wall() + shift.ahead() + shift.read()[3]
-    time.clock_gettime = lambda clock: gettime(clock) + shift.ahead() + (
-        shift.read()[3] if clock == time.CLOCK_REALTIME else 0.0)
+    time.clock_gettime = lambda clock: (
+        gettime(clock) + shift.ahead() + (shift.read()[3] if clock == time.CLOCK_REALTIME else 0.0)
+    )
 
 
 if __name__ == "__main__":
--- a/tealsail/lab/loopback/theatre.py
+++ b/tealsail/lab/loopback/theatre.py
@@ -3,6 +3,7 @@
 This is the director: it drives the day, keeps the list and the platform, and does to relays what the script says.  Units,
 clients and notes are parts (crew.py): in this process for a few relays, in processes of their own for many.
 """
+
 import heapq
 import json
 import sys
@@ -28,13 +29,13 @@
 from .troupe import Troupe
 from .words import Answered, Begin, Close, Fell, Net, Over, Relays, Stand, Stop, Word, Wrong
 
-READY, EACH = 30.0, 0.25                         # seconds for relays to come up, and more for each of them
-GRACE, END = 10.0, 25.0                          # for answers; for the end
-LEAD = 2_000                                     # tenths of a ms between the last relay's coming up and the day
-LATE, LATE_PART = 100, 0.01                      # tenths of a ms; more arrivals than this share so late: void
-FEW = 24                                         # relays up to which all parts fit in one process
+READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
+GRACE, END = 10.0, 25.0  # for answers; for the end
+LEAD = 2_000  # tenths of a ms between the last relay's coming up and the day
+LATE, LATE_PART = 100, 0.01  # tenths of a ms; more arrivals than this share so late: void
+FEW = 24  # relays up to which all parts fit in one process
 SLACK = Slack(time=1_500, shots=2, part=0.04)
-NEAR = 10_000                                    # tenths of a ms: what is lost so near a kill is lost by it
+NEAR = 10_000  # tenths of a ms: what is lost so near a kill is lost by it
 
 
 def parts_for(relays: int) -> dict[str, int]:
@@ -61,9 +62,9 @@
         self.list = ListDesk(self.scene, self.day, self.number)
         self.platform = PlatformDesk(self.scene, self.day, self.vote)
         self.crew: dict[str, list[Any]] = {}
-        self.stands: dict[str, Stand] = {}       # what units' parts were last told of each
-        self.net: list[Any] = []                 # and of the network
-        self.waiting = 0                         # parts whose clients have no answer yet, or that have not ended
+        self.stands: dict[str, Stand] = {}  # what units' parts were last told of each
+        self.net: list[Any] = []  # and of the network
+        self.waiting = 0  # parts whose clients have no answer yet, or that have not ended
         self.overs: list[Over] = []
         self.costs: dict[str, float] = {}
         self.closed = self.over = False
@@ -84,11 +85,15 @@
     # the course of a trial
     def start(self) -> None:
         scene, port = self.scene, self.taken.port
-        scene.tell(Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain()))
+        scene.tell(
+            Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
+        )
         self.reactor.listenTCP(port + LIST, self.list, 512)
         self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
         for part, many in parts_for(self.relays).items():
-            self.crew[part] = [Apart(scene, part, place, many, self.folder) for place in range(many)] or [Here(scene, part)]
+            self.crew[part] = [Apart(scene, part, place, many, self.folder) for place in range(many)] or [
+                Here(scene, part)
+            ]
         self.took_up()
         for relay in range(self.relays):
             self.troupe.start(relay)
@@ -181,8 +186,21 @@
         return answer
 
     def stand(self, name: str, unit: Any) -> Stand:
-        return Stand(name, self.number(name), unit.mark, unit.build.number, unit.speed, unit.zone, unit.cell, unit.started,
-                     unit.hung, unit.slow, unit.errors, unit.draining, unit.dead)
+        return Stand(
+            name,
+            self.number(name),
+            unit.mark,
+            unit.build.number,
+            unit.speed,
+            unit.zone,
+            unit.cell,
+            unit.started,
+            unit.hung,
+            unit.slow,
+            unit.errors,
+            unit.draining,
+            unit.dead,
+        )
 
     def tell_units(self) -> None:
         """What has changed of units since their parts were last told, and of the network."""
@@ -248,9 +266,12 @@
 
     def lost_alive(self) -> list[str]:
         """Invocations that a relay lost which nobody had killed, in words."""
-        return [f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
-                for over in self.overs for relay, at in over.lost_alive
-                if not any(abs(at - down) < NEAR for down in self.troupe.downs.get(relay, ()))]
+        return [
+            f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
+            for over in self.overs
+            for relay, at in over.lost_alive
+            if not any(abs(at - down) < NEAR for down in self.troupe.downs.get(relay, ()))
+        ]
 
 
 def judge(theatre: Theatre, path: str) -> tuple[Result, Judged, bool]:
@@ -262,13 +283,15 @@
     for line in theatre.record():
         judged(line)
         if isinstance(line, Shot) and (line.relay, line.number) in resent:
-            taken.add((line.relay, line.number)) # it had read it after all, and never answered
+            taken.add((line.relay, line.number))  # it had read it after all, and never answered
         if writer:
             writer(line)
     if writer:
         writer.close(late)
     result = judged.result(late)
-    lost = theatre.lost_alive() + [f"relay {relay} had sent {number} on and ended without an answer" for relay, number in sorted(taken)]
+    lost = theatre.lost_alive() + [
+        f"relay {relay} had sent {number} on and ended without an answer" for relay, number in sorted(taken)
+    ]
     if lost:
         result.breaches["lost"] = result.breaches.get("lost", 0) + len(lost)
         theatre.problems += lost[:10]
@@ -282,6 +305,7 @@
 def main() -> None:
     """Reads {scenario, seed, folder, record} from standard input, plays, and writes the result there as JSON."""
     from twisted.internet import reactor
+
     told = json.load(sys.stdin)
     widen()
     theatre = Theatre(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
@@ -290,9 +314,16 @@
     theatre.troupe.abandon()
     theatre.taken.free()
     result, judged, void = judge(theatre, told["record"])
-    sys.stdout.buffer.write(msgspec.json.encode({
-        "result": result, "breaches": [list(each) for each in judged.breaches],
-        "problems": theatre.problems, "void": void}))
+    sys.stdout.buffer.write(
+        msgspec.json.encode(
+            {
+                "result": result,
+                "breaches": [list(each) for each in judged.breaches],
+                "problems": theatre.problems,
+                "void": void,
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/tealsail/lab/loopback/troupe.py
+++ b/tealsail/lab/loopback/troupe.py
@@ -1,4 +1,5 @@
 """The relays of a trial: one process each, told by a JSON file as the platform tells them, and what is done to them."""
+
 import json
 import os
 import secrets
@@ -22,12 +23,12 @@
 from .scene import Scene
 from .shifted import SHAPE
 
-LINGER = 0.4                                     # seconds after SIGTERM in which new connections still come
-FORCE = 8.0                                      # seconds after it in which a relay has to end
-LOG_MOST = 64 * 1024 * 1024                      # bytes of one relay's log that are kept
-HOME = Path(__file__).parents[3]                 # the checkout that this program is of
+LINGER = 0.4  # seconds after SIGTERM in which new connections still come
+FORCE = 8.0  # seconds after it in which a relay has to end
+LOG_MOST = 64 * 1024 * 1024  # bytes of one relay's log that are kept
+HOME = Path(__file__).parents[3]  # the checkout that this program is of
 LIVE = b" serving name="
-TOLD_OF = (b"module: verdict", b"duties ")       # lines of a relay's log that go into the record
+TOLD_OF = (b"module: verdict", b"duties ")  # lines of a relay's log that go into the record
 
 
 def toml(tree: dict[str, Any], path: str = "") -> str:
@@ -46,10 +47,10 @@
     def __init__(self, troupe: "Troupe", relay: int, log: Path) -> None:
         self.troupe, self.relay = troupe, relay
         self.log, self.written, self.rest = open(log, "ab"), 0, b""
-        self.wanted = True                       # False: it has been told to end
-        self.ready = self.again = self.stopped = False   # it answers; it is to start anew once it has ended; SIGSTOP
-        self.lived = False                       # it has been told of as up
-        self.duties: dict[str, list[int]] = {}   # who acts for the fleet, by its word
+        self.wanted = True  # False: it has been told to end
+        self.ready = self.again = self.stopped = False  # it answers; it is to start anew once it has ended; SIGSTOP
+        self.lived = False  # it has been told of as up
+        self.duties: dict[str, list[int]] = {}  # who acts for the fleet, by its word
 
     def childDataReceived(self, number: int, data: bytes) -> None:
         if self.written < LOG_MOST:
@@ -66,11 +67,13 @@
             self.troupe.try_out(self)
         for mark in TOLD_OF:
             if mark in line:
-                text = line[line.index(mark):].removeprefix(b"module: ").decode(errors="replace")[:300]
+                text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
                 scene.tell(Log(scene.now(), self.relay, text))
                 if mark == b"duties ":
-                    self.duties = {name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
-                                   for name, _, value in (word.partition("=") for word in text.split()[1:])}
+                    self.duties = {
+                        name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
+                        for name, _, value in (word.partition("=") for word in text.split()[1:])
+                    }
         if b" ERROR " in line or b"module: fault" in line:
             scene.wrong(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
 
@@ -101,15 +104,29 @@
     """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when none is
     left; `numbers` gives a unit's number by its name."""
 
-    def __init__(self, scene: Scene, day: Day, folder: Path, numbers: Callable[[str], int], changed: Callable[[], None],
-                 gone: Callable[[], None]) -> None:
-        self.scene, self.day, self.folder, self.numbers, self.changed, self.gone = scene, day, folder, numbers, changed, gone
+    def __init__(
+        self,
+        scene: Scene,
+        day: Day,
+        folder: Path,
+        numbers: Callable[[str], int],
+        changed: Callable[[], None],
+        gone: Callable[[], None],
+    ) -> None:
+        self.scene, self.day, self.folder, self.numbers, self.changed, self.gone = (
+            scene,
+            day,
+            folder,
+            numbers,
+            changed,
+            gone,
+        )
         self.running: dict[int, tuple[Running, Any]] = {}
-        self.downs: dict[int, list[int]] = {}    # relay -> when it was killed
+        self.downs: dict[int, list[int]] = {}  # relay -> when it was killed
         self.over = False
         table = scene.scenario.trial
         self.beside = Path(table.beside) if table.beside else HOME
-        self.others = set(range(round(table.beside_part * scene.relays)))        # relays of the other checkout
+        self.others = set(range(round(table.beside_part * scene.relays)))  # relays of the other checkout
         self.moved = any(fault.kind in ("step clocks", "run clocks") for fault in day.parts.faults)
 
     def up(self, relay: int) -> bool:
@@ -126,10 +143,10 @@
         """Who acts for the fleet as that, by the word of most relays."""
         words: dict[int, int] = {}
         for running, _ in self.running.values():
-            for each in running.duties.get("judges" if name == "judge" else name, ())[:1 if name == "judge" else 3]:
+            for each in running.duties.get("judges" if name == "judge" else name, ())[: 1 if name == "judge" else 3]:
                 words[each] = words.get(each, 0) + 1
         best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
-        return best[:3 if name == "judges" else 1]
+        return best[: 3 if name == "judges" else 1]
 
     def clock(self, relay: int) -> Path:
         return self.folder / f"relay-{relay}.clock"
@@ -150,8 +167,13 @@
             program = [str(Path(__file__).with_name("shifted.py")), str(self.clock(relay))]
         home = self.beside if relay in self.others else HOME
         process = scene.reactor.spawnProcess(
-            running, sys.executable, [sys.executable, "-B", *program, "serve", *document],
-            environment | {"EDGE_CONFIG": str(path)}, str(home), childFDs={0: "w", 1: "r", 2: "r"})
+            running,
+            sys.executable,
+            [sys.executable, "-B", *program, "serve", *document],
+            environment | {"EDGE_CONFIG": str(path)},
+            str(home),
+            childFDs={0: "w", 1: "r", 2: "r"},
+        )
         self.running[relay] = running, process
 
     def told(self, relay: int) -> dict[str, Any]:
@@ -163,26 +185,33 @@
             scene.tell(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
         scene.tell(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
-        return {"name": f"n{relay}", "listen": str(own), "discovery": str(addresses.at(LIST, relay)),
-                "seed": secrets.token_hex(8), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "peer_listen": str(own),
-                "peers": [str(addresses.peer(relay, other)) if other != relay else str(own)
-                          for other in range(scene.relays)],
-                "peers_all": str(addresses.everyone(relay)),
-                "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(scene, state)},
-                "known": listing(scene, self.numbers, relay, roster.told[relay], True, entries),
-                "settings": scene.scenario.relay_settings(relay)}
+        return {
+            "name": f"n{relay}",
+            "listen": str(own),
+            "discovery": str(addresses.at(LIST, relay)),
+            "seed": secrets.token_hex(8),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "peer_listen": str(own),
+            "peers": [
+                str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(scene.relays)
+            ],
+            "peers_all": str(addresses.everyone(relay)),
+            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(scene, state)},
+            "known": listing(scene, self.numbers, relay, roster.told[relay], True, entries),
+            "settings": scene.scenario.relay_settings(relay),
+        }
 
     def try_out(self, running: Running) -> None:
         if self.running.get(running.relay, (None,))[0] is running and not running.ready and not self.over:
             place, reactor = self.scene.addresses.relay(running.relay), self.scene.reactor
             connectProtocol(TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), Tryer(self, running)).addErrback(
-                lambda _: None)
+                lambda _: None
+            )
             reactor.callLater(1.0, self.try_out, running)
 
     def came_up(self, running: Running) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.wanted:
-            running.ready = running.lived = True # else it was killed while its first answer was on the way
+            running.ready = running.lived = True  # else it was killed while its first answer was on the way
             self.scene.tell(Life(self.scene.now(), running.relay, "up"))
             self.changed()
 
@@ -211,7 +240,7 @@
     def move_clock(self, relay: int, rate: float | None = None, step: float = 0.0) -> None:
         """From what its clocks show now."""
         path, now = self.clock(relay), time.monotonic()
-        before = path.read_bytes()[:SHAPE.size] if path.exists() else SHAPE.pack(1.0, now, 0.0, 0.0)
+        before = path.read_bytes()[: SHAPE.size] if path.exists() else SHAPE.pack(1.0, now, 0.0, 0.0)
         earlier, since, lead, stepped = SHAPE.unpack(before)
         lead += (now - since) * (earlier - 1)
         after = SHAPE.pack(earlier if rate is None else rate, now, lead, stepped + step)
@@ -299,7 +328,7 @@
                 memory.append(int(kept.split("\nPss:")[1].split()[0]) / 1024)
                 used = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
                 cpu.append((int(used[11]) + int(used[12])) / tick)
-            except (OSError, IndexError, ValueError):            # it has just ended
+            except (OSError, IndexError, ValueError):  # it has just ended
                 continue
         found = {}
         for name, values in (("relay_mb", memory), ("relay_cpu", cpu)):
--- a/tealsail/lab/loopback/units.py
+++ b/tealsail/lab/loopback/units.py
@@ -1,4 +1,5 @@
 """Units on sockets: PostgreSQL's messages in front of the unit machines, one listener for each."""
+
 from typing import Any
 
 from twisted.internet.error import ConnectionDone
@@ -14,7 +15,7 @@
 from .scene import Scene
 from .words import Begin, Fell, Net, Over, Stand
 
-BACKLOG = 512                                    # connections that wait to be taken
+BACKLOG = 512  # connections that wait to be taken
 DESCRIBED = messages.message(b"T", b"\0\1content\0" + bytes(6) + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1")
 COMPLETE = messages.message(b"C", b"SELECT 1\0")
 
@@ -25,12 +26,17 @@
 
 SERVED = DESCRIBED + row(b"\x9f\x03") + COMPLETE
 WRONG = DESCRIBED + row(b"\x00") + COMPLETE
-VALUES = {"served": SERVED, "wrong": WRONG, "error": messages.trouble("XX000", "the build failed"),
-          "full": messages.trouble("53300", "turned away")}
+VALUES = {
+    "served": SERVED,
+    "wrong": WRONG,
+    "error": messages.trouble("XX000", "the build failed"),
+    "full": messages.trouble("53300", "turned away"),
+}
 
 
 class Held:
     """One query in a unit's hands, and the connection that waits for it."""
+
     __slots__ = ("wire", "number", "place", "over")
 
     def __init__(self, wire: "Wire", number: int, place: int) -> None:
@@ -47,7 +53,7 @@
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
-        if self.relay < 0:                       # not from a relay of the trial
+        if self.relay < 0:  # not from a relay of the trial
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.seat.wires[self] = None
@@ -129,6 +135,7 @@
 
 class Seat(Factory):
     """A unit with its port; whoever connects is known by the address that was connected to."""
+
     noisy = False
 
     def __init__(self, stalls: "Stalls", unit: Unit, number: int) -> None:
@@ -165,7 +172,7 @@
     def __init__(self, scene: Scene, place: int, many: int) -> None:
         self.scene, self.of = scene, (place, many)
         self.seats: dict[str, Seat] = {}
-        self.places: dict[int, int] = {}         # invocation -> shots of it that came to this part
+        self.places: dict[int, int] = {}  # invocation -> shots of it that came to this part
         self.network = Network(scene.scenario.paths(), scene.scenario.relay_zones(), scene.seed)
         self.kind, self.works = scene.scenario.kind(), scene.scenario.works()
         self.builds = scene.scenario.builds_by_number()
@@ -200,8 +207,18 @@
         if word.dead:
             return
         if seat is None:
-            unit = Unit(word.name, word.mark, self.builds[word.build], self.kind, word.speed, word.zone, word.cell,
-                        word.started, self.works, self.scene.seed)
+            unit = Unit(
+                word.name,
+                word.mark,
+                self.builds[word.build],
+                self.kind,
+                word.speed,
+                word.zone,
+                word.cell,
+                word.started,
+                self.works,
+                self.scene.seed,
+            )
             seat = self.seats[word.name] = Seat(self, unit, word.number)
             seat.open()
         unit = seat.unit
--- a/tealsail/lab/loopback/words.py
+++ b/tealsail/lab/loopback/words.py
@@ -1,5 +1,6 @@
 """What a trial's director and its parts tell each other: one typed value each, as JSON lines where a part has a process of
 its own."""
+
 from typing import Any, Union
 
 import msgspec
@@ -11,6 +12,7 @@
 
 class Cast(Word, tag="cast"):
     """The first to a process: which part it plays, as which of how many, of what day; `record` is the file to write."""
+
     part: str
     place: int
     many: int
@@ -22,13 +24,15 @@
 
 class Begin(Word, tag="begin"):
     """The day's zero, in seconds of CLOCK_MONOTONIC."""
+
     zero: float
 
 
 class Stand(Word, tag="stand"):
     """A unit as the director has it: a new one, or what has changed of one."""
+
     name: str
-    number: int                                  # of its port
+    number: int  # of its port
     mark: int
     build: int
     speed: float
@@ -44,11 +48,13 @@
 
 class Net(Word, tag="net"):
     """All that is wrong with the network (Network.plain)."""
+
     plain: list[Any]
 
 
 class Relays(Word, tag="relays"):
     """Those that answer, and those that have been told to end and run yet."""
+
     ready: list[int]
     ending: list[int]
 
@@ -63,6 +69,7 @@
 
 class Fell(Word, tag="fell"):
     """A unit fell over under what it was sent."""
+
     name: str
 
 
@@ -77,6 +84,7 @@
 class Over(Word, tag="over"):
     """The last of a part: how late its arrivals were sent (tenths of a ms -> how many), which relay that was up lost an
     invocation and when, its processor time in seconds, and (relay, number) of what was sent anew since that relay ended."""
+
     late: dict[int, int]
     lost_alive: list[tuple[int, int]]
     cpu: float
--- a/tealsail/lab/losses.py
+++ b/tealsail/lab/losses.py
@@ -3,6 +3,7 @@
 For each option and seed a day is played twice, so what chance does to a day is in both.  Times are counted from the
 script's first fault, on service smoothed over three seconds.
 """
+
 from typing import NamedTuple
 
 import numpy
@@ -12,13 +13,14 @@
 from .runs import Progress, days
 from .scenario import Scenario, over, convert
 
-WITHIN, SMOOTH = 0.02, 3                         # of the undisturbed day's service; seconds
-STAYS = 3                                        # seconds in which it must stay there
-WINDOW = 2                                       # seconds of a zone's shots
+WITHIN, SMOOTH = 0.02, 3  # of the undisturbed day's service; seconds
+STAYS = 3  # seconds in which it must stay there
+WINDOW = 2  # seconds of a zone's shots
 
 
 class Loss(NamedTuple):
     """One option: its days with the faults, those without, and figures of each pair with their bars."""
+
     name: str
     hit: list[Result]
     calm: list[Result]
@@ -41,17 +43,24 @@
     most = min(len(hit.series["service"]), len(calm.series["service"]))
     with_it, without = (smooth(each.series["service"])[:most] for each in (hit, calm))
     out = with_it[at:] < without[at:] - WITHIN
-    back = next((second for second in range(len(out)) if not out[second:second + STAYS].any()), len(out))
+    back = next((second for second in range(len(out)) if not out[second : second + STAYS].any()), len(out))
     asked = numpy.array(hit.series["asked"][at:most])
     gap = numpy.array(calm.series["service"][at:most]) - numpy.array(hit.series["service"][at:most])
-    found = {"service": hit.figures["service"], "cost": float((gap * asked).sum() / (asked.sum() or 1)),
-             "recover_s": float(back), "out_s": float(out.sum()), "lowest": float(with_it[at:].min(initial=1.0))}
+    found = {
+        "service": hit.figures["service"],
+        "cost": float((gap * asked).sum() / (asked.sum() or 1)),
+        "recover_s": float(back),
+        "out_s": float(out.sum()),
+        "lowest": float(with_it[at:].min(initial=1.0)),
+    }
     found |= {name: hit.figures[name] for name in ("late", "rejected", "forfeited", "shots") if name in hit.figures}
     sent, usual = shots_to(hit), shots_to(calm)
     over_all = [0.0]
     for zone, shots in sent.items():
         if zone not in lost and zone in usual and usual[zone][at:].mean() > 0:
-            over_all.append(float(smooth(list(shots[at:most - 1]), WINDOW).max(initial=0.0) / usual[zone][at:most - 1].mean()))
+            over_all.append(
+                float(smooth(list(shots[at : most - 1]), WINDOW).max(initial=0.0) / usual[zone][at : most - 1].mean())
+            )
     found["overshoot"] = max(over_all)
     if "spill_peak" in hit.figures:
         found["spill_peak"] = hit.figures["spill_peak"]
@@ -65,7 +74,9 @@
     length = len(day.series["asked"])
     for name, values in day.series.items():
         if name.startswith("shots."):
-            rows[name.partition(">")[2]].append(numpy.pad(numpy.array(values[:length]), (0, max(0, length - len(values)))))
+            rows[name.partition(">")[2]].append(
+                numpy.pad(numpy.array(values[:length]), (0, max(0, length - len(values))))
+            )
     return {zone: sum(each) for zone, each in rows.items()}
 
 
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -1,4 +1,5 @@
 """Model runs: one day, many days of one option in several processes, and two options on the same days."""
+
 import os
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
@@ -17,7 +18,7 @@
 from .scenario import Scenario
 from .virtual import Model
 
-Progress = Callable[[int, int], None]            # done, of how many
+Progress = Callable[[int, int], None]  # done, of how many
 
 
 def day_seed(scenario: Scenario, replica: int) -> int:
@@ -51,7 +52,9 @@
         if spill:
             result.figures["spill_peak"] = max(spill.peaks.values(), default=0.0)
         if rules.cold_by_second:
-            result.series["cold"] = [rules.cold_by_second.get(second, 0.0) for second in range(len(result.series["asked"]))]
+            result.series["cold"] = [
+                rules.cold_by_second.get(second, 0.0) for second in range(len(result.series["asked"]))
+            ]
         self.evenness.close()
         result.figures.update(self.evenness.figures())
         result.use, result.owners = self.evenness.use(), self.evenness.owners
@@ -78,7 +81,7 @@
     """The same figures and rules from a record."""
     judged, late = None, 0
     for line in read(path):
-        if judged is None:                       # a record's first line is its head
+        if judged is None:  # a record's first line is its head
             judged = Judged(line.day, slack)
         elif isinstance(line, Close):
             late = line.late
@@ -96,6 +99,7 @@
 
 class Option(NamedTuple):
     """Many days of one option: a result for each, bars for each figure, and rules broken."""
+
     name: str
     results: list[Result]
     bars: dict[str, Bar]
@@ -104,13 +108,16 @@
 
 def one_day(scenario: Scenario, seed: int) -> tuple[Result, list[Breach]]:
     result, breaches = play(scenario, seed)
-    return result, breaches[:MOST_TOLD // 5]
+    return result, breaches[: MOST_TOLD // 5]
 
 
 def days(options: list[list[Scenario]], jobs: int = 0, progress: Progress | None = None) -> list[Option]:
     """Each option as a list of scenarios, one for each replica; replica k of all options has one seed."""
-    work = [(place, replica, each, day_seed(each, replica))
-            for place, replicas in enumerate(options) for replica, each in enumerate(replicas)]
+    work = [
+        (place, replica, each, day_seed(each, replica))
+        for place, replicas in enumerate(options)
+        for replica, each in enumerate(replicas)
+    ]
     done: dict[tuple[int, int], tuple[Result, list[Breach]]] = {}
     for count, (key, outcome) in enumerate(carried_out(work, jobs or os.cpu_count() or 1), 1):
         done[key] = outcome
@@ -121,8 +128,11 @@
         mine = [done[place, replica] for replica in range(len(replicas))]
         results = [result for result, _ in mine]
         known = bars([each.figures for each in results]) if len(mine) > 1 else {}
-        found.append(Option(replicas[0].name, results, known,
-                            [breach for _, breaches in mine for breach in breaches][:MOST_TOLD]))
+        found.append(
+            Option(
+                replicas[0].name, results, known, [breach for _, breaches in mine for breach in breaches][:MOST_TOLD]
+            )
+        )
     return found
 
 
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -4,6 +4,7 @@
 file whose tables this one lies over, so an option is a file of a few lines.  Times here are in the unit that a field's
 name ends in; the world's are tenths of a millisecond.
 """
+
 import tomllib
 from pathlib import Path
 from typing import Annotated, Any
@@ -24,7 +25,7 @@
 from ..world.unit import Kind
 from .script import Unclear, read_script
 
-TENTHS, DEEPEST = 10, 8                          # in a millisecond; files that lie over each other
+TENTHS, DEEPEST = 10, 8  # in a millisecond; files that lie over each other
 EFFECTS = {"harmless": "read_like", "stamped": "idempotency_key", "one-shot": "non_idempotent"}
 
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -45,6 +46,7 @@
 
 class Work(Strict):
     """Milliseconds of one core: a mean and a coefficient of variation, or quantiles at even steps."""
+
     mean_ms: Positive = 20.0
     cv: Annotated[float, Meta(ge=0, le=10)] = 0.5
     quantiles_ms: list[Positive] = []
@@ -95,21 +97,21 @@
     report_every_ms: Time = 0.0
     report_delay_ms: Time = 0.0
     errors: Share = 0.0
-    handshake_work_ms: Time = 0.0                # of a core, for each new connection
-    connections: Count = 0                       # held at a time, 0: no limit
+    handshake_work_ms: Time = 0.0  # of a core, for each new connection
+    connections: Count = 0  # held at a time, 0: no limit
 
 
 class ClientTable(Strict):
     rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0
     skew: Annotated[float, Meta(ge=0, le=4)] = 0.0
-    hot: Positive = 1.0                          # relay 0 gets so many times what it would get by skew
+    hot: Positive = 1.0  # relay 0 gets so many times what it would get by skew
     keys: Some = 1000
     repeats: Count = 0
     repeat_after_ms: Positive = 100.0
     marks: bool = True
-    there_ms: Time = 0.0                         # what the relay and its sockets add on the way to a unit
-    back_ms: Time = 0.0                          # and on the way back
-    trace: str = ""                              # a record whose first tries are sent in place of drawn ones
+    there_ms: Time = 0.0  # what the relay and its sockets add on the way to a unit
+    back_ms: Time = 0.0  # and on the way back
+    trace: str = ""  # a record whose first tries are sent in place of drawn ones
 
 
 class ListTable(Strict):
@@ -138,11 +140,12 @@
     notes_loss: Share = 0.0
     connect_ms: Positive = 250.0
     idle_ms: Positive = 10_000.0
-    distances_ms: dict[str, Time] = {}           # "a b" = 12.0
+    distances_ms: dict[str, Time] = {}  # "a b" = 12.0
 
 
 class BuildTable(Strict):
     """`only` names a workload; `turns_s`: its fault shows from an age of the unit drawn between these."""
+
     number: Annotated[int, Meta(ge=1, lt=65_536)]
     offered_s: Time
     pace: Positive = 1.0
@@ -150,13 +153,14 @@
     wrong: Share = 0.0
     only: str = ""
     above: Annotated[float, Meta(ge=0)] = 0.0
-    fitted: bool = False                         # pace and errors as `fit` has them
+    fitted: bool = False  # pace and errors as `fit` has them
     turns_s: tuple[Time, Time] = (0.0, 0.0)
 
 
 class TrialTable(Strict):
     """Of trials alone.  `beside` is another checkout of the program (the landing before, say), run by this part of the relays
     at the start; `switch` in the script moves relays from one to the other."""
+
     beside: str = ""
     beside_part: Share = 0.0
 
@@ -166,9 +170,9 @@
     seconds: Annotated[float, Meta(gt=0, le=100_000)] = 60.0
     seed: Annotated[int, Meta(ge=0, lt=1 << 62)] = 1
     about: str = ""
-    build: Annotated[int, Meta(ge=0, lt=65_535)] = 1             # what runs at the start
+    build: Annotated[int, Meta(ge=0, lt=65_535)] = 1  # what runs at the start
     script: str = ""
-    fit: str = ""                                # a file of `record fit --json`: work and overhead come from there
+    fit: str = ""  # a file of `record fit --json`: work and overhead come from there
     fleet: FleetTable = FleetTable()
     unit: UnitTable = UnitTable()
     clients: ClientTable = ClientTable()
@@ -179,8 +183,8 @@
     customer: Annotated[list[CustomerTable], Meta(max_length=1000)] = []
     builds: Annotated[list[BuildTable], Meta(max_length=100)] = []
     trial: TrialTable = TrialTable()
-    document: dict[str, Any] = {}                # the relays' operator's document, as in deploy/tealsail.toml
-    settings: dict[str, Any] = {}                # over the relays' own, in the platform's names, as paths
+    document: dict[str, Any] = {}  # the relays' operator's document, as in deploy/tealsail.toml
+    settings: dict[str, Any] = {}  # over the relays' own, in the platform's names, as paths
 
     # what the world is made of
     @property
@@ -190,47 +194,96 @@
 
     def layout(self) -> Layout:
         table = self.fleet
-        return Layout(table.units, tuple(table.zones), table.cells, table.speeds, tenths_pair(table.start_ms),
-                      tenths(table.drain_ms), tenths(table.notice_ms), table.beside)
+        return Layout(
+            table.units,
+            tuple(table.zones),
+            table.cells,
+            table.speeds,
+            tenths_pair(table.start_ms),
+            tenths(table.drain_ms),
+            tenths(table.notice_ms),
+            table.beside,
+        )
 
     def kind(self) -> Kind:
         table = self.unit
-        return Kind(table.cores, table.slots, table.room, table.drag, table.cold_from, tenths(table.warm_up_ms),
-                    table.fall_multiple, tenths(table.fall_ms), table.stops, tenths(table.report_every_ms),
-                    tenths(table.report_delay_ms), table.errors, tenths(table.handshake_work_ms), table.connections)
+        return Kind(
+            table.cores,
+            table.slots,
+            table.room,
+            table.drag,
+            table.cold_from,
+            tenths(table.warm_up_ms),
+            table.fall_multiple,
+            tenths(table.fall_ms),
+            table.stops,
+            tenths(table.report_every_ms),
+            tenths(table.report_delay_ms),
+            table.errors,
+            tenths(table.handshake_work_ms),
+            table.connections,
+        )
 
     def works(self) -> list[Table]:
         return [each.work.table() for each in self.workload]
 
     def workloads(self) -> list[Workload]:
-        return [Workload(each.name, each.effect, each.share, tenths(each.promised_ms), tenths(each.abandon_ms),
-                         each.payoff) for each in self.workload]
+        return [
+            Workload(each.name, each.effect, each.share, tenths(each.promised_ms), tenths(each.abandon_ms), each.payoff)
+            for each in self.workload
+        ]
 
     def habits(self) -> Habits:
         table = self.clients
-        return Habits(table.rate, table.skew, table.keys, table.repeats, tenths(table.repeat_after_ms), table.marks,
-                      table.hot)
+        return Habits(
+            table.rate, table.skew, table.keys, table.repeats, tenths(table.repeat_after_ms), table.marks, table.hot
+        )
 
     def plan(self) -> Plan:
         table = self.platform
-        return Plan(tuple(table.caps), tuple(table.shares), tenths(table.bake_ms), 80_000, table.on_votes,
-                    table.back_votes, tenths(table.vote_life_ms), table.votes_per_second, tenths(table.by_clock_ms))
+        return Plan(
+            tuple(table.caps),
+            tuple(table.shares),
+            tenths(table.bake_ms),
+            80_000,
+            table.on_votes,
+            table.back_votes,
+            tenths(table.vote_life_ms),
+            table.votes_per_second,
+            tenths(table.by_clock_ms),
+        )
 
     def paths(self) -> Paths:
         table = self.network
         least, most = tenths_pair(table.notes_ms)
         distances = {tuple(pair.split()): tenths(far) for pair, far in table.distances_ms.items()}
-        return Paths(tenths(table.near_ms), tenths(table.far_ms), tenths(table.handshake_ms), least, most,
-                     table.notes_loss, distances)
+        return Paths(
+            tenths(table.near_ms),
+            tenths(table.far_ms),
+            tenths(table.handshake_ms),
+            least,
+            most,
+            table.notes_loss,
+            distances,
+        )
 
     def relay_zones(self) -> list[str]:
         return [self.fleet.zones[relay % len(self.fleet.zones)] for relay in range(self.fleet.relays)]
 
     def builds_by_number(self) -> dict[int, Build]:
         names = [each.name for each in self.workload]
-        found = {each.number: Build(each.number, each.pace, each.errors, names.index(each.only) if each.only else -1,
-                                    each.above, (tenths(each.turns_s[0] * 1000), tenths(each.turns_s[1] * 1000)),
-                                    each.wrong) for each in self.builds}
+        found = {
+            each.number: Build(
+                each.number,
+                each.pace,
+                each.errors,
+                names.index(each.only) if each.only else -1,
+                each.above,
+                (tenths(each.turns_s[0] * 1000), tenths(each.turns_s[1] * 1000)),
+                each.wrong,
+            )
+            for each in self.builds
+        }
         return {self.build: Build(self.build)} | found
 
     def faults(self) -> list[Fault]:
@@ -239,10 +292,23 @@
     def parts(self) -> Parts:
         """All that the world is made of."""
         late = tenths_pair(self.roster.late_ms)
-        return Parts(self.layout(), self.kind(), self.builds_by_number(), self.build, self.works(), self.workloads(),
-                     [(each.name, each.share) for each in self.customer], self.habits(), self.plan(), self.paths(),
-                     self.relay_zones(), late, [(int(each.offered_s * 10_000), each.number) for each in self.builds],
-                     self.faults(), self.span)
+        return Parts(
+            self.layout(),
+            self.kind(),
+            self.builds_by_number(),
+            self.build,
+            self.works(),
+            self.workloads(),
+            [(each.name, each.share) for each in self.customer],
+            self.habits(),
+            self.plan(),
+            self.paths(),
+            self.relay_zones(),
+            late,
+            [(int(each.offered_s * 10_000), each.number) for each in self.builds],
+            self.faults(),
+            self.span,
+        )
 
     def plain(self) -> dict[str, Any]:
         """As a plain map that `convert` reads."""
@@ -252,24 +318,60 @@
         """What the platform tells that relay, in its own names and units."""
         platform, unit, network = self.platform, self.unit, self.network
         tree: dict[str, Any] = {
-            "fleetSize": self.fleet.relays, "index": relay, "zone": self.relay_zones()[relay],
-            "dcs": list(self.fleet.zones), "discovery": "pushed",
-            "requestClasses": [{"name": each.name, "effect": EFFECTS[each.effect], "aim": each.promised_ms,
-                                "deadline": each.abandon_ms, "gain": each.payoff, "group": "all"}
-                               for each in self.workload],
+            "fleetSize": self.fleet.relays,
+            "index": relay,
+            "zone": self.relay_zones()[relay],
+            "dcs": list(self.fleet.zones),
+            "discovery": "pushed",
+            "requestClasses": [
+                {
+                    "name": each.name,
+                    "effect": EFFECTS[each.effect],
+                    "aim": each.promised_ms,
+                    "deadline": each.abandon_ms,
+                    "gain": each.payoff,
+                    "group": "all",
+                }
+                for each in self.workload
+            ],
             "tenants": [{"name": each.name, "share": each.share} for each in self.customer],
-            "domain": {"control": "timer" if platform.by_clock_ms else "any", "toAdvance": platform.on_votes,
-                       "holdVotes": 1, "noesNeeded": platform.back_votes, "minDwell": platform.bake_ms,
-                       "stageTime": platform.by_clock_ms or platform.bake_ms, "ballotTtl": platform.vote_life_ms,
-                       "apiTimeout": 1000, "callsPerS": platform.votes_per_second, "free": platform.free_shots,
-                       "per": "all", "span": platform.span_ms, "mostShares": list(platform.caps),
-                       "waves": list(platform.shares), "layout": "beside" if self.fleet.beside else "in_place"},
-            "limits": {"cancel": True, "maxAttempts": 3, "parallelTries": False, "retryAfter": True,
-                       "maxRetryAfter": 500, "mayTell": self.fleet.relays > 1, "dialTimeout": network.connect_ms,
-                       "connIdle": network.idle_ms},
-            "rules": {"answerSlack": 100, "coldFrom": unit.cold_from, "drainGrace": 1000,
-                      "fallMultiple": unit.fall_multiple, "overloadFor": unit.fall_ms, "warmUp": unit.warm_up_ms},
-            "feedback": {"fields": ["util", "queue"] if unit.report_every_ms else []}}
+            "domain": {
+                "control": "timer" if platform.by_clock_ms else "any",
+                "toAdvance": platform.on_votes,
+                "holdVotes": 1,
+                "noesNeeded": platform.back_votes,
+                "minDwell": platform.bake_ms,
+                "stageTime": platform.by_clock_ms or platform.bake_ms,
+                "ballotTtl": platform.vote_life_ms,
+                "apiTimeout": 1000,
+                "callsPerS": platform.votes_per_second,
+                "free": platform.free_shots,
+                "per": "all",
+                "span": platform.span_ms,
+                "mostShares": list(platform.caps),
+                "waves": list(platform.shares),
+                "layout": "beside" if self.fleet.beside else "in_place",
+            },
+            "limits": {
+                "cancel": True,
+                "maxAttempts": 3,
+                "parallelTries": False,
+                "retryAfter": True,
+                "maxRetryAfter": 500,
+                "mayTell": self.fleet.relays > 1,
+                "dialTimeout": network.connect_ms,
+                "connIdle": network.idle_ms,
+            },
+            "rules": {
+                "answerSlack": 100,
+                "coldFrom": unit.cold_from,
+                "drainGrace": 1000,
+                "fallMultiple": unit.fall_multiple,
+                "overloadFor": unit.fall_ms,
+                "warmUp": unit.warm_up_ms,
+            },
+            "feedback": {"fields": ["util", "queue"] if unit.report_every_ms else []},
+        }
         for path, value in self.settings.items():
             lay(tree, path, value)
         return tree
@@ -320,7 +422,7 @@
         raise BadScenario(f"{path}: {problem}") from None
     for table, name in ((tree, "fit"), (tree.get("clients", {}), "trace"), (tree.get("trial", {}), "beside")):
         if isinstance(table, dict) and isinstance(table.get(name), str) and table[name]:
-            table[name] = str(path.parent / table[name])         # as seen from the file that names it
+            table[name] = str(path.parent / table[name])  # as seen from the file that names it
     base = tree.pop("base", None)
     if base is None:
         return tree
@@ -347,6 +449,7 @@
 
 def check(scenario: Scenario, where: str) -> None:
     """Fields against each other."""
+
     def wrong(path: str, text: str) -> None:
         raise BadScenario(f"{where}: {path}: {text}")
 
@@ -356,9 +459,12 @@
             wrong(f"workload[{place}].effect", f"{each.effect!r} is none of {', '.join(EFFECTS)}")
         if each.promised_ms > each.abandon_ms:
             wrong(f"workload[{place}].promised_ms", "later than abandon_ms")
-    for field, listed in (("workload", names), ("customer", [each.name for each in scenario.customer]),
-                          ("fleet.zones", scenario.fleet.zones),
-                          ("builds", [each.number for each in scenario.builds])):
+    for field, listed in (
+        ("workload", names),
+        ("customer", [each.name for each in scenario.customer]),
+        ("fleet.zones", scenario.fleet.zones),
+        ("builds", [each.number for each in scenario.builds]),
+    ):
         twice = next((name for name in listed if listed.count(name) > 1), None)
         if twice is not None:
             wrong(field, f"{twice} is there twice")
--- a/tealsail/lab/script.py
+++ b/tealsail/lab/script.py
@@ -1,11 +1,12 @@
 """The language of what goes wrong in a day: one sentence a line, read with a grammar, into typed values.
 
-    at 12s kill 3 units of zone b for 10s
-    from 20s for 8s customer acme x 5
-    from 30s for 6s list stale at 50% of relays
-    at 40s pause the keeper for 5s
-    from 50s for 8s cut relays of zone a from the others one way
+at 12s kill 3 units of zone b for 10s
+from 20s for 8s customer acme x 5
+from 30s for 6s list stale at 50% of relays
+at 40s pause the keeper for 5s
+from 50s for 8s cut relays of zone a from the others one way
 """
+
 from typing import Any
 
 from lark import Lark, Transformer, v_args
@@ -61,8 +62,8 @@
 NAME: /[A-Za-z][A-Za-z0-9_-]*/
 %ignore /[ \t]+/
 """
-LONGEST = 64 * 1024                              # characters of a script
-UNITS = {"ms": 10, "s": 10_000, "m": 600_000}    # in tenths of a ms
+LONGEST = 64 * 1024  # characters of a script
+UNITS = {"ms": 10, "s": 10_000, "m": 600_000}  # in tenths of a ms
 EVERY_PART = 1.0
 LASTING = ("surge", "list", "platform silent", "platform busy", "notes", "ring", "stale lists", "hold relays")
 OF_UNITS, OF_RELAYS = ("kill", "hang", "silence", "drain"), ("kill", "pause", "restart", "switch")
@@ -78,7 +79,7 @@
 
     def TIME(self, text: Any) -> int:
         digits = text.rstrip("ms")
-        return round(float(digits) * UNITS[text[len(digits):]])
+        return round(float(digits) * UNITS[text[len(digits) :]])
 
     def PERCENT(self, text: Any) -> float:
         return float(text[:-1]) / 100
@@ -233,7 +234,7 @@
         raise Unclear(f"longer than {LONGEST} characters")
     faults = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.split("#")[0].rstrip()      # the rest is a comment
+        words = line.split("#")[0].rstrip()  # the rest is a comment
         if not words.strip():
             continue
         try:
@@ -242,8 +243,10 @@
             ended = getattr(getattr(problem, "token", None), "type", "") == "$END"
             column = len(words) + 1 if ended or problem.column < 1 else problem.column
             wanted = getattr(problem, "accepts", None) or getattr(problem, "allowed", None) or ()
-            raise Unclear(f"line {number}, column {min(column, len(words) + 1)}: {words.strip()!r} can't be read "
-                          "there" + (f"; {hint(wanted)}" if wanted else "")) from None
+            raise Unclear(
+                f"line {number}, column {min(column, len(words) + 1)}: {words.strip()!r} can't be read "
+                "there" + (f"; {hint(wanted)}" if wanted else "")
+            ) from None
         except VisitError as problem:
             raise Unclear(f"line {number}: {words.strip()!r}: {problem.orig_exc}") from None
         except (LarkError, OverflowError) as problem:
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -1,4 +1,5 @@
 """Recorded traffic as a day's clients: the first tries of a record, at their recorded times."""
+
 from typing import Iterator
 
 from ..record.files import Notes, read
@@ -6,15 +7,21 @@
 from ..world.clients import STREAM, Arrival, Clients, Habits, Workload
 from .scenario import BadScenario, Scenario
 
-MOST = STREAM - 1                                # first tries of a trace
+MOST = STREAM - 1  # first tries of a trace
 
 
 class Trace(Clients):
     """In place of drawn arrivals.  Repeats are the clients' own, as drawn.  Reads on as the day goes on."""
 
     def __init__(self, scenario: Scenario, habits: Habits, workloads: list[Workload], seed: int) -> None:
-        super().__init__(habits._replace(rate=0.0), workloads, [each.share for each in scenario.customer],
-                         scenario.fleet.relays, scenario.span, seed)
+        super().__init__(
+            habits._replace(rate=0.0),
+            workloads,
+            [each.share for each in scenario.customer],
+            scenario.fleet.relays,
+            scenario.span,
+            seed,
+        )
         self.relays, self.notes, self.path = scenario.fleet.relays, Notes(), scenario.clients.trace
         self.lines = self.arrivals(scenario)
         self.coming = next(self.lines, None)
@@ -44,9 +51,17 @@
             if at >= self.span or count > MOST:
                 return
             workload = places[theirs[line.workload]]
-            yield Arrival(at, count, count, at, line.relay % self.relays, workload,
-                          whose[line.customer] if line.customer < len(whose) else 0, line.key,
-                          at + self.workloads[workload].abandon)
+            yield Arrival(
+                at,
+                count,
+                count,
+                at,
+                line.relay % self.relays,
+                workload,
+                whose[line.customer] if line.customer < len(whose) else 0,
+                line.key,
+                at + self.workloads[workload].abandon,
+            )
 
     @property
     def due(self) -> int | None:
@@ -61,5 +76,11 @@
     """Recorded where the scenario names a trace, else drawn."""
     if scenario.clients.trace:
         return Trace(scenario, scenario.habits(), scenario.workloads(), seed)
-    return Clients(scenario.habits(), scenario.workloads(), [each.share for each in scenario.customer],
-                   scenario.fleet.relays, scenario.span, seed)
+    return Clients(
+        scenario.habits(),
+        scenario.workloads(),
+        [each.share for each in scenario.customer],
+        scenario.fleet.relays,
+        scenario.span,
+        seed,
+    )
