--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -3,16 +3,15 @@
 Each relay is the facade that real relays use (tealsail/facade.py), driven as tealsail/net/relay.py drives it.  The same
 scenario and seed give the same events, byte for byte, on any machine.
 """
+
 import heapq
 from typing import Any, Callable
 
 from ..choices.clock import GAP, TENTHS, disregard
-from ..facade import (CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing,
-                      Step, Units)
+from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
 from ..net.relay import number_of
 from ..parts import mix
-from ..record.lines import (VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take,
-                            Told)
+from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
 from ..world.day import Day, Order
 from ..world.roster import Entry
@@ -20,24 +19,26 @@
 from .scenario import Scenario
 from .traffic import clients_of
 
-BUFFER = 256                                     # notes that wait at a process that does not run; more are lost, as at a socket
-GRACE = 600_000                                  # tenths of a ms after the last arrival: then a day is cut off
-LINGER, LOOK, BOOT = 5_000, 500, 6_000           # of a planned restart: until it takes no more, looks, its start
+BUFFER = 256  # notes that wait at a process that does not run; more are lost, as at a socket
+GRACE = 600_000  # tenths of a ms after the last arrival: then a day is cut off
+LINGER, LOOK, BOOT = 5_000, 500, 6_000  # of a planned restart: until it takes no more, looks, its start
 
 
 class Out:
     """A shot on its way, at a unit or on its way back."""
+
     __slots__ = ("serving", "place", "unit", "name", "over", "holds", "new")
 
     def __init__(self, serving: "Serving", place: int, name: str) -> None:
         self.serving, self.place, self.name, self.over = serving, place, name, False
         self.unit: Unit | None = None
-        self.holds: Unit | None = None           # whose connection it uses
-        self.new = False                         # and whether that was made for it
+        self.holds: Unit | None = None  # whose connection it uses
+        self.new = False  # and whether that was made for it
 
 
 class Serving:
     """One invocation at its relay."""
+
     __slots__ = ("arrival", "number", "outs", "over", "wrong")
 
     def __init__(self, arrival: Arrival, number: int) -> None:
@@ -51,15 +52,15 @@
     def __init__(self, model: "Model", index: int, start: int) -> None:
         self.model, self.index = model, index
         facts = model.scenario.facts(index)
-        self.rate, self.since, self.zero = 1.0, model.now, model.now     # its clock: how fast, and what it showed when
-        self.stopped, self.notes = -1, 0         # since when its process does not run; notes that wait for it
+        self.rate, self.since, self.zero = 1.0, model.now, model.now  # its clock: how fast, and what it showed when
+        self.stopped, self.notes = -1, 0  # since when its process does not run; notes that wait for it
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
-        self.duties = ""                         # who acts for the fleet, as it last logged
+        self.duties = ""  # who acts for the fleet, as it last logged
         self.facade = Facade(facts, mix(model.seed, index, start, 7), self.clock, model.document.seats(facts))
         self.serving: dict[int, Serving] = {}
-        self.kept: dict[str, list[int]] = {}     # unit -> idle connections, and when one was last used
+        self.kept: dict[str, list[int]] = {}  # unit -> idle connections, and when one was last used
         self.timer = NEVER
-        self.leaving = False                     # it has been told to end, and takes no more
+        self.leaving = False  # it has been told to end, and takes no more
 
     # its process
     def clock(self) -> int:
@@ -72,7 +73,9 @@
 
     def later(self, due: int) -> int:
         """The day's time of a time on its clock."""
-        return due if self.rate == 1.0 and self.zero == self.since else self.since + int((due - self.zero) / self.rate) + 1
+        return (
+            due if self.rate == 1.0 and self.zero == self.since else self.since + int((due - self.zero) / self.rate) + 1
+        )
 
     def waits(self, first: int, call: Callable[..., None], *what: Any) -> bool:
         """Whether its process does not run: then the event waits for it; its timers (`first` 0) go before its sockets."""
@@ -106,8 +109,19 @@
 
     def take(self, arrival: Arrival) -> None:
         model = self.model
-        model.tell(Take(model.now, self.index, arrival.number, arrival.intended, arrival.workload, arrival.customer,
-                        arrival.key, arrival.give_up, arrival.first))
+        model.tell(
+            Take(
+                model.now,
+                self.index,
+                arrival.number,
+                arrival.intended,
+                arrival.workload,
+                arrival.customer,
+                arrival.key,
+                arrival.give_up,
+                arrival.first,
+            )
+        )
         if not self.waits(1, self.taken, arrival):
             self.taken(arrival)
 
@@ -115,7 +129,9 @@
         model, facade = self.model, self.facade
         workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
         repeat = arrival.repeat and model.parts.habits.marks
-        number, step = facade.pick(workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat)
+        number, step = facade.pick(
+            workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
+        )
         serving = self.serving[number] = Serving(arrival, number)
         self.follow(serving, step)
         self.schedule()
@@ -151,7 +167,7 @@
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
         way = model.day.network.way(self.index, zone)
-        if unit is None or unit.dead:            # refused at once
+        if unit is None or unit.dead:  # refused at once
             self.kept.pop(name, None)
             model.later(now + 2 * way, self.came, out, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
@@ -183,7 +199,7 @@
         out.over, serving, model = True, out.serving, self.model
         serving.outs.pop(out.place, None)
         load = None
-        if outcome == "wrong":                   # a relay can't tell
+        if outcome == "wrong":  # a relay can't tell
             serving.wrong, outcome = True, "served"
         if out.holds and outcome in ("served", "error", "full"):
             kept = self.kept.setdefault(out.name, [0, 0])
@@ -207,15 +223,16 @@
 
     def give_up(self, out: Out, outcome: str) -> None:
         if out.unit:
-            self.model.later(self.model.now + self.model.day.network.way(self.index, out.unit.zone),
-                             self.model.stop, out)
-        self.came(out, outcome if out.unit else "moot")          # nothing was written yet
+            self.model.later(
+                self.model.now + self.model.day.network.way(self.index, out.unit.zone), self.model.stop, out
+            )
+        self.came(out, outcome if out.unit else "moot")  # nothing was written yet
 
     def schedule(self) -> None:
         """As the daemon does: at once what is wanted, else when the facade is due."""
         facade = self.facade
         if self.stopped >= 0:
-            return                               # it looks when it runs again
+            return  # it looks when it runs again
         wants = facade.wants
         if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
             return self.ticked()
@@ -264,10 +281,16 @@
             return
         for entry in entries:
             model.tell(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
-        ahead = self.clock() - model.now         # units' starts are told in the time of all others' clocks
+        ahead = self.clock() - model.now  # units' starts are told in the time of all others' clocks
         told = [model.listed(entry) for entry in entries]
-        self.facade.report(Units(kind, told if not ahead else [each._replace(started=each.started and max(1, each.started + ahead))
-                                                               for each in told]))
+        self.facade.report(
+            Units(
+                kind,
+                told
+                if not ahead
+                else [each._replace(started=each.started and max(1, each.started + ahead)) for each in told],
+            )
+        )
         self.schedule()
 
     def stood(self) -> None:
@@ -298,8 +321,8 @@
         self.idle_time = int(scenario.network.idle_ms * 10)
         self.there, self.back = int(scenario.clients.there_ms * 10), int(scenario.clients.back_ms * 10)
         self.news_wait = int(scenario.platform.news_ms * 10)
-        self.open = self.waiting = 0             # invocations without an answer; repeats to come
-        self.day_at = NEVER                      # when the day is woken next
+        self.open = self.waiting = 0  # invocations without an answer; repeats to come
+        self.day_at = NEVER  # when the day is woken next
         self.doors: list[Door | None] = []
         self.starts = [0] * scenario.fleet.relays
         self.faults = 0
@@ -353,7 +376,7 @@
         for name, (idle, _) in door.kept.items():
             if name in self.day.fleet.units:
                 self.day.fleet.units[name].disconnect(idle)
-        for _, call, what in door.backlog:       # what it had not even read
+        for _, call, what in door.backlog:  # what it had not even read
             if call == door.taken:
                 self.open -= 1
                 self.tell(End(self.now, relay, what[0].number, "lost"))
@@ -375,10 +398,12 @@
         for door in self.doors:
             if door:
                 relay = door.facade.relay
-                for each in [relay.guide.keeper()] if name == "keeper" else relay.judge.order[:3 if name == "judges" else 1]:
+                for each in (
+                    [relay.guide.keeper()] if name == "keeper" else relay.judge.order[: 3 if name == "judges" else 1]
+                ):
                     words[each] = words.get(each, 0) + 1
         best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
-        return best[:3 if name == "judges" else 1]
+        return best[: 3 if name == "judges" else 1]
 
     def anew(self, relay: int) -> None:
         """One that did not run for a while asks for what others keep."""
@@ -418,7 +443,7 @@
 
     def left(self, door: Door) -> None:
         if self.doors[door.index] is not door:
-            return                               # killed meanwhile
+            return  # killed meanwhile
         if door.serving:
             return self.later(self.now + LOOK, self.left, door)
         self.end(door.index)
@@ -436,7 +461,7 @@
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
         if not self.day.network.has(self.now, door.index, "platform"):
-            answer = "nothing"                   # it never came
+            answer = "nothing"  # it never came
         else:
             answer = self.day.vote(self.now, door.index, build, stage, verdict)
             self.took_up()
@@ -555,17 +580,22 @@
 
     def tell_list(self, relay: int, version: int) -> None:
         if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
-            return                               # told once it moves again, or is reached
+            return  # told once it moves again, or is reached
         _, entries = self.day.roster.news(relay, version)
         if entries and self.doors[relay]:
             self.doors[relay].listed(entries, "changes")
 
     def tell_state(self, relay: int) -> None:
-        if self.doors[relay] and self.now >= self.day.desk.silent_until and self.day.network.has(self.now, relay, "platform"):
+        if (
+            self.doors[relay]
+            and self.now >= self.day.desk.silent_until
+            and self.day.network.has(self.now, relay, "platform")
+        ):
             self.doors[relay].stood()
 
     def listed(self, entry: Entry) -> Listed:
         number = number_of(entry.name)
         self.unit_names[number] = entry.name
-        return Listed(number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight,
-                      entry.started)
+        return Listed(
+            number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
+        )
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -1,4 +1,5 @@
 """Clients: their connections, what comes over them, and the answers in the order of the queries."""
+
 from collections import deque
 from typing import Any, Callable, NamedTuple, Union
 
@@ -16,16 +17,17 @@
 from .kernel import unread
 from .messages import Value
 
-READ_AHEAD, EACH = 64 * 1024, 256                # bytes held of one connection, then reading rests; for each
-MOST_QUERIES = 32                                # that wait in one connection: no client in order asks so much
-SWEEP, LOOKS = 0.1, 8                            # seconds; idle connections looked at for one that makes room
-MUTE, FIRST = 20_000, 5_000                      # tenths of a ms: something whole must have come; a first query
-CROWD = 0.25                                     # so full, connections end that are idle for UNUSED
-READ_OUT, MOST_READ_OUT = 0.5, 32                # seconds for the other side's end behind ours; connections at a time
+READ_AHEAD, EACH = 64 * 1024, 256  # bytes held of one connection, then reading rests; for each
+MOST_QUERIES = 32  # that wait in one connection: no client in order asks so much
+SWEEP, LOOKS = 0.1, 8  # seconds; idle connections looked at for one that makes room
+MUTE, FIRST = 20_000, 5_000  # tenths of a ms: something whole must have come; a first query
+CROWD = 0.25  # so full, connections end that are idle for UNUSED
+READ_OUT, MOST_READ_OUT = 0.5, 32  # seconds for the other side's end behind ours; connections at a time
 
 
 class Rejected(NamedTuple):
     """Trying again is harmless, after `come_back` tenths of a millisecond (0: no advice)."""
+
     come_back: int
 
 
@@ -50,12 +52,14 @@
 
 class Asked(NamedTuple):
     """A query, and when it came."""
+
     text: bytes
     at: int
 
 
 class Ending(NamedTuple):
     """The connection's end, in its turn behind the answers still due."""
+
     code: str
     last: bytes = b""
     note: str = ""
@@ -72,21 +76,21 @@
     def __init__(self, clients: "Clients") -> None:
         self.clients, self.counters = clients, clients.counters
         self.splitter = messages.Splitter(typed=False)
-        self.queue: deque[Asked | bytes | Ending] = deque()      # bytes: an answer that is known already
+        self.queue: deque[Asked | bytes | Ending] = deque()  # bytes: an answer that is known already
         self.waiting: Deferred[Answer] | None = None
-        self.welcome = True                      # False: there is no room for it
-        self.again = clients.closing             # it came when this relay was ending already
-        self.reading_out, self.cutting = False, None             # our half has ended; the timer of the other's end
+        self.welcome = True  # False: there is no room for it
+        self.again = clients.closing  # it came when this relay was ending already
+        self.reading_out, self.cutting = False, None  # our half has ended; the timer of the other's end
         self.skipping = self.working = self.clogged = self.deaf = self.resting = False
-        self.held = 0                            # bytes of the queue
+        self.held = 0  # bytes of the queue
         self.idle_since = clients.clock()
-        self.queries, self.asked = 0, False      # waiting in the queue; whether one was ever whole
-        self.half_since: int | None = None       # half of a message has come, and the last whole one is so old
+        self.queries, self.asked = 0, False  # waiting in the queue; whether one was ever whole
+        self.half_since: int | None = None  # half of a message has come, and the last whole one is so old
         self.code, self.note = "", ""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)              # to be told when answers pile up unread
+        self.transport.registerProducer(self, True)  # to be told when answers pile up unread
         self.counters.add("clients.connections")
         self.welcome = self.clients.enter(self)
 
@@ -105,7 +109,7 @@
                     self.opened(messages.opening(body))
                 if self.code or self.deaf:
                     break
-        except messages.Unreadable as problem:   # what came before it still gets its answers
+        except messages.Unreadable as problem:  # what came before it still gets its answers
             self.counters.add("clients.unreadable")
             self.hold(Ending("unreadable", messages.trouble(LOST, str(problem), fatal=True), str(problem)))
         if self.splitter.held:
@@ -117,7 +121,7 @@
             case messages.Encryption():
                 self.hold(messages.DECLINED)
             case messages.Cancel():
-                self.hold(Ending("cancel"))      # what is asked there can't be told apart: nothing to stop
+                self.hold(Ending("cancel"))  # what is asked there can't be told apart: nothing to stop
             case messages.Startup() if not self.welcome:
                 self.hold(Ending("full", messages.trouble(FULL, "too many connections", fatal=True)))
             case messages.Startup():
@@ -190,7 +194,7 @@
     def answer(self, text: bytes, at: int) -> None:
         if not text.strip(b" ;\n\t"):
             self.counters.add("clients.empty")
-            if self.again:                       # a front that asks whether this relay is ready: not any more
+            if self.again:  # a front that asks whether this relay is ready: not any more
                 return self.end("closing")
             return self.write(messages.EMPTY)
         if statements.IDLE.fullmatch(text):
@@ -201,7 +205,7 @@
             self.counters.add("clients.unclear")
             return self.write(messages.trouble(FORM, str(problem)) + messages.READY)
         self.counters.add("clients.taken")
-        self.waiting.addCallbacks(self.answered, lambda reason: None)     # cancelled: nobody to answer
+        self.waiting.addCallbacks(self.answered, lambda reason: None)  # cancelled: nobody to answer
 
     def answered(self, answer: Answer) -> None:
         self.waiting, self.idle_since = None, self.clients.clock()
@@ -243,7 +247,7 @@
         self.code, self.note = code, note
         if last:
             self.write(last)
-        self.transport.unregisterProducer()      # one that is paused would be asked for more, and no end would follow
+        self.transport.unregisterProducer()  # one that is paused would be asked for more, and no end would follow
         if (last or code == "closing") and self.clients.reading_out < MOST_READ_OUT:
             self.clients.reading_out += 1
             self.reading_out = True
@@ -286,14 +290,21 @@
 
 class Clients(Factory):
     """All clients.  `take` starts an invocation; its Deferred is cancelled when the client has gone."""
+
     noisy = False
 
-    def __init__(self, reactor: Any, take: Callable[[statements.Statement, int], Deferred[Answer]],
-                 clock: Callable[[], int], counters: Counters, most: int) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        take: Callable[[statements.Statement, int], Deferred[Answer]],
+        clock: Callable[[], int],
+        counters: Counters,
+        most: int,
+    ) -> None:
         self.reactor, self.take, self.clock, self.counters, self.most = reactor, take, clock, counters, most
         self.connections: dict[Client, None] = {}
         self.closing = False
-        self.reading_out = 0                     # connections whose other half is waited for
+        self.reading_out = 0  # connections whose other half is waited for
         self.sweeping = reactor.callLater(SWEEP, self.sweep)
 
     def sweep(self) -> None:
@@ -322,9 +333,10 @@
         self.connections[client] = None
         if len(self.connections) <= self.most:
             return True
-        idle = sorted((each for each in self.connections if each is not client and each.idle()),
-                      key=lambda each: (bool(each.half_since), each.asked or now - each.idle_since < FIRST,
-                                        each.idle_since))
+        idle = sorted(
+            (each for each in self.connections if each is not client and each.idle()),
+            key=lambda each: (bool(each.half_since), each.asked or now - each.idle_since < FIRST, each.idle_since),
+        )
         longest = next((each for each in idle[:LOOKS] if each.free()), None)
         if longest:
             longest.end("no_room")
--- a/tealsail/net/counters.py
+++ b/tealsail/net/counters.py
@@ -1,10 +1,11 @@
 """Counts of what is taken in, sent and answered, and one log line for each connection that ends."""
+
 from collections import Counter
 from time import monotonic
 
 from loguru import logger
 
-LINES_A_SECOND = 50                              # of ended connections; the rest of a second is only counted
+LINES_A_SECOND = 50  # of ended connections; the rest of a second is only counted
 
 
 class Counters:
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -1,4 +1,5 @@
 """Discovery: the list of units and its changes, over HTTP/1.1 with a parser of our own."""
+
 import json
 from typing import Any, Callable, NamedTuple
 
@@ -14,7 +15,7 @@
 # seconds: a watch's wait, ours beyond it, and a plain call's.  What a silent watch misses counts as told 2 s after its wait:
 # by then another answer must have come, so half of that is waited for and half is left for the next connection.
 WATCH, SLACK, FIRST_WAIT = 20.0, 1.0, 4.0
-PART, WHOLE = 1.0, 3.0                           # seconds for the next piece of a reply that has begun; for all of it
+PART, WHOLE = 1.0, 3.0  # seconds for the next piece of a reply that has begun; for all of it
 STATES = ("ready", "draining", "gone")
 
 
@@ -25,8 +26,8 @@
 class Reply(NamedTuple):
     status: int
     body: bytes
-    last: bool                                   # the connection ends behind it
-    wait: int = 0                                # seconds that it asks to be left alone for
+    last: bool  # the connection ends behind it
+    wait: int = 0  # seconds that it asks to be left alone for
 
     def turned_away(self) -> bool:
         """Too much is asked of the other side, or it is at fault; what is known of the list still holds."""
@@ -40,7 +41,7 @@
     cell: int
     state: str
     weight: float
-    started: float                               # Unix time in milliseconds, 0 for long ago
+    started: float  # Unix time in milliseconds, 0 for long ago
     build: int
 
 
@@ -53,17 +54,30 @@
 def read_news(tree: Any) -> News:
     """From JSON; `known` in a relay's configuration has the same form."""
     try:
-        entries = [Entry(str(each["instanceId"]), address(each.get("hostPort", "")),
-                         str(each.get("zone", "")), int(each.get("cell", 0)),
-                         str(each.get("lifecycle", "ready")), float(each.get("weight", 1)),
-                         float(each.get("startedAtMs", 0)), int(each.get("build", 0)))
-                   for each in tree["instances"]]
+        entries = [
+            Entry(
+                str(each["instanceId"]),
+                address(each.get("hostPort", "")),
+                str(each.get("zone", "")),
+                int(each.get("cell", 0)),
+                str(each.get("lifecycle", "ready")),
+                float(each.get("weight", 1)),
+                float(each.get("startedAtMs", 0)),
+                int(each.get("build", 0)),
+            )
+            for each in tree["instances"]
+        ]
         news = News(int(tree["generation"]), bool(tree.get("reset", True)), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise Unreadable(f"a list that can't be read: {type(problem).__name__} {problem}") from None
     for each in entries:
-        if not (each.state in STATES and 0 <= each.weight < 1e6 and 0 <= each.started < 1e15
-                and 0 <= each.build < 1 << 16 and abs(each.cell) < 1 << 31):     # no nan either
+        if not (
+            each.state in STATES
+            and 0 <= each.weight < 1e6
+            and 0 <= each.started < 1e15
+            and 0 <= each.build < 1 << 16
+            and abs(each.cell) < 1 << 31
+        ):  # no nan either
             raise Unreadable(f"an entry beyond bounds: {each.id[:40]!r}")
     return news
 
@@ -80,8 +94,8 @@
 
     def __init__(self) -> None:
         self.held = bytearray()
-        self.status = 0                          # of the reply whose head has come
-        self.length: int | None = None           # of its body or of the chunk at hand; None: up to the end
+        self.status = 0  # of the reply whose head has come
+        self.length: int | None = None  # of its body or of the chunk at hand; None: up to the end
         self.chunked = self.trailer = self.last = False
         self.wait = 0
         self.body = bytearray()
@@ -111,8 +125,8 @@
             if len(self.held) > LONGEST_BODY:
                 raise Unreadable("a body beyond bounds")
             return False
-        body = bytes(self.held[:self.length])
-        del self.held[:self.length]
+        body = bytes(self.held[: self.length])
+        del self.held[: self.length]
         replies.append(self.whole(body))
         return True
 
@@ -123,12 +137,12 @@
         if end < 0:
             return False
         first, *lines = bytes(self.held[:end]).split(b"\r\n")
-        del self.held[:end + 4]
+        del self.held[: end + 4]
         version, _, rest = first.partition(b" ")
         status = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or not status.isdigit() or len(status) != 3:
             raise Unreadable(f"no status line: {first[:40]!r}")
-        if status.startswith(b"1"):              # an interim reply has no body and ends nothing
+        if status.startswith(b"1"):  # an interim reply has no body and ends nothing
             return True
         fields: dict[bytes, bytes] = {}
         for line in lines:
@@ -142,24 +156,27 @@
         if length is not None and not (length.isdigit() and int(length) <= LONGEST_BODY):
             raise Unreadable("no such length")
         self.length = 0 if self.status in (204, 304) else int(length) if length is not None else None
-        wait = fields.get(b"retry-after", b"")   # a date, the other form, is passed over
+        wait = fields.get(b"retry-after", b"")  # a date, the other form, is passed over
         self.wait = int(wait) if wait.isdigit() and len(wait) < 10 else 0
         how = fields.get(b"connection", b"").lower()
-        self.last = how == b"close" or (version == b"HTTP/1.0" and how != b"keep-alive") or (
-            self.length is None and not self.chunked)
+        self.last = (
+            how == b"close"
+            or (version == b"HTTP/1.0" and how != b"keep-alive")
+            or (self.length is None and not self.chunked)
+        )
         if self.chunked:
             self.length = None
         return True
 
     def chunk(self, replies: list[Reply]) -> bool:
         end = self.held.find(b"\r\n")
-        if self.length is None:                  # a chunk's size, or the trailer's lines behind the last
+        if self.length is None:  # a chunk's size, or the trailer's lines behind the last
             if end < 0 and len(self.held) > LONGEST_HEAD:
                 raise Unreadable("a chunk's line beyond bounds")
             if end < 0:
                 return False
             line = bytes(self.held[:end])
-            del self.held[:end + 2]
+            del self.held[: end + 2]
             if self.trailer:
                 if not line:
                     replies.append(self.whole(bytes(self.body)))
@@ -175,10 +192,10 @@
             return True
         if len(self.held) < self.length + 2:
             return False
-        if self.held[self.length:self.length + 2] != b"\r\n":
+        if self.held[self.length : self.length + 2] != b"\r\n":
             raise Unreadable("a chunk without its end")
-        self.body += self.held[:self.length]
-        del self.held[:self.length + 2]
+        self.body += self.held[: self.length]
+        del self.held[: self.length + 2]
         self.length = None
         return True
 
@@ -194,14 +211,15 @@
 
     def __init__(self, discovery: "Discovery") -> None:
         self.discovery, self.replies = discovery, Replies()
-        self.since: float | None = None          # when the reply at hand began
+        self.since: float | None = None  # when the reply at hand began
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
 
     def call(self, path: str) -> None:
-        self.transport.write(f"GET {path} HTTP/1.1\r\nHost: {self.discovery.address}\r\n"
-                             "Accept: application/json\r\n\r\n".encode())
+        self.transport.write(
+            f"GET {path} HTTP/1.1\r\nHost: {self.discovery.address}\r\nAccept: application/json\r\n\r\n".encode()
+        )
 
     def dataReceived(self, data: bytes) -> None:
         if self.code:
@@ -236,13 +254,21 @@
 class Discovery(Kept):
     """The whole list once, then a watch that is resumed at once after each answer."""
 
-    def __init__(self, reactor: Any, address: str, path: str, counters: Counters,
-                 tell: Callable[[News], None], pauses: Pauses, turned: Pauses) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        address: str,
+        path: str,
+        counters: Counters,
+        tell: Callable[[News], None],
+        pauses: Pauses,
+        turned: Pauses,
+    ) -> None:
         super().__init__(reactor, address, counters, pauses)
-        self.path, self.tell, self.turned = path, tell, turned   # the pauses after being turned away
-        self.version: int | None = None          # None: the whole list is asked for
-        self.away = 0                            # seconds that the other side asked for when it last turned us away
-        self.moved = False                       # and so it is at a new address
+        self.path, self.tell, self.turned = path, tell, turned  # the pauses after being turned away
+        self.version: int | None = None  # None: the whole list is asked for
+        self.away = 0  # seconds that the other side asked for when it last turned us away
+        self.moved = False  # and so it is at a new address
 
     def protocol(self) -> Caller:
         return Caller(self)
@@ -274,14 +300,13 @@
         first = self.version is None
         self.counters.add("discovery.asked")
         self.expect(FIRST_WAIT if first else WATCH + SLACK)
-        self.caller.call(self.path if first else
-                         f"{self.path}?after={self.version}&wait_ms={int(WATCH * 1000)}")
+        self.caller.call(self.path if first else f"{self.path}?after={self.version}&wait_ms={int(WATCH * 1000)}")
 
     def came(self, caller: Caller, reply: Reply) -> None:
         if caller is not self.caller:
             return
         self.quiet()
-        if reply.turned_away():                  # nothing was missed: no whole list, which all would ask for next
+        if reply.turned_away():  # nothing was missed: no whole list, which all would ask for next
             self.counters.add("discovery.turned_away")
             self.away = reply.wait
             return caller.end("turned_away")
@@ -290,12 +315,12 @@
                 raise Unreadable(f"status {reply.status}")
             news = read_news(json.loads(reply.body))
         except (Unreadable, ValueError, RecursionError) as problem:
-            self.version = None                  # what was missed can't be told: the whole list next
+            self.version = None  # what was missed can't be told: the whole list next
             return caller.unreadable(str(problem))
         self.counters.add("discovery.answered")
         self.version = news.version
         self.pauses.reset()
         self.turned.reset()
         if not caller.code:
-            self.ask()                           # before anything else: a watch goes on only for 200 ms
+            self.ask()  # before anything else: a watch goes on only for 200 ms
         self.tell(news)
--- a/tealsail/net/kept.py
+++ b/tealsail/net/kept.py
@@ -1,5 +1,6 @@
 """What connections that a relay makes have in common: an end with a code for its reason, and, where one
 connection to an address is to stand always, making it anew."""
+
 from typing import Any
 
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
@@ -10,11 +11,12 @@
 from ..choices.pauses import Pauses
 from .counters import Counters
 
-CONNECT = 1.0                                    # seconds
+CONNECT = 1.0  # seconds
 
 
 class Ended(Protocol):
     """A connection that ends at once when asked to; nothing more of it is read then."""
+
     code = ""
 
     def end(self, code: str) -> None:
@@ -32,10 +34,10 @@
 
     def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Pauses) -> None:
         self.reactor, self.address, self.counters, self.pauses = reactor, address, counters, pauses
-        self.caller: Any = None                  # the connection that counts, once it is up
-        self.silence: Any = None                 # the timer of what is waited for on it
-        self.retry: Any = None                   # the timer of the next try
-        self.tries, self.trying = 0, False       # only the latest try counts, and whether it is under way
+        self.caller: Any = None  # the connection that counts, once it is up
+        self.silence: Any = None  # the timer of what is waited for on it
+        self.retry: Any = None  # the timer of the next try
+        self.tries, self.trying = 0, False  # only the latest try counts, and whether it is under way
         self.stopped = False
 
     def protocol(self) -> Ended:
@@ -56,10 +58,11 @@
             host, port = self.address.rsplit(":", 1)
             endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=CONNECT)
             connectProtocol(endpoint, self.protocol()).addCallbacks(
-                self.up, self.refused, callbackArgs=(self.tries,), errbackArgs=(self.tries,))
+                self.up, self.refused, callbackArgs=(self.tries,), errbackArgs=(self.tries,)
+            )
 
     def up(self, caller: Any, number: int) -> None:
-        if self.stopped or number != self.tries:         # there has been a move, or the end, meanwhile
+        if self.stopped or number != self.tries:  # there has been a move, or the end, meanwhile
             return caller.end("closing" if self.stopped else "moved")
         self.trying, former = False, self.caller
         if former:
--- a/tealsail/net/kernel.py
+++ b/tealsail/net/kernel.py
@@ -1,4 +1,5 @@
 """What the kernel holds already and the loop has not read: asked before a close that would throw it away."""
+
 import socket
 from collections.abc import Callable
 from typing import Any
@@ -9,20 +10,20 @@
     held = getattr(transport, "socket", None)
     try:
         return bool(held and held.recv(1, socket.MSG_PEEK))
-    except OSError:                              # nothing there, or it has ended
+    except OSError:  # nothing there, or it has ended
         return False
 
 
 def hold(port: Any, held: bool) -> None:
     """Whether who comes waits in the kernel; there is room for as many as the port was made for."""
     turn = getattr(port, "stopReading" if held else "startReading", None)
-    if turn:                                     # ports in memory have no kernel behind them
+    if turn:  # ports in memory have no kernel behind them
         turn()
 
 
 def take_in(port: Any, count: Callable[[], int]) -> None:
     """Accept all that a listening port holds; `count` tells how many have been accepted so far."""
-    accept = getattr(port, "doRead", None)       # ports in memory have no kernel behind them
+    accept = getattr(port, "doRead", None)  # ports in memory have no kernel behind them
     before = None
     while accept and before != (before := count()):
         accept()
--- a/tealsail/net/messages.py
+++ b/tealsail/net/messages.py
@@ -1,9 +1,10 @@
 """Version 3 of PostgreSQL's wire protocol, as far as simple queries need it: bytes to small typed values and
 back, each once."""
+
 import struct
 from typing import Iterator, NamedTuple
 
-LONGEST = 256 * 1024                             # a value of 64 KiB in hex, a statement round it, and room
+LONGEST = 256 * 1024  # a value of 64 KiB in hex, a statement round it, and room
 LONGEST_OPENING = 10_000
 SSL, GSSENC, CANCEL, VERSION_3 = 80877103, 80877104, 80877102, 3
 
@@ -30,6 +31,7 @@
 
 class Extended(NamedTuple):
     """A message of the extended protocol; a Sync ends them."""
+
     sync: bool
 
 
@@ -70,6 +72,7 @@
 
 class Trouble(NamedTuple):
     """ErrorResponse."""
+
     code: bytes
     text: bytes
 
@@ -84,6 +87,7 @@
 
 class Value(NamedTuple):
     """A whole answer as a unit gave it."""
+
     described: Described
     row: Row
     complete: Complete
@@ -104,13 +108,13 @@
             head = 5 if self.typed else 4
             if len(self.held) < head:
                 return
-            length, = struct.unpack_from(">I", self.held, head - 4)
+            (length,) = struct.unpack_from(">I", self.held, head - 4)
             if not 4 <= length <= (LONGEST if self.typed else LONGEST_OPENING):
                 raise Unreadable(f"a message of {length} bytes")
             if len(self.held) < head - 4 + length:
                 return
-            kind, body = bytes(self.held[:head - 4]), bytes(self.held[head:head - 4 + length])
-            del self.held[:head - 4 + length]
+            kind, body = bytes(self.held[: head - 4]), bytes(self.held[head : head - 4 + length])
+            del self.held[: head - 4 + length]
             yield kind, body
 
 
@@ -124,7 +128,7 @@
     """The first message of a client, which has no type."""
     if len(body) < 4:
         raise Unreadable("a first message without a version")
-    code, = struct.unpack_from(">I", body)
+    (code,) = struct.unpack_from(">I", body)
     if code in (SSL, GSSENC):
         return Encryption()
     if code == CANCEL:
@@ -152,15 +156,16 @@
     raise Unreadable(f"a message of type {kind!r}")
 
 
-def from_unit(kind: bytes, body: bytes) -> (
-        Authentication | Status | Ready | Described | Row | Complete | Trouble | Empty | Passed):
+def from_unit(
+    kind: bytes, body: bytes
+) -> Authentication | Status | Ready | Described | Row | Complete | Trouble | Empty | Passed:
     try:
         match kind:
             case b"R":
                 return Authentication(*struct.unpack(">I", body))
             case b"S":
                 pair = body.split(b"\0")
-                return Status(*pair[:2]) if len(pair) == 3 and not pair[2] else Passed()     # spoils nothing
+                return Status(*pair[:2]) if len(pair) == 3 and not pair[2] else Passed()  # spoils nothing
             case b"T":
                 return Described(body, columns(body, 18))
             case b"D":
@@ -185,13 +190,13 @@
 
 def columns(body: bytes, described: int = 0) -> int:
     """How many there are, each whole: a name and so many bytes of description, or a length and a value."""
-    count, = struct.unpack_from(">H", body)
+    (count,) = struct.unpack_from(">H", body)
     at = 2
     for _ in range(count):
         if described:
             at = body.index(b"\0", at) + 1 + described
         else:
-            length, = struct.unpack_from(">i", body, at)
+            (length,) = struct.unpack_from(">i", body, at)
             at += 4 + (length if length >= 0 else len(body))
     if at != len(body):
         raise Unreadable("lengths that don't fit")
@@ -205,9 +210,14 @@
 READY = message(b"Z", b"I")
 EMPTY = message(b"I") + READY
 DECLINED = b"N"
-WELCOME = (message(b"R", struct.pack(">I", 0)) + message(b"S", b"server_version\x0016.0\0")
-           + message(b"S", b"client_encoding\0UTF8\0") + message(b"S", b"standard_conforming_strings\0on\0")
-           + message(b"K", bytes(8)) + READY)
+WELCOME = (
+    message(b"R", struct.pack(">I", 0))
+    + message(b"S", b"server_version\x0016.0\0")
+    + message(b"S", b"client_encoding\0UTF8\0")
+    + message(b"S", b"standard_conforming_strings\0on\0")
+    + message(b"K", bytes(8))
+    + READY
+)
 SET_DONE = message(b"C", b"SET\0") + READY
 
 
@@ -228,5 +238,6 @@
 
 
 def whole(value: Value) -> bytes:
-    return (message(b"T", value.described.body) + message(b"D", value.row.body)
-            + message(b"C", value.complete.body) + READY)
+    return (
+        message(b"T", value.described.body) + message(b"D", value.row.body) + message(b"C", value.complete.body) + READY
+    )
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -1,4 +1,5 @@
 """Other relays: notes as UDP datagrams."""
+
 from typing import Callable
 
 from twisted.internet.protocol import DatagramProtocol
@@ -17,10 +18,18 @@
 
 class Peers(DatagramProtocol):
     """What arrives counts only from an address of the list; a relay's number is its place there."""
+
     noisy = False
 
-    def __init__(self, addresses: list[str], everyone: str, counters: Counters,
-                 heard: Callable[[int, bytes], None], flood: Flood, clock: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        addresses: list[str],
+        everyone: str,
+        counters: Counters,
+        heard: Callable[[int, bytes], None],
+        flood: Flood,
+        clock: Callable[[], int],
+    ) -> None:
         """`flood` bounds notes of counts; those of shots are many more and small, with a bound of their own."""
         self.addresses = [pair(address) for address in addresses]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
@@ -47,5 +56,5 @@
         try:
             self.transport.write(data, to)
             self.counters.add("peers.told")
-        except OSError:                          # a full buffer or a refused port: notes may be lost
+        except OSError:  # a full buffer or a refused port: notes may be lost
             self.counters.add("peers.unsent")
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -1,4 +1,5 @@
 """The platform: its news of the newest build, and votes, as JSON-RPC 2.0 with one object to a line."""
+
 import json
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -12,7 +13,7 @@
 from .kept import Ended, Kept, cancel
 
 LONGEST = 8 * 1024
-SILENT, PART = 3.5, 0.5                          # seconds with no sign of life; for the rest of a line
+SILENT, PART = 3.5, 0.5  # seconds with no sign of life; for the rest of a line
 PHASES = {"canary": "on trial", "reverting": "going back", "stable": "released", "reverted": "withdrawn"}
 VERDICTS = {"none": "blank", "on": "go", "hold": "stay", "back": "stop"}
 ERRORS = {"BUSY": "full", "STALE": "moot", "FAILED": "error", "SYNTAX": "error"}
@@ -24,6 +25,7 @@
 
 class State(NamedTuple):
     """Where the newest build stands; `age` in milliseconds."""
+
     build: int
     stage: int
     phase: str
@@ -33,6 +35,7 @@
 
 class Answer(NamedTuple):
     """To a call of ours; `state` is None where it failed or tells nothing."""
+
     call: int
     state: State | None
     error: str
@@ -40,17 +43,24 @@
 
 class Told(NamedTuple):
     """A notification; `state` is None for a sign of life or another kind."""
+
     state: State | None
 
 
 def read_state(tree: Any) -> State:
     try:
-        state = State(int(tree["Revision"]), int(tree["Wave"]), PHASES[tree["State"]],
-                      float(tree["MaxShare"]), float(tree.get("AgeMs", 0)))
+        state = State(
+            int(tree["Revision"]),
+            int(tree["Wave"]),
+            PHASES[tree["State"]],
+            float(tree["MaxShare"]),
+            float(tree.get("AgeMs", 0)),
+        )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise Unreadable(f"no state: {type(problem).__name__} {problem}") from None
-    if not (0 <= state.build < 1 << 16 and 0 <= state.stage < 256 and 0 <= state.cap <= 1
-            and 0 <= state.age < 1e12):          # what notes have room for; no nan either
+    if not (
+        0 <= state.build < 1 << 16 and 0 <= state.stage < 256 and 0 <= state.cap <= 1 and 0 <= state.age < 1e12
+    ):  # what notes have room for; no nan either
         raise Unreadable("no state: beyond bounds")
     return state
 
@@ -96,7 +106,7 @@
             if len(self.held) >= LONGEST:
                 raise Unreadable("a line beyond bounds")
             if self.held and self is self.platform.caller:
-                self.platform.expect(PART)       # what began must end soon
+                self.platform.expect(PART)  # what began must end soon
         except Unreadable as problem:
             self.platform.counters.add("platform.unreadable")
             logger.warning("platform: {}", problem)
@@ -110,13 +120,21 @@
 class Platform(Kept):
     """The subscription, kept up, and one vote at a time over the same connection."""
 
-    def __init__(self, reactor: Any, address: str, vote_wait: float, counters: Counters,
-                 tell: Callable[[State], None], counted: Callable[[str], None], pauses: Pauses) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        address: str,
+        vote_wait: float,
+        counters: Counters,
+        tell: Callable[[State], None],
+        counted: Callable[[str], None],
+        pauses: Pauses,
+    ) -> None:
         super().__init__(reactor, address, counters, pauses)
         self.vote_wait, self.tell, self.counted = vote_wait, tell, counted
         self.calls = 0
-        self.voting: int | None = None           # the call of the vote that is out
-        self.ballot: Caller | None = None        # the connection that it was written to
+        self.voting: int | None = None  # the call of the vote that is out
+        self.ballot: Caller | None = None  # the connection that it was written to
         self.vote_timer: Any = None
 
     def protocol(self) -> Caller:
@@ -136,7 +154,7 @@
     def came(self, caller: Caller, what: Answer | Told) -> None:
         if isinstance(what, Answer) and caller is self.ballot and what.call == self.voting:
             self.voted("ok" if what.state else ERRORS.get(what.error, "timeout"))
-        if caller is not self.caller:            # news comes over the connection that counts
+        if caller is not self.caller:  # news comes over the connection that counts
             return
         self.pauses.reset()
         self.expect(SILENT)
@@ -154,8 +172,9 @@
             return
         self.ballot = self.caller
         self.vote_timer = self.reactor.callLater(self.vote_wait, self.voted, "timeout")
-        self.caller.transport.write(call(self.calls, "release.vote", {
-            "Revision": build, "Wave": stage, "Decision": VERDICTS[verdict]}))
+        self.caller.transport.write(
+            call(self.calls, "release.vote", {"Revision": build, "Wave": stage, "Decision": VERDICTS[verdict]})
+        )
 
     def voted(self, answer: str) -> None:
         if self.voting is None:
@@ -169,5 +188,5 @@
 
     def lost(self, caller: Caller) -> None:
         if caller is self.ballot:
-            self.voted("timeout")                # it may have been carried out
+            self.voted("timeout")  # it may have been carried out
         super().lost(caller)
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -1,4 +1,5 @@
 """What a relay does, as lines of its record (tealsail/record/); only where the operator's document asks for one."""
+
 from typing import TYPE_CHECKING, Any
 
 from loguru import logger
@@ -15,7 +16,7 @@
     from .statements import Statement
 
 MB = 1 << 20
-STATES = {"ready": "open"}                       # other states keep their names
+STATES = {"ready": "open"}  # other states keep their names
 
 
 class Record:
@@ -23,12 +24,14 @@
 
     def __init__(self, relay: "Relay", wanted: Any) -> None:
         from .relay import number_of
+
         facts = relay.told.facts
         self.relay, self.zero, self.number_of = relay, relay.clock(), number_of
         self.own = int(facts.get("index", 0))
-        self.names: dict[int, tuple[str, int]] = {}              # unit -> its name and build
-        head = Head(0, VERSION, "relay", relay.told.name, 0, facts,
-                    {"zero_unix_ms": self.zero // 10, "tealsail": __version__})
+        self.names: dict[int, tuple[str, int]] = {}  # unit -> its name and build
+        head = Head(
+            0, VERSION, "relay", relay.told.name, 0, facts, {"zero_unix_ms": self.zero // 10, "tealsail": __version__}
+        )
         self.recorder = Recorder(wanted.file, head, wanted.most_mb * MB, wanted.queue, wanted.keys, relay.counters.add)
 
     def now(self) -> int:
@@ -38,9 +41,19 @@
         facade = self.relay.facade
         customer = facade.place(statement.customer)
         at -= self.zero
-        self.recorder.note(Take(
-            self.now(), self.own, number, at, facade.workloads[statement.workload], customer,
-            self.recorder.key(statement.key), at + settings.tenths(statement.wait), -1 if statement.repeat else number))
+        self.recorder.note(
+            Take(
+                self.now(),
+                self.own,
+                number,
+                at,
+                facade.workloads[statement.workload],
+                customer,
+                self.recorder.key(statement.key),
+                at + settings.tenths(statement.wait),
+                -1 if statement.repeat else number,
+            )
+        )
 
     def shot(self, number: int, place: int, unit: int, wait: int) -> None:
         name, build = self.names.get(unit, ("", 0))
@@ -51,8 +64,15 @@
 
     def ended(self, number: int, answer: Answer | None) -> None:
         """None: its client has gone."""
-        word = "left" if answer is None else "rejected" if isinstance(answer, Rejected) else \
-            "forfeited" if isinstance(answer, Forfeited) else "served"
+        word = (
+            "left"
+            if answer is None
+            else "rejected"
+            if isinstance(answer, Rejected)
+            else "forfeited"
+            if isinstance(answer, Forfeited)
+            else "served"
+        )
         self.recorder.note(End(self.now(), self.own, number, word))
 
     def listed(self, entries: list["Entry"]) -> None:
@@ -63,8 +83,9 @@
             else:
                 self.names[number] = entry.id, entry.build
             started = max(0, settings.tenths(entry.started) - self.zero) if entry.started else 0
-            self.recorder.note(Told(self.now(), self.own, entry.id, entry.build, STATES.get(entry.state, entry.state),
-                                    started))
+            self.recorder.note(
+                Told(self.now(), self.own, entry.id, entry.build, STATES.get(entry.state, entry.state), started)
+            )
 
     def stood(self, state: "State") -> None:
         self.recorder.note(News(self.now(), self.own, state.build, state.stage, state.phase, state.cap))
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -1,4 +1,5 @@
 """The relay that wires clients, units, discovery, the platform and peers to the facade."""
+
 from collections.abc import Callable
 from hashlib import blake2b
 from typing import Any
@@ -13,8 +14,20 @@
 from ..choices.flood import Flood, limits
 from ..choices.pauses import UNTOLD, WITHIN, Pauses, by_fleet, first_question
 from ..choices.switch import Fixed, Switch
-from ..facade import (Counted, Departed, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing,
-                      Step, Units as Listing)
+from ..facade import (
+    Counted,
+    Departed,
+    Facade,
+    Forfeit,
+    Heard,
+    Listed,
+    Outcome,
+    Reject,
+    Shoot,
+    Standing,
+    Step,
+    Units as Listing,
+)
 from ..parts import Chance, mix
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
@@ -29,11 +42,11 @@
 from .units import Came, Shot, Units
 
 PATH = "/catalog/members"
-SPARE, FEWEST = 64, 64                           # descriptors for all but clients and units; at least
-OPEN = {"ready": "open"}                         # other states keep their names
-LINGER, LAST = 0.5, 0.05                         # seconds after SIGTERM: clients still come; looks at the end
-TENTHS = 10_000                                  # in a second
-LOOK = 1.0                                       # seconds between looks at the clocks
+SPARE, FEWEST = 64, 64  # descriptors for all but clients and units; at least
+OPEN = {"ready": "open"}  # other states keep their names
+LINGER, LAST = 0.5, 0.05  # seconds after SIGTERM: clients still come; looks at the end
+TENTHS = 10_000  # in a second
+LOOK = 1.0  # seconds between looks at the clocks
 
 
 def number_of(name: str) -> int:
@@ -48,10 +61,14 @@
         self.relay, self.statement = relay, statement
         self.answer: Deferred[Answer] = Deferred(self.left)
         self.over = False
-        self.shots: dict[int, Shot] = {}         # those that are out
+        self.shots: dict[int, Shot] = {}  # those that are out
         self.number, step = relay.facade.pick(
-            statement.workload, statement.customer, statement.key, at + settings.tenths(statement.wait),
-            repeat=statement.repeat)
+            statement.workload,
+            statement.customer,
+            statement.key,
+            at + settings.tenths(statement.wait),
+            repeat=statement.repeat,
+        )
         relay.serving[self.number] = self
         relay.ids.add(statement.id)
         if relay.record:
@@ -83,8 +100,11 @@
         relay, until = self.relay, self.relay.clock() + wait
         relay.counters.add("units.shots")
         shot = relay.units.shoot(
-            unit, lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
-            wait / TENTHS, lambda: relay.facade.stands(self.number, place))
+            unit,
+            lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
+            wait / TENTHS,
+            lambda: relay.facade.stands(self.number, place),
+        )
         if shot is None:
             self.came(Came("moot"), place)
             return
@@ -138,8 +158,14 @@
     have one (tealsail/setup/document.py).  `wall` is Unix time in seconds where the reactor's clock is a steady one;
     without it the reactor's is taken for both.  Raises OSError if a record can't be opened."""
 
-    def __init__(self, reactor: Any, told: Assignment, counters: Counters | None = None,
-                 document: Any = None, wall: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        told: Assignment,
+        counters: Counters | None = None,
+        document: Any = None,
+        wall: Callable[[], float] | None = None,
+    ) -> None:
         self.reactor, self.told, self.counters = reactor, told, counters or Counters()
         self.clock, self.due = Clock(reactor.seconds, wall or reactor.seconds, self.woke), 0
         self.stamps = Stamps(self.clock)
@@ -147,33 +173,56 @@
         self.facade = Facade(facts, told.seed, self.clock, document.seats(facts) if document else ())
         self.switch = Switch(self.facade.relay, facts)
         room = max(FEWEST, told.sockets - SPARE) // 2
-        self.units = Units(reactor, self.counters, facts.get("connect_wait", TENTHS) / TENTHS,
-                           facts.get("idle_time", 30 * TENTHS) / TENTHS, room)
+        self.units = Units(
+            reactor,
+            self.counters,
+            facts.get("connect_wait", TENTHS) / TENTHS,
+            facts.get("idle_time", 30 * TENTHS) / TENTHS,
+            room,
+        )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, room)
         chance = Chance(mix(told.seed, facts.get("index", 0)))
         self.fleet = facts.get("relays", 1), facts.get("ask_within", WITHIN * TENTHS) / TENTHS
-        self.chance = chance                     # of what all relays do: apart from the module's
-        self.discovery = Discovery(reactor, told.discovery, PATH, self.counters, self.listed, Pauses(chance),
-                                   by_fleet(chance, *self.fleet))
-        self.platform = Platform(reactor, told.platform, facts.get("vote_wait", TENTHS) / TENTHS,
-                                 self.counters, self.stood, self.counted, Pauses(chance))
-        self.peers = Peers(told.peers, told.everyone, self.counters, self.heard,
-                           Flood(limits(len(self.facade.relay.judge.pooled.sums))), self.clock)
+        self.chance = chance  # of what all relays do: apart from the module's
+        self.discovery = Discovery(
+            reactor, told.discovery, PATH, self.counters, self.listed, Pauses(chance), by_fleet(chance, *self.fleet)
+        )
+        self.platform = Platform(
+            reactor,
+            told.platform,
+            facts.get("vote_wait", TENTHS) / TENTHS,
+            self.counters,
+            self.stood,
+            self.counted,
+            Pauses(chance),
+        )
+        self.peers = Peers(
+            told.peers,
+            told.everyone,
+            self.counters,
+            self.heard,
+            Flood(limits(len(self.facade.relay.judge.pooled.sums))),
+            self.clock,
+        )
         self.load_fields = facts.get("load_fields", [])
         self.zones = {name: place for place, name in enumerate(facts.get("zones", []))}
         self.serving: dict[int, Serving] = {}
-        self.ids: set[bytes] = set()             # of those that are being served
-        self.door: Any = None                    # where clients come in
-        self.holding: Any = None                 # the timer of a door that is held until the list has come
-        self.post: Any = None                    # where notes come in
-        self.enough, self.empty = 0, False       # when nothing is waited for any longer, once it ends; nobody at the last look
+        self.ids: set[bytes] = set()  # of those that are being served
+        self.door: Any = None  # where clients come in
+        self.holding: Any = None  # the timer of a door that is held until the list has come
+        self.post: Any = None  # where notes come in
+        self.enough, self.empty = (
+            0,
+            False,
+        )  # when nothing is waited for any longer, once it ends; nobody at the last look
         self.timer: Any = None
-        self.duties: tuple[int, ...] = ()        # the keeper and the judges, as last logged
-        self.looking: Any = None                 # the timer of the next look at the clocks
+        self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
+        self.looking: Any = None  # the timer of the next look at the clocks
         self.stopped: Deferred[None] | None = None
-        self.record: Any = None                  # a tealsail.net.recording.Record, where the operator has one kept
+        self.record: Any = None  # a tealsail.net.recording.Record, where the operator has one kept
         if document and document.recording:
             from .recording import Record
+
             self.record = Record(self, document.recording)
 
     def start(self) -> None:
@@ -189,14 +238,17 @@
         self.watch()
         if self.told.platform:
             self.platform.start()
-        logger.info("serving name={} listen={} units={}", self.told.name, self.told.listen,
-                    len(self.told.known.entries))
+        logger.info(
+            "serving name={} listen={} units={}", self.told.name, self.told.listen, len(self.told.known.entries)
+        )
         self.looking = self.reactor.callLater(LOOK, self.look)
         self.schedule()
 
     def watch(self) -> None:
         known = self.told.known
-        wait = first_question(self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries))
+        wait = first_question(
+            self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
+        )
         if wait is not None:
             return self.discovery.begin(known.version, wait)
         # what is asked for at once counts as told from this process's first moment: whoever comes before it waits in the
@@ -252,7 +304,7 @@
             self.load_fields = told.facts.get("load_fields", [])
             self.platform.vote_wait = told.facts.get("vote_wait", TENTHS) / TENTHS
             self.counters.add("configuration.taken")
-        except Fixed as needs:                   # the addresses still count: those of before fall silent
+        except Fixed as needs:  # the addresses still count: those of before fall silent
             if needs.foreign:
                 raise
             settings_now = f"kept ({needs})"
@@ -261,13 +313,17 @@
         self.discovery.move(told.discovery)
         if told.platform:
             self.platform.move(told.platform)
-        logger.info("configuration discovery={} platform={} settings={}", self.discovery.address, self.platform.address,
-                    settings_now)
+        logger.info(
+            "configuration discovery={} platform={} settings={}",
+            self.discovery.address,
+            self.platform.address,
+            settings_now,
+        )
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
         if statement.workload not in self.facade.workloads:
             raise Unclear("no such workload")
-        if statement.id in self.ids:             # else units could not tell the two apart
+        if statement.id in self.ids:  # else units could not tell the two apart
             raise Unclear("the id of an open invocation")
         answer = Serving(self, statement, at).answer
         self.schedule()
@@ -297,14 +353,20 @@
 
     def entry(self, entry: Entry) -> Listed:
         number = number_of(entry.id)
-        return Listed(number, entry.build, OPEN.get(entry.state, entry.state), self.zones.get(entry.zone, 0), entry.cell,
-                      entry.weight, self.stamps.of(number, settings.tenths(entry.started)))
+        return Listed(
+            number,
+            entry.build,
+            OPEN.get(entry.state, entry.state),
+            self.zones.get(entry.zone, 0),
+            entry.cell,
+            entry.weight,
+            self.stamps.of(number, settings.tenths(entry.started)),
+        )
 
     def stood(self, state: State) -> None:
         if self.record:
             self.record.stood(state)
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap,
-                                    settings.tenths(state.age)))
+        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
         self.schedule()
 
     def counted(self, answer: str) -> None:
@@ -319,7 +381,7 @@
         """The next tick, when the facade is due."""
         due, active = self.facade.due, self.timer is not None and self.timer.active()
         if active and due >= self.due:
-            return                               # a tick too early does no harm
+            return  # a tick too early does no harm
         if active:
             self.timer.cancel()
         self.due = due
@@ -333,7 +395,7 @@
         for number, step in wants.steps:
             if number in self.serving:
                 self.serving[number].go_on(step)
-            elif isinstance(step, Shoot):        # its client left meanwhile
+            elif isinstance(step, Shoot):  # its client left meanwhile
                 self.facade.report(Outcome(number, step.place, "moot"))
         for number, data in wants.notes:
             self.peers.tell(number, data)
@@ -379,8 +441,8 @@
             take_in(self.door, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
         self.empty = not self.clients.connections
-        if late:                                 # who does not read its answer, or comes again and again, would keep this
-            self.clients.cut()                   # relay for ever
+        if late:  # who does not read its answer, or comes again and again, would keep this
+            self.clients.cut()  # relay for ever
         if not (self.empty and (empty or late)):
             self.reactor.callLater(LAST, self.finish)
             return
--- a/tealsail/net/start.py
+++ b/tealsail/net/start.py
@@ -1,4 +1,5 @@
 """What a relay is told at its start: variables of the environment and one file of JSON."""
+
 import json
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -27,7 +28,7 @@
     state: State | None
     known: News
     facts: dict[str, Any]
-    own: tuple[str, ...] = ()                    # whose the file says it is: its name, where it listens
+    own: tuple[str, ...] = ()  # whose the file says it is: its name, where it listens
 
 
 class Torn(BadStart):
@@ -83,9 +84,14 @@
         environment.get("EDGE_NAME") or want(tree, "name", str),
         reached("EDGE_LISTEN", environment.get("EDGE_LISTEN") or want(tree, "listen", str)),
         reached("EDGE_DISCOVERY", environment.get("EDGE_DISCOVERY") or want(tree, "discovery", str)),
-        seed, want(want(tree, "limits", dict, {}), "sockets", int, 1024),
+        seed,
+        want(want(tree, "limits", dict, {}), "sockets", int, 1024),
         reached("peer_listen", want(tree, "peer_listen", str, "")),
         [reached("peers", each) for each in want(tree, "peers", list, [])],
         reached("peers_all", want(tree, "peers_all", str, "")),
-        reached("rollouts.address", want(rollouts, "address", str, "")), state, known, facts,
-        tuple(str(tree.get(name, "")) for name in ("name", "listen", "peer_listen")))
+        reached("rollouts.address", want(rollouts, "address", str, "")),
+        state,
+        known,
+        facts,
+        tuple(str(tree.get(name, "")) for name in ("name", "listen", "peer_listen")),
+    )
--- a/tealsail/net/statements.py
+++ b/tealsail/net/statements.py
@@ -1,11 +1,18 @@
 """The statements that clients send and units are sent, and the comment at their end."""
+
 import re
 from typing import NamedTuple
 
 LITERAL = rb"'((?:[^']|'')*)'"
 SELECT = re.compile(rb"\s*SELECT\s+\w+\s+FROM\s+\w+\s+WHERE\s+\w+\s*=\s*" + LITERAL + rb"\s*", re.I)
-INSERT = re.compile(rb"\s*INSERT\s+INTO\s+\w+\s*\(\s*\w+\s*,\s*\w+\s*\)\s*VALUES\s*\(\s*" + LITERAL
-                    + rb"\s*,\s*" + LITERAL + rb"\s*\)\s*RETURNING\s+\w+\s*", re.I)
+INSERT = re.compile(
+    rb"\s*INSERT\s+INTO\s+\w+\s*\(\s*\w+\s*,\s*\w+\s*\)\s*VALUES\s*\(\s*"
+    + LITERAL
+    + rb"\s*,\s*"
+    + LITERAL
+    + rb"\s*\)\s*RETURNING\s+\w+\s*",
+    re.I,
+)
 WAIT, ID = re.compile(rb"\d{1,9}(\.\d{1,9})?"), re.compile(rb"[!-~]{1,64}")
 VALUE = re.compile(rb"\\x(?:[0-9a-fA-F]{2})*")
 IDLE = re.compile(rb"\s*(SET|RESET|DISCARD)\b.*", re.I | re.S)
@@ -17,6 +24,7 @@
 
 class Statement(NamedTuple):
     """What a client asks.  `wait` is in milliseconds; the text round `wait` passes on as it came."""
+
     before: bytes
     after: bytes
     id: bytes
@@ -48,7 +56,7 @@
         wait = float(fields[b"d"]) if WAIT.fullmatch(fields[b"d"]) else -1.0
         workload = fields[b"c"].decode()
         customer = fields.get(b"t", b"").decode()
-        key = match[1].replace(b"''", b"'").decode("latin-1")   # any bytes
+        key = match[1].replace(b"''", b"'").decode("latin-1")  # any bytes
     except KeyError as missing:
         raise Unclear(f"no field {missing.args[0].decode()}") from None
     except ValueError:
@@ -56,8 +64,16 @@
     if not ID.fullmatch(fields.get(b"id", b"")) or not 0 <= wait < 1e9 or not place:
         raise Unclear("no id, or no time to wait")
     first = len(body) + 2 + place.start(1)
-    return Statement(text[:first], text[first + len(place[1]):], fields[b"id"], workload, customer, key, wait,
-                     fields.get(b"r") == b"1")
+    return Statement(
+        text[:first],
+        text[first + len(place[1]) :],
+        fields[b"id"],
+        workload,
+        customer,
+        key,
+        wait,
+        fields.get(b"r") == b"1",
+    )
 
 
 def onward(statement: Statement, wait: int) -> bytes:
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -1,4 +1,5 @@
 """Units: their connections, kept and used again one shot at a time, and what comes back over them."""
+
 from typing import Any, Callable, NamedTuple
 
 from loguru import logger
@@ -14,11 +15,12 @@
 from .messages import Value
 
 USER, DATABASE, LOAD = b"backend", b"store", b"stats"
-BEYOND = 1e6                                     # no figure of a load report
+BEYOND = 1e6  # no figure of a load report
 
 
 class Came(NamedTuple):
     """How a shot ended (the words are the facade's), the unit's answer and its load report."""
+
     outcome: str
     value: Value | None = None
     load: dict[str, float] | None = None
@@ -31,7 +33,7 @@
         load = {name: float(figure) for name, figure in pairs}
     except ValueError:
         return None
-    return load if all(0 <= figure < BEYOND for figure in load.values()) else None      # no nan either
+    return load if all(0 <= figure < BEYOND for figure in load.values()) else None  # no nan either
 
 
 class Connection(Ended):
@@ -40,18 +42,18 @@
     def __init__(self, pool: "Pool") -> None:
         self.pool, self.counters = pool, pool.counters
         self.splitter = messages.Splitter(typed=True)
-        self.ready: Deferred["Connection"] = Deferred()          # set up; fails with the reason as its text
+        self.ready: Deferred["Connection"] = Deferred()  # set up; fails with the reason as its text
         self.shot: Shot | None = None
-        self.check: Shot | None = None           # waits for the answer to an empty query
+        self.check: Shot | None = None  # waits for the answer to an empty query
         self.settled = self.told = self.written = self.proven = False
-        self.refused = ""                        # an error while it is being set up
+        self.refused = ""  # an error while it is being set up
         self.described: messages.Described | None = None
         self.row: messages.Row | None = None
         self.unsent = b""
-        self.result: Came | None = None          # of the shot; told with the load report, at ReadyForQuery
-        self.stopped: Came | None = None         # what to tell of a shot that is waited for no longer
+        self.result: Came | None = None  # of the shot; told with the load report, at ReadyForQuery
+        self.stopped: Came | None = None  # what to tell of a shot that is waited for no longer
         self.idle_since = 0.0
-        self.answered_at = 0.0                   # when the last answer was whole
+        self.answered_at = 0.0  # when the last answer was whole
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -76,7 +78,7 @@
         match what:
             case messages.Status(name, value) if name == LOAD:
                 load = load_report(value)
-                if load:                         # what can't be read is as good as none
+                if load:  # what can't be read is as good as none
                     self.pool.load, self.told = load, True
             case messages.Status() | messages.Passed():
                 pass
@@ -89,7 +91,7 @@
             case messages.Ready() if self.proven:
                 check, self.check, self.proven = self.check, None, False
                 check.opened(self)
-            case _:                              # of an earlier answer: what comes next can't be told apart
+            case _:  # of an earlier answer: what comes next can't be told apart
                 raise messages.Unreadable(f"{type(what).__name__} that nobody asked for")
 
     def greeted(self, what: Any) -> None:
@@ -167,13 +169,12 @@
 class Shot:
     """One attempt: `done` gets its one `Came`.  `stands` is asked before it is written after a wait."""
 
-    def __init__(self, pool: "Pool", text: Callable[[], bytes], wait: float,
-                 stands: Callable[[], bool]) -> None:
+    def __init__(self, pool: "Pool", text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> None:
         self.pool, self.text, self.stands = pool, text, stands
         self.done: Deferred[Came] = Deferred()
         self.connection: Connection | None = None
         self.opening: Deferred | None = None
-        self.checked: Any = None                 # the timer of a kept connection's check
+        self.checked: Any = None  # the timer of a kept connection's check
         self.over = False
         self.timer = pool.reactor.callLater(wait, self.stop, "timeout")
 
@@ -201,7 +202,7 @@
         self.settle()
         if self.over:
             self.pool.free(connection)
-        elif self.pool.closed or not self.stands():      # the same unit may be at another address by now
+        elif self.pool.closed or not self.stands():  # the same unit may be at another address by now
             self.pool.free(connection)
             self.end(Came("moot"))
         else:
@@ -225,7 +226,7 @@
         if self.over:
             return
         if not self.connection:
-            return self.end(Came("moot"))        # nothing was written
+            return self.end(Came("moot"))  # nothing was written
         # told once the connection has ended: a further shot must not go out while this one's is open
         self.connection.stopped = Came(outcome if self.connection.written else "moot")
         self.connection.end(outcome)
@@ -245,7 +246,7 @@
         self.units, self.address = units, address
         self.reactor, self.counters = units.reactor, units.counters
         self.load: dict[str, float] | None = None
-        self.idle: list[Connection] = []         # the one used last stands last
+        self.idle: list[Connection] = []  # the one used last stands last
         self.all: dict[Connection, None] = {}
         self.closed = False
 
@@ -316,14 +317,13 @@
 class Units:
     """All units that are listed: number -> pool."""
 
-    def __init__(self, reactor: Any, counters: Counters, connect_wait: float, idle_time: float,
-                 most: int) -> None:
+    def __init__(self, reactor: Any, counters: Counters, connect_wait: float, idle_time: float, most: int) -> None:
         self.reactor, self.counters = reactor, counters
         self.connect_wait, self.most = connect_wait, most
         self.unused, self.looks = unused(idle_time)
         self.pools: dict[int, Pool] = {}
-        self.marks: dict[int, tuple] = {}        # what a listed unit is: address, build and start
-        self.old: dict[Pool, None] = {}          # of units that have left, with shots still out
+        self.marks: dict[int, tuple] = {}  # what a listed unit is: address, build and start
+        self.old: dict[Pool, None] = {}  # of units that have left, with shots still out
         self.trimming()
 
     def listed(self, number: int, address: str, build: int, started: int) -> None:
@@ -343,8 +343,7 @@
     def numbers(self) -> list[int]:
         return list(self.pools)
 
-    def shoot(self, number: int, text: Callable[[], bytes], wait: float,
-              stands: Callable[[], bool]) -> Shot | None:
+    def shoot(self, number: int, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> Shot | None:
         """None: that unit is not listed (any more)."""
         pool = self.pools.get(number)
         if pool is None:
@@ -360,8 +359,11 @@
         """Whether one more connection may be opened; the longest idle one makes room for it."""
         if self.held() < self.most:
             return True
-        longest = min((pool.idle[0] for pool in self.pools.values() if pool.idle),
-                      key=lambda connection: connection.idle_since, default=None)
+        longest = min(
+            (pool.idle[0] for pool in self.pools.values() if pool.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
+        )
         if longest:
             longest.pool.idle.remove(longest)
             longest.end("no_room")
--- a/tealsail/notes.py
+++ b/tealsail/notes.py
@@ -1,10 +1,11 @@
 """What relays tell each other, as bytes, and the sums of what was told.  Nothing is decided here."""
+
 import struct
 from collections.abc import Sequence
 
-MOST = 60                                        # figures of a message: 10 + 4 * 60 bytes
-LOW = 0xFFFF                                     # the most that one figure holds
-STARTS, PAST = 2, 8                              # of one sender that are kept apart, and that are known to be over
+MOST = 60  # figures of a message: 10 + 4 * 60 bytes
+LOW = 0xFFFF  # the most that one figure holds
+STARTS, PAST = 2, 8  # of one sender that are kept apart, and that are known to be over
 
 
 def verdict_note(build: int, stage: int, verdict: int) -> bytes:
@@ -19,20 +20,29 @@
     went on, and every good build of a busy place was sent back.  Relays of before pass the first of the two over.
     """
     most = MOST if all(count <= LOW for _, count in cells) else MOST // 2
-    parts = [cells[first:first + most] for first in range(0, len(cells), most)] or [[]]
-    head = build, born & 0xFFFFFFFF, 0, 0        # relays of before held traffic against that before the trial
-    rows = [[figure for cell, count in part for figure in (
-        (size + cell, min(LOW, count >> 16), cell, count & LOW) if count > LOW else (cell, count))]
-            for part in parts]
+    parts = [cells[first : first + most] for first in range(0, len(cells), most)] or [[]]
+    head = build, born & 0xFFFFFFFF, 0, 0  # relays of before held traffic against that before the trial
+    rows = [
+        [
+            figure
+            for cell, count in part
+            for figure in ((size + cell, min(LOW, count >> 16), cell, count & LOW) if count > LOW else (cell, count))
+        ]
+        for part in parts
+    ]
     return [struct.pack(f"<HIHH{len(row)}H", *head, *row) for row in rows]
 
 
 def new_cells(counts: list[int], told: list[int], row: int) -> list[tuple[int, int]]:
     """Cells and counts of the rows that differ from what was told, as a whole: after lost notes what was served must not
     be told without what failed."""
-    return [(cell, counts[cell]) for first in range(0, len(counts), row)
-            if counts[first:first + row] != told[first:first + row]
-            for cell in range(first, first + row) if counts[cell]]
+    return [
+        (cell, counts[cell])
+        for first in range(0, len(counts), row)
+        if counts[first : first + row] != told[first : first + row]
+        for cell in range(first, first + row)
+        if counts[cell]
+    ]
 
 
 def state_note(count: int, unit: int, out: int, came: int) -> bytes:
@@ -82,10 +92,12 @@
     def __init__(self, size: int, kinds: Sequence[Sequence[int]] = ()) -> None:
         """`kinds`: sets of cells whose sum is kept up for each sender, in `told`."""
         self.sums = [0] * size
-        self.told: list[dict[int, int]] = [{} for _ in kinds]    # of each kind: sender -> sum over its cells
-        self.kinds = {cell: [place for place, cells in enumerate(kinds) if cell in cells] for cells in kinds for cell in cells}
-        self.known: dict[int, dict[int, dict[int, int]]] = {}    # sender -> its start -> cell -> count
-        self.over: dict[int, list[int]] = {}     # sender -> starts that are over
+        self.told: list[dict[int, int]] = [{} for _ in kinds]  # of each kind: sender -> sum over its cells
+        self.kinds = {
+            cell: [place for place, cells in enumerate(kinds) if cell in cells] for cells in kinds for cell in cells
+        }
+        self.known: dict[int, dict[int, dict[int, int]]] = {}  # sender -> its start -> cell -> count
+        self.over: dict[int, list[int]] = {}  # sender -> starts that are over
         self.before: dict[int, dict[int, int]] = {}  # sender -> what starts no longer kept counted, by cell
 
     def of(self, sender: int, born: int) -> dict[int, int] | None:
@@ -102,7 +114,7 @@
                 before = self.before.setdefault(sender, {})
                 for cell, count in starts.pop(oldest).items():
                     before[cell] = before.get(cell, 0) + count
-                self.over[sender] = past[-PAST + 1:] + [oldest]
+                self.over[sender] = past[-PAST + 1 :] + [oldest]
         starts[born] = known
         return known
 
@@ -110,7 +122,7 @@
         known = self.of(sender, born)
         if known is None:
             return
-        above: dict[int, int] = {}               # of this message only: the two cells go together
+        above: dict[int, int] = {}  # of this message only: the two cells go together
         for cell, count in zip(cells[::2], cells[1::2]):
             if cell >= len(self.sums):
                 above[cell - len(self.sums)] = count << 16
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -1,5 +1,6 @@
 """What the decision module is made of: chance, sums over time, the rank test's sums, what is known of units,
 invocations and their shots, and the links of the chain.  Nothing is decided here."""
+
 from collections import defaultdict
 from collections.abc import Callable
 from itertools import chain
@@ -36,13 +37,13 @@
     def __init__(self, span: int, buckets: int) -> None:
         self.span, self.width, self.size = span, max(1, -(-span // buckets)), buckets + 2
         self.sums, self.stamps = [0.0] * self.size, [-1] * self.size
-        self.first, self.running = -1 << 60, 0.0     # the sum from that bucket on, kept up: it is asked for often
+        self.first, self.running = -1 << 60, 0.0  # the sum from that bucket on, kept up: it is asked for often
 
     def add(self, now: int, amount: float = 1) -> None:
         """Amounts are whole, so a sum that is kept up is the sum taken anew."""
         stamp = now // self.width
         place = stamp % self.size
-        if self.stamps[place] != stamp:          # what was there is older than any span that is asked for from now on
+        if self.stamps[place] != stamp:  # what was there is older than any span that is asked for from now on
             self.stamps[place], self.sums[place] = stamp, 0.0
         self.sums[place] += amount
         self.running += amount
@@ -99,8 +100,9 @@
     return edges[-1]
 
 
-def rank_sums(mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...],
-              least: int) -> tuple[float, float, float, float]:
+def rank_sums(
+    mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int
+) -> tuple[float, float, float, float]:
     """Over workloads with so many outcomes on both sides: the sums of the rank test, its variance, and the
     ratio of medians, weighted; and the weight.  A row is served, failed, then buckets, which need not hold all that
     was served: failures count in that proportion."""
@@ -114,8 +116,9 @@
     return excess, spread, ratio, weight
 
 
-def slower(mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int, margin: float,
-           level: float) -> bool:
+def slower(
+    mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int, margin: float, level: float
+) -> bool:
     """The rank test, workload by workload, sums pooled; a failure ranks behind every answer."""
     excess, spread, ratio, weight = rank_sums(mine, others, edges, least // 4)
     return weight >= least and ratio > margin * weight and erfc(excess / sqrt(2 * spread)) / 2 < level
@@ -160,13 +163,17 @@
 
 def gained(pool: list, old: list | None) -> list:
     """By how much each count of a pool is above that of an older one; all of it if there is none."""
-    return [[[max(0, new - past) for new, past in zip(*row)] for row in zip(*two)]
-            for two in zip(pool, old)] if old else pool
+    return (
+        [[[max(0, new - past) for new, past in zip(*row)] for row in zip(*two)] for two in zip(pool, old)]
+        if old
+        else pool
+    )
 
 
 class Windows:
     """By how much a pool grew of late, looked at each beat: in its latest twelve beats, in as many as `brief` and in the
     latest minute, of which a pool is kept every ten beats."""
+
     SIZE = 12
 
     def __init__(self, brief: int) -> None:
@@ -184,6 +191,7 @@
 
 class Workload:
     """What the settings say of one, and how long its answers take."""
+
     mean = deviation = 0.0
 
     def __init__(self, place: int, row: int, facts: dict[str, Any]) -> None:
@@ -196,12 +204,12 @@
     """A unit as this relay sees it.  A new start or another build makes a new Unit, cold again."""
 
     def __init__(self, number: int, build: int, started: int, even: float, order: int) -> None:
-        self.number, self.build, self.started, self.order = number, build, started, order    # its place in a row
-        self.credit, self.even = 1.0, even       # what it may get while cold, and up to when that is summed
+        self.number, self.build, self.started, self.order = number, build, started, order  # its place in a row
+        self.credit, self.even = 1.0, even  # what it may get while cold, and up to when that is summed
         self.weight, self.open, self.zone, self.cell = 1.0, True, 0, 0
-        self.out, self.waiting = 0, 0            # our shots out there, and since when with no answer at all
-        self.met = -1 << 60                      # when it last answered us
-        self.pace, self.failing = 1.0, 0.0       # its latencies over the workload's, errors among its answers
+        self.out, self.waiting = 0, 0  # our shots out there, and since when with no answer at all
+        self.met = -1 << 60  # when it last answered us
+        self.pace, self.failing = 1.0, 0.0  # its latencies over the workload's, errors among its answers
         self.util, self.queue, self.load_at = 0.0, 0.0, 0
         self.rest_until, self.rest = 0, 0
         # shots that broke off or found no connection since it last answered: one alone may be a connection's
@@ -224,9 +232,9 @@
 
     def __init__(self) -> None:
         self.by: dict[int, tuple[int, int, int]] = {}
-        self.out = 0                             # shots there
-        self.given: list[tuple[int, int]] = []   # to whom it was named (-1: and told of that shot), and when
-        self.pace, self.failing = 1.0, 0.0       # as of a unit
+        self.out = 0  # shots there
+        self.given: list[tuple[int, int]] = []  # to whom it was named (-1: and told of that shot), and when
+        self.pace, self.failing = 1.0, 0.0  # as of a unit
 
     def tell(self, sender: int, count: int, out: int, came: int, now: int) -> None:
         """The newer of two by their count, 16 bits that begin anew; notes may overtake each other.  What came of a
@@ -235,7 +243,7 @@
         if before is None or (count - before[0]) & 0xFFFF < 0x8000:
             self.out += out - (before[1] if before else 0)
             self.by[sender] = count, out, now
-            if not came:                         # sent: it is among those told now, and not to be counted twice
+            if not came:  # sent: it is among those told now, and not to be counted twice
                 self.given = [(-1, each[1]) if each[0] == sender else each for each in self.given]
         if came:
             self.failing += 0.15 * ((came == 255) - self.failing)
@@ -271,16 +279,17 @@
 
 
 class Invocation:
-    def __init__(self, number: int, workload: Any, customer: int, key: str | None, give_up: int,
-                 size: float, repeat: bool) -> None:
+    def __init__(
+        self, number: int, workload: Any, customer: int, key: str | None, give_up: int, size: float, repeat: bool
+    ) -> None:
         self.number, self.workload, self.customer, self.key = number, workload, customer, key
         self.give_up, self.size, self.repeat = give_up, size, repeat
         self.shots: list[Shot] = []
-        self.over, self.luck = False, 1.0        # the luck that decides whether a cold unit may get it
-        self.tier: int | None = None             # drawn, where there are tiers of zones
-        self.asked, self.near, self.best = 0, [], None           # for which shot, of which units, and the answer
-        self.blamed = False                      # failed by a unit of a build that is alone: counts if another serves it
-        self.drawn: bool | None = None           # drawn for the build on trial, or not; None: a further shot
+        self.over, self.luck = False, 1.0  # the luck that decides whether a cold unit may get it
+        self.tier: int | None = None  # drawn, where there are tiers of zones
+        self.asked, self.near, self.best = 0, [], None  # for which shot, of which units, and the answer
+        self.blamed = False  # failed by a unit of a build that is alone: counts if another serves it
+        self.drawn: bool | None = None  # drawn for the build on trial, or not; None: a further shot
 
     def out(self) -> int:
         return sum(not shot.ended for shot in self.shots)
@@ -291,8 +300,7 @@
 
 
 class Shot:
-    def __init__(self, invocation: Invocation, unit: Unit, now: int, group: list[int] | None,
-                 warmth: float) -> None:
+    def __init__(self, invocation: Invocation, unit: Unit, now: int, group: list[int] | None, warmth: float) -> None:
         self.invocation, self.unit, self.sent, self.group, self.warmth = invocation, unit, now, group, warmth
         self.ended = self.never_ran = False
 
@@ -300,6 +308,7 @@
 class Stage:
     """A link of the chain: `forward` tells whether the invocation was sent or ended, `backward` hands on
     what came of a shot, the other way."""
+
     next: Any
     before: Any
 
--- a/tealsail/record/files.py
+++ b/tealsail/record/files.py
@@ -1,4 +1,5 @@
 """Records as files: written in order, read as a stream with one line in memory at a time."""
+
 import gzip
 import io
 import zlib
@@ -7,8 +8,8 @@
 
 from .lines import VERSION, Any_Line, Close, Head, Line, Unreadable, decode, encode
 
-LONGEST = 1 << 20                                # bytes of a line; a head holds a day
-LEVEL = 4                                        # of gzip
+LONGEST = 1 << 20  # bytes of a line; a head holds a day
+LEVEL = 4  # of gzip
 
 
 class Writer:
@@ -52,12 +53,12 @@
     strict, notes = notes is None, notes or Notes()
     with open(path, "rb") as file:
         packed = file.peek(2)[:2] == b"\x1f\x8b"
-        with (gzip.open(file) if packed else file) as lines:
+        with gzip.open(file) if packed else file as lines:
             first, last = True, 0
             while True:
                 try:
                     text = lines.readline(LONGEST)
-                except (EOFError, OSError, zlib.error) as problem:   # packed, and cut off
+                except (EOFError, OSError, zlib.error) as problem:  # packed, and cut off
                     if strict:
                         raise Unreadable(f"{path}: {problem}") from None
                     return
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -3,24 +3,27 @@
 A record is a head and then lines in the order of their times, as JSON arrays whose first item names the kind.  All
 times (`at` and others) are whole tenths of a millisecond of one clock; a record's own zero is in its head.
 """
+
 from typing import Any, Union
 
 import msgspec
 
 VERSION = 1
-ANSWERS = ("served", "wrong", "rejected", "forfeited", "left", "lost")       # lost: with a relay that died
+ANSWERS = ("served", "wrong", "rejected", "forfeited", "left", "lost")  # lost: with a relay that died
 
 
 class Line(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=True):
     """What all lines have."""
+
     at: int
 
 
 class Head(Line, tag="head"):
     """First in each record.  `facts` are the settings in the module's names (tealsail/settings.py); `day` tells
     what was played, for whoever wants to play it again."""
+
     version: int
-    source: str                                  # model, trial, relay or import
+    source: str  # model, trial, relay or import
     name: str
     seed: int
     facts: dict[str, Any]
@@ -30,6 +33,7 @@
 class Take(Line, tag="take"):
     """A relay took an invocation.  `intended`: when its client meant to send it; `first`: the number of the
     client's first try (its own, but for repeats); `give_up`: the abandon time."""
+
     relay: int
     number: int
     intended: int
@@ -42,6 +46,7 @@
 
 class Shot(Line, tag="shot"):
     """A relay sent one; `wait`: its time-out."""
+
     relay: int
     number: int
     place: int
@@ -52,12 +57,14 @@
 
 class Met(Line, tag="met"):
     """A relay made a new connection to a unit."""
+
     relay: int
     unit: str
 
 
 class Came(Line, tag="came"):
     """A shot ended for its relay; the words are the facade's (tealsail/facade.py, Outcome)."""
+
     relay: int
     number: int
     place: int
@@ -66,6 +73,7 @@
 
 class End(Line, tag="end"):
     """The final answer, one of ANSWERS, as the relay gave it (left: its client had gone)."""
+
     relay: int
     number: int
     answer: str
@@ -73,6 +81,7 @@
 
 class Ran(Line, tag="ran"):
     """A unit took a shot in; `work`: tenths of a ms of one core of speed one.  It may have an effect."""
+
     relay: int
     number: int
     place: int
@@ -82,6 +91,7 @@
 
 class Done(Line, tag="done"):
     """A unit gave its answer: served, wrong, error, full or reset."""
+
     relay: int
     number: int
     place: int
@@ -92,6 +102,7 @@
 class Unit(Line, tag="unit"):
     """A unit's life, by `event`: launched, runs, drains, dies, fell, gone, hangs, silent, mends.  `capacity`: cores
     times speed; from `cold_from` of that it warms evenly over `warm_up`."""
+
     unit: str
     build: int
     zone: str
@@ -103,6 +114,7 @@
 
 class Told(Line, tag="told"):
     """A relay was told of one entry of the list; `state`: open, draining or gone."""
+
     relay: int
     unit: str
     build: int
@@ -112,6 +124,7 @@
 
 class News(Line, tag="news"):
     """A relay was told where the newest build stands."""
+
     relay: int
     build: int
     stage: int
@@ -121,6 +134,7 @@
 
 class Vote(Line, tag="vote"):
     """A relay's vote as it came in, and what the platform said: ok, moot, full, error, or nothing."""
+
     relay: int
     build: int
     stage: int
@@ -130,6 +144,7 @@
 
 class Stage(Line, tag="stage"):
     """The platform's truth, when it changed."""
+
     build: int
     stage: int
     phase: str
@@ -138,23 +153,27 @@
 
 class Life(Line, tag="life"):
     """A relay's: up, down, stopped or on (its process does not run, runs again)."""
+
     relay: int
     event: str
 
 
 class Fault(Line, tag="fault"):
     """A line of the scenario's script was carried out."""
+
     text: str
 
 
 class Log(Line, tag="log"):
     """A line of a relay's log."""
+
     relay: int
     text: str
 
 
 class Close(Line, tag="close"):
     """Last in a whole record: so many lines came before, and `late` is by how much its clients ran late at worst."""
+
     lines: int
     late: int = 0
 
--- a/tealsail/record/recorder.py
+++ b/tealsail/record/recorder.py
@@ -3,6 +3,7 @@
 Lines go into a bounded queue; a thread of its own encodes and writes them.  What finds the queue full, or the file at
 its limit, is dropped and counted.  A file that can't be written ends the record, not the relay.
 """
+
 import queue
 import threading
 from hashlib import blake2b
@@ -12,8 +13,8 @@
 from .files import Writer
 from .lines import Head, Line
 
-FULL_AT = 0.98                                   # of the file's limit: the rest is for the end of the gzip stream
-CHECK = 512                                      # lines between two looks at the file's size
+FULL_AT = 0.98  # of the file's limit: the rest is for the end of the gzip stream
+CHECK = 512  # lines between two looks at the file's size
 
 
 class Recorder:
@@ -22,11 +23,12 @@
     `add` is the relay's counter (name, amount): record.lines and record.dropped.  Raises OSError if the file can't be opened.
     """
 
-    def __init__(self, path: Path | str, head: Head, most_bytes: int, most_waiting: int, keys: str,
-                 add: Callable[..., None]) -> None:
+    def __init__(
+        self, path: Path | str, head: Head, most_bytes: int, most_waiting: int, keys: str, add: Callable[..., None]
+    ) -> None:
         self.path, self.most, self.keys, self.add = Path(path), int(most_bytes * FULL_AT), keys, add
         self.waiting: queue.Queue[Line | None] = queue.Queue(most_waiting)
-        self.full = False                        # the file is, or it can't be written
+        self.full = False  # the file is, or it can't be written
         self.problem = ""
         self.writer = Writer(path)
         self.writer(head)
@@ -58,7 +60,7 @@
                 self.writer(line)
                 if self.writer.lines % CHECK == 0:
                     self.full = self.path.stat().st_size >= self.most
-        except Exception as problem:             # a full disk must not end a relay
+        except Exception as problem:  # a full disk must not end a relay
             self.full, self.problem = True, f"{type(problem).__name__}: {problem}"
             while self.waiting.get() is not None:
                 pass
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -1,5 +1,6 @@
 """The operators' settings under the module's names: one table for both forms they come in, the bench wire's
 path=value pairs and a real relay's nested JSON.  Names and units are translated; nothing is decided here."""
+
 from math import ceil, floor
 from typing import Any, Iterator
 
@@ -7,38 +8,101 @@
 
 # path (without the places of list items) -> the module's name
 NAMES = {
-    "fleetSize": "relays", "index": "index", "zone": "zone", "discovery": "list_mode",
-    "requestClasses": "workloads", "tenants": "customers", "overShareWorth": "over_share_payoff",
-    "aim": "promised", "aimStretch": "promised_stretch", "deadline": "abandon", "effect": "effect",
-    "group": "group", "memorySpan": "memory", "gain": "payoff", "lateValue": "late_payoff", "name": "name",
-    "streaming": "streaming", "quotaPerS": "quota", "share": "share", "dcs": "zones",
-    "clients.marksRetry": "marks_repeats", "worthBy": "payoff_by", "weights": "weights",
-    "domain.control": "control", "domain.layout": "layout", "domain.toAdvance": "on_votes",
-    "domain.holdVotes": "hold_votes", "domain.noesNeeded": "back_votes", "domain.minDwell": "bake",
-    "domain.stageTime": "step", "domain.ballotTtl": "vote_life", "domain.apiTimeout": "vote_wait",
-    "domain.callsPerS": "votes_per_second", "domain.behindPrice": "delay_price",
-    "domain.blastPrice": "harm_price", "domain.foundShare": "flag_share", "domain.free": "free_shots",
-    "domain.per": "exposure_per", "domain.span": "exposure_span", "domain.guardedStages": "guarded_stages",
-    "domain.oneWay": "one_way", "domain.mostShares": "caps", "domain.waves": "stage_shares",
-    "domain.warmKeys": "warm_keys", "domain.tallyEvery": "tally_every", "domain.sample": "tally_sample",
+    "fleetSize": "relays",
+    "index": "index",
+    "zone": "zone",
+    "discovery": "list_mode",
+    "requestClasses": "workloads",
+    "tenants": "customers",
+    "overShareWorth": "over_share_payoff",
+    "aim": "promised",
+    "aimStretch": "promised_stretch",
+    "deadline": "abandon",
+    "effect": "effect",
+    "group": "group",
+    "memorySpan": "memory",
+    "gain": "payoff",
+    "lateValue": "late_payoff",
+    "name": "name",
+    "streaming": "streaming",
+    "quotaPerS": "quota",
+    "share": "share",
+    "dcs": "zones",
+    "clients.marksRetry": "marks_repeats",
+    "worthBy": "payoff_by",
+    "weights": "weights",
+    "domain.control": "control",
+    "domain.layout": "layout",
+    "domain.toAdvance": "on_votes",
+    "domain.holdVotes": "hold_votes",
+    "domain.noesNeeded": "back_votes",
+    "domain.minDwell": "bake",
+    "domain.stageTime": "step",
+    "domain.ballotTtl": "vote_life",
+    "domain.apiTimeout": "vote_wait",
+    "domain.callsPerS": "votes_per_second",
+    "domain.behindPrice": "delay_price",
+    "domain.blastPrice": "harm_price",
+    "domain.foundShare": "flag_share",
+    "domain.free": "free_shots",
+    "domain.per": "exposure_per",
+    "domain.span": "exposure_span",
+    "domain.guardedStages": "guarded_stages",
+    "domain.oneWay": "one_way",
+    "domain.mostShares": "caps",
+    "domain.waves": "stage_shares",
+    "domain.warmKeys": "warm_keys",
+    "domain.tallyEvery": "tally_every",
+    "domain.sample": "tally_sample",
     "domain.repeatEvery": "news_every",
-    "limits.cancel": "may_cancel", "limits.maxAttempts": "most_shots", "limits.parallelTries": "two_shots",
-    "limits.retryAfter": "may_advise", "limits.maxRetryAfter": "longest_advice",
-    "limits.mayTell": "may_tell", "limits.probes": "may_probe", "limits.openCap": "most_open",
-    "limits.dialTimeout": "connect_wait", "limits.connIdle": "idle_time",
-    "rules.answerSlack": "answer_slack", "rules.askWithin": "ask_within", "rules.coldFrom": "cold_from",
-    "rules.drainGrace": "drain_grace", "rules.fallMultiple": "fall_multiple",
-    "rules.overloadFor": "fall_span", "rules.warmUp": "warm_up",
-    "charges.crossZone": "zone_price", "charges.waste": "waste_price", "charges.lateFail": "late_price",
-    "charges.peer": "tell_price", "feedback.fields": "load_fields", "feedback.via": "load_via",
+    "limits.cancel": "may_cancel",
+    "limits.maxAttempts": "most_shots",
+    "limits.parallelTries": "two_shots",
+    "limits.retryAfter": "may_advise",
+    "limits.maxRetryAfter": "longest_advice",
+    "limits.mayTell": "may_tell",
+    "limits.probes": "may_probe",
+    "limits.openCap": "most_open",
+    "limits.dialTimeout": "connect_wait",
+    "limits.connIdle": "idle_time",
+    "rules.answerSlack": "answer_slack",
+    "rules.askWithin": "ask_within",
+    "rules.coldFrom": "cold_from",
+    "rules.drainGrace": "drain_grace",
+    "rules.fallMultiple": "fall_multiple",
+    "rules.overloadFor": "fall_span",
+    "rules.warmUp": "warm_up",
+    "charges.crossZone": "zone_price",
+    "charges.waste": "waste_price",
+    "charges.lateFail": "late_price",
+    "charges.peer": "tell_price",
+    "feedback.fields": "load_fields",
+    "feedback.via": "load_via",
     "tick": "tick",
 }
 # settings that are times: how to round them so that no limit is overstepped
-TIMES = {name: floor for name in ("promised", "abandon", "memory", "bake", "step", "vote_life", "vote_wait",
-                                  "tally_every", "longest_advice", "answer_slack", "ask_within",
-                                  "drain_grace", "news_every", "connect_wait", "idle_time")}
+TIMES = {
+    name: floor
+    for name in (
+        "promised",
+        "abandon",
+        "memory",
+        "bake",
+        "step",
+        "vote_life",
+        "vote_wait",
+        "tally_every",
+        "longest_advice",
+        "answer_slack",
+        "ask_within",
+        "drain_grace",
+        "news_every",
+        "connect_wait",
+        "idle_time",
+    )
+}
 TIMES.update({name: ceil for name in ("exposure_span", "fall_span", "warm_up", "tick")})
-NOBODY = ""                                       # a customer that the settings do not name
+NOBODY = ""  # a customer that the settings do not name
 LIST_VALUES = {"caps", "stage_shares", "load_fields", "zones"}
 
 
@@ -106,6 +170,6 @@
                 items[int(parts[1])][name] = named(name, value)
         elif path in NAMES:
             known[NAMES[path]] = named(NAMES[path], value)
-    if known.get("customers"):                   # whoever else asks: not on the account of one that is listed
+    if known.get("customers"):  # whoever else asks: not on the account of one that is listed
         known["customers"].append({"name": NOBODY, "share": 0})
     return known
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -2,6 +2,7 @@
 
 All of it is off where the file is absent.  Sizes and times are in the unit that a field's name ends in.
 """
+
 import tomllib
 from collections.abc import Callable
 from pathlib import Path
@@ -21,9 +22,10 @@
 
 class Recording(Struct, forbid_unknown_fields=True, frozen=True):
     """Recorded traffic of this relay.  `keys`: as they are, hashed, or left out."""
+
     file: Annotated[str, Meta(min_length=1, max_length=1000)]
     most_mb: Annotated[int, Meta(ge=1, le=100_000)] = 256
-    queue: Annotated[int, Meta(ge=100, le=1_000_000)] = 20_000           # lines that wait to be written
+    queue: Annotated[int, Meta(ge=100, le=1_000_000)] = 20_000  # lines that wait to be written
     keys: Literal["plain", "hashed", "none"] = "hashed"
 
 
@@ -35,6 +37,7 @@
 class Zones(Struct, forbid_unknown_fields=True, frozen=True):
     """Tiers of preference and spill between zones.  `costs`: "a b" = 2.5, the same both ways; zones equally near
     share a tier.  The rest is explained in docs/operate/zone-loss.md."""
+
     costs: dict[str, Cost] = {}
     usual_cost: Cost = 1.0
     spill_share: Part = 1.0
@@ -62,13 +65,28 @@
                 if name not in names:
                     raise BadDocument(f"zones.costs.{pair!r}: no zone {name}; there are {', '.join(names) or 'none'}")
             costs[names.index(both[0]), names.index(both[1])] = cost
-        return Zoning(costs, self.usual_cost, self.spill_share, self.spill_over, self.spare, self.panic,
-                      int(self.span_ms * 10), int(self.memory_s * 10_000), self.first, int(self.step_ms * 10), self.least,
-                      self.late_part, int(self.wait_ms * 10), int(self.longest_wait_ms * 10), int(self.calm_ms * 10))
+        return Zoning(
+            costs,
+            self.usual_cost,
+            self.spill_share,
+            self.spill_over,
+            self.spare,
+            self.panic,
+            int(self.span_ms * 10),
+            int(self.memory_s * 10_000),
+            self.first,
+            int(self.step_ms * 10),
+            self.least,
+            self.late_part,
+            int(self.wait_ms * 10),
+            int(self.longest_wait_ms * 10),
+            int(self.calm_ms * 10),
+        )
 
 
 class Document(Struct, forbid_unknown_fields=True, frozen=True):
     """The whole."""
+
     recording: Recording | None = None
     zones: Zones | None = None
 
@@ -80,8 +98,11 @@
         names, own = list(facts.get("zones", [])), facts.get("zone")
         zoning = self.zones.zoning(names)
         if own not in names:
-            raise BadDocument(f"zones: this relay's zone {own!r} is none of {', '.join(names) or 'the settings (none)'}")
+            raise BadDocument(
+                f"zones: this relay's zone {own!r} is none of {', '.join(names) or 'the settings (none)'}"
+            )
         from ..choices.zones import Zones as Stage
+
         return [lambda relay: Stage(relay, zoning, names.index(own), len(names))]
 
 
--- a/tealsail/setup/facts.py
+++ b/tealsail/setup/facts.py
@@ -2,13 +2,14 @@
 
 What is absent keeps its default (tealsail/policy.py).  A line names the field as the platform does.
 """
+
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
 from ..settings import NAMES
 
 PATHS = {name: path for path, name in NAMES.items()}
-MOST = 1e9                                       # tenths of a ms, and any count
+MOST = 1e9  # tenths of a ms, and any count
 
 
 class BadFacts(ValueError):
@@ -17,6 +18,7 @@
 
 class Bound(NamedTuple):
     """Numbers between the two, both allowed; `whole` ones only."""
+
     low: float
     high: float
     whole: bool = False
@@ -24,29 +26,69 @@
 
 COUNT, TIME, PART, SPAN = Bound(0, MOST, True), Bound(0, MOST), Bound(0, 1), Bound(1, MOST)
 BOUNDS: dict[str, Bound | type | set[str]] = dict(
-    relays=Bound(1, 1e6, True), index=COUNT, on_votes=COUNT, hold_votes=COUNT, back_votes=COUNT,
-    vote_life=SPAN, vote_wait=SPAN, votes_per_second=Bound(0.001, MOST), control={"any", "share", "timer"},
-    layout={"in_place", "beside"}, free_shots=TIME, exposure_per={"all", "class"}, exposure_span=SPAN,
-    guarded_stages=COUNT, one_way=bool, may_cancel=bool, may_tell=bool, may_advise=bool, may_probe=bool,
-    longest_advice=TIME, list_mode={"pushed", "on_request"}, most_shots=Bound(1, 1000, True), cold_from=PART, warm_up=TIME,
-    fall_multiple=Bound(0.001, MOST), fall_span=TIME, drain_grace=TIME, bake=TIME, step=TIME, connect_wait=SPAN, idle_time=SPAN,
-    ask_within=SPAN, answer_slack=TIME, flag_share=PART, delay_price=TIME, harm_price=TIME, two_shots=bool, marks_repeats=bool,
-    load_via={"answers", "probe", "none"})
+    relays=Bound(1, 1e6, True),
+    index=COUNT,
+    on_votes=COUNT,
+    hold_votes=COUNT,
+    back_votes=COUNT,
+    vote_life=SPAN,
+    vote_wait=SPAN,
+    votes_per_second=Bound(0.001, MOST),
+    control={"any", "share", "timer"},
+    layout={"in_place", "beside"},
+    free_shots=TIME,
+    exposure_per={"all", "class"},
+    exposure_span=SPAN,
+    guarded_stages=COUNT,
+    one_way=bool,
+    may_cancel=bool,
+    may_tell=bool,
+    may_advise=bool,
+    may_probe=bool,
+    longest_advice=TIME,
+    list_mode={"pushed", "on_request"},
+    most_shots=Bound(1, 1000, True),
+    cold_from=PART,
+    warm_up=TIME,
+    fall_multiple=Bound(0.001, MOST),
+    fall_span=TIME,
+    drain_grace=TIME,
+    bake=TIME,
+    step=TIME,
+    connect_wait=SPAN,
+    idle_time=SPAN,
+    ask_within=SPAN,
+    answer_slack=TIME,
+    flag_share=PART,
+    delay_price=TIME,
+    harm_price=TIME,
+    two_shots=bool,
+    marks_repeats=bool,
+    load_via={"answers", "probe", "none"},
+)
 OF_WORKLOAD: dict[str, Bound | type | set[str]] = dict(
-    promised=SPAN, abandon=SPAN, payoff=TIME, memory=TIME, effect={"harmless", "stamped", "one-shot"},
-    group={"all", "zone", "cell"}, name=str)
+    promised=SPAN,
+    abandon=SPAN,
+    payoff=TIME,
+    memory=TIME,
+    effect={"harmless", "stamped", "one-shot"},
+    group={"all", "zone", "cell"},
+    name=str,
+)
 OF_CUSTOMER: dict[str, Bound | type | set[str]] = dict(share=PART, quota=TIME, name=str)
 
 
 def wrong(bound: Bound | type | set[str], value: Any) -> str:
     """What is wrong with a value; nothing, if it will do."""
     if isinstance(bound, set):
-        return "" if isinstance(value, str) and value in bound else f"{value!r:.40} is none of {', '.join(sorted(bound))}"
+        return (
+            "" if isinstance(value, str) and value in bound else f"{value!r:.40} is none of {', '.join(sorted(bound))}"
+        )
     if isinstance(bound, type):
         return "" if isinstance(value, bound) else f"{value!r:.40} is not {bound.__name__}"
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return f"{value!r:.40} is not a number"
-    if not bound.low <= value <= bound.high:     # nor is what is no number at all
+    if not bound.low <= value <= bound.high:  # nor is what is no number at all
         return f"{value} is not from {bound.low:g} to {bound.high:g}"
     return "is not whole" if bound.whole and value != int(value) else ""
 
--- a/tealsail/world/clients.py
+++ b/tealsail/world/clients.py
@@ -1,19 +1,21 @@
 """Clients: arrivals that do not wait for answers, repeats of their own, and when they stop waiting."""
+
 import heapq
 from typing import NamedTuple
 
 from . import draws
 from .draws import Gaps, Sorts, share
 
-STREAM, TRY = 10 ** 7, 10 ** 12                  # numbers: try * TRY + stream * STREAM + place in the stream
+STREAM, TRY = 10**7, 10**12  # numbers: try * TRY + stream * STREAM + place in the stream
 SECOND = 10_000
 
 
 class Workload(NamedTuple):
     """Times are tenths of a ms."""
+
     name: str
-    effect: str                                  # harmless, stamped or one-shot
-    part: float                                  # of the arrivals
+    effect: str  # harmless, stamped or one-shot
+    part: float  # of the arrivals
     promised: int
     abandon: int
     payoff: float
@@ -21,13 +23,14 @@
 
 class Habits(NamedTuple):
     """What clients do.  Times are tenths of a ms."""
-    rate: float = 100.0                          # first tries a second, all relays together
-    skew: float = 0.0                            # relay i gets 1 / (i + 1) ** skew of it, in proportion
-    keys: int = 1_000                            # different keys of a customer
+
+    rate: float = 100.0  # first tries a second, all relays together
+    skew: float = 0.0  # relay i gets 1 / (i + 1) ** skew of it, in proportion
+    keys: int = 1_000  # different keys of a customer
     most_repeats: int = 0
-    repeat_after: int = 1_000                    # before the first repeat; twice as long before each further one
-    marks: bool = True                           # repeats are marked as such
-    hot: float = 1.0                             # relay 0 gets so many times what it would get by the rest
+    repeat_after: int = 1_000  # before the first repeat; twice as long before each further one
+    marks: bool = True  # repeats are marked as such
+    hot: float = 1.0  # relay 0 gets so many times what it would get by the rest
 
 
 def weights(relays: int, skew: float, hot: float) -> list[float]:
@@ -37,15 +40,16 @@
 
 class Arrival(NamedTuple):
     """One try, as its client means to send it.  `first` is the number of its first try."""
+
     at: int
     number: int
     first: int
-    intended: int                                # of the first try
+    intended: int  # of the first try
     relay: int
     workload: int
     customer: int
     key: str
-    give_up: int                                 # the client stops waiting, for all of its tries
+    give_up: int  # the client stops waiting, for all of its tries
 
     @property
     def repeat(self) -> bool:
@@ -55,8 +59,7 @@
 class Stream:
     """Poisson arrivals at one relay: all customers' usual traffic, or what one sends beyond it."""
 
-    def __init__(self, number: int, relay: int, rate: float, start: int, end: int, customer: int,
-                 seed: int) -> None:
+    def __init__(self, number: int, relay: int, rate: float, start: int, end: int, customer: int, seed: int) -> None:
         self.number, self.relay, self.rate, self.end, self.customer = number, relay, rate / SECOND, end, customer
         self.gaps, self.place, self.at = Gaps(seed, draws.ARRIVALS, number), 0, float(start)
 
@@ -72,8 +75,9 @@
 class Clients:
     """All clients of a day.  `next` gives first tries in order; `answered` what a client sends next, if it does."""
 
-    def __init__(self, habits: Habits, workloads: list[Workload], customers: list[float], relays: int,
-                 span: int, seed: int) -> None:
+    def __init__(
+        self, habits: Habits, workloads: list[Workload], customers: list[float], relays: int, span: int, seed: int
+    ) -> None:
         self.habits, self.workloads, self.seed, self.span = habits, workloads, seed, span
         self.customers = customers or [1.0]
         self.which, self.whose = Sorts([each.part for each in workloads]), Sorts(self.customers)
@@ -113,8 +117,9 @@
         workload = self.which.at(share(seed, draws.ARRIVALS, number, 1))
         customer = stream.customer if stream.customer >= 0 else self.whose.at(share(seed, draws.ARRIVALS, number, 2))
         key = str(int(share(seed, draws.ARRIVALS, number, 3) * self.habits.keys) * 100 + customer)
-        return Arrival(at, number, number, at, stream.relay, workload, customer, key,
-                       at + self.workloads[workload].abandon)
+        return Arrival(
+            at, number, number, at, stream.relay, workload, customer, key, at + self.workloads[workload].abandon
+        )
 
     def answered(self, now: int, one: Arrival, answer: str, come_back: int = 0) -> Arrival | None:
         """The repeat that its client sends after this answer, or None.  What may have run and must not run twice is
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -5,6 +5,7 @@
 changed, or is to be told anew) and `relays` (what is done to processes of relays).  Who acts for the fleet (`the keeper`)
 is asked of `roles` when a line of the script is carried out: the driver reads it from what relays log.
 """
+
 import heapq
 from typing import Any, Callable, NamedTuple
 
@@ -20,25 +21,26 @@
 from .unit import NEVER, Kind, Unit
 
 
-OTHER = 1_000_000                                # draws of a line's second party, apart from its first's
-TURN = 400                                       # tenths of a ms: of a relay that has a share of a core
+OTHER = 1_000_000  # draws of a line's second party, apart from its first's
+TURN = 400  # tenths of a ms: of a relay that has a share of a core
 
 
 class Parts(NamedTuple):
     """What a day is made of.  Times are tenths of a ms."""
+
     layout: Layout
     kind: Kind
     builds: dict[int, Build]
-    base: int                                    # the build that runs at the start
-    works: list[Table]                           # by workload
+    base: int  # the build that runs at the start
+    works: list[Table]  # by workload
     workloads: list[Workload]
-    customers: list[tuple[str, float]]           # name and share
+    customers: list[tuple[str, float]]  # name and share
     habits: Habits
     plan: Plan
     paths: Paths
     relay_zones: list[str]
     list_late: tuple[int, int]
-    offers: list[tuple[int, int]]                # when, which build
+    offers: list[tuple[int, int]]  # when, which build
     faults: list[Fault]
     span: int
 
@@ -47,6 +49,7 @@
     """To be done to a relay's process: down (killed), up, restart, stop (nothing of it runs), on (it runs again), rate (its
     clocks run so many times as fast), step (its wall clock steps by so many seconds), switch (restart, from the other
     checkout)."""
+
     relay: int
     what: str
     amount: float = 0.0
@@ -54,6 +57,7 @@
 
 class Left(NamedTuple):
     """What a day left to do for whoever drives it."""
+
     lines: list[Any]
     touched: list[Unit]
     rounds: list[int]
@@ -81,12 +85,13 @@
             self.later(at, self.offer, build)
         for place, fault in enumerate(parts.faults):
             self.later(fault.at, self.begin, fault, place)
-            if fault.kind == "surge":            # arrivals are drawn ahead
+            if fault.kind == "surge":  # arrivals are drawn ahead
                 names = [name for name, _ in parts.customers]
-                self.clients.surge(names.index(fault.who) if fault.who else -1, fault.times, fault.at,
-                                   fault.at + fault.span)
+                self.clients.surge(
+                    names.index(fault.who) if fault.who else -1, fault.times, fault.at, fault.at + fault.span
+                )
         self.settle(0)
-        for relay in range(len(parts.relay_zones)):              # at the start all is known
+        for relay in range(len(parts.relay_zones)):  # at the start all is known
             self.roster.told[relay] = self.roster.version
         self.rounds, self.round_due = [], NEVER
 
@@ -199,7 +204,7 @@
             return self.roles(who)
         fit = [relay for relay, own in enumerate(self.parts.relay_zones) if zone in ("", own)]
         fit.sort(key=lambda relay: (share(self.seed, PICKS, salt, relay, 2), relay))
-        return sorted(fit[:many if many else round(part * len(fit)) or 1])
+        return sorted(fit[: many if many else round(part * len(fit)) or 1])
 
     def cut(self, now: int, fault: Fault, place: int, until: int) -> None:
         """Relays from a zone's units, the list, the platform, or other relays (both ways, or what the first send)."""
@@ -234,7 +239,7 @@
                 self.relays.append(Order(relay, "stop"))
                 if fault.span:
                     self.later(now + fault.span, self.order, Order(relay, "on"))
-            case "hold relays":                  # a share of a core: stopped for the rest of each turn
+            case "hold relays":  # a share of a core: stopped for the rest of each turn
                 for turn in range(now, now + fault.span, TURN):
                     self.later(turn, self.order, Order(relay, "stop"))
                     self.later(turn + int((1 - fault.times) * TURN), self.order, Order(relay, "on"))
--- a/tealsail/world/desk.py
+++ b/tealsail/world/desk.py
@@ -1,4 +1,5 @@
 """The platform: offers builds, brings them in by stages, counts the relays' votes and moves on or back."""
+
 from typing import NamedTuple
 
 ON_TRIAL, GOING_BACK, RELEASED, WITHDRAWN = "on trial", "going back", "released", "withdrawn"
@@ -7,15 +8,16 @@
 
 class Plan(NamedTuple):
     """How the platform rolls out.  Times are tenths of a ms."""
+
     caps: tuple[float, ...] = (0.2, 0.5, 1.0)
-    shares: tuple[float, ...] = (0.25, 0.5, 1.0)     # of the places that run the build, by stage
-    bake: int = 10_000                           # a stage's least time from when its units run
-    launched_by: int = 80_000                    # a stage's clock starts so late at the latest
+    shares: tuple[float, ...] = (0.25, 0.5, 1.0)  # of the places that run the build, by stage
+    bake: int = 10_000  # a stage's least time from when its units run
+    launched_by: int = 80_000  # a stage's clock starts so late at the latest
     on_votes: int = 1
     back_votes: int = 1
     vote_life: int = 60_000
     votes_per_second: int = 50
-    by_clock: int = 0                            # 0: moved on by votes; else by the clock, after so long a stage
+    by_clock: int = 0  # 0: moved on by votes; else by the clock, after so long a stage
 
 
 class State(NamedTuple):
@@ -23,7 +25,7 @@
     stage: int
     phase: str
     cap: float
-    since: int                                   # when it came to stand so
+    since: int  # when it came to stand so
 
 
 class Desk:
@@ -33,14 +35,14 @@
     def __init__(self, plan: Plan, build: int) -> None:
         self.plan = plan
         self.state = State(build, len(plan.shares) - 1, RELEASED, 1.0, 0)
-        self.released = self.earlier = build     # the newest that was, and the one before it
-        self.votes: dict[int, tuple[int, int, str, int]] = {}    # relay -> build, stage, verdict, until
-        self.clock_at = NEVER                    # when the stage's clock started
+        self.released = self.earlier = build  # the newest that was, and the one before it
+        self.votes: dict[int, tuple[int, int, str, int]] = {}  # relay -> build, stage, verdict, until
+        self.clock_at = NEVER  # when the stage's clock started
         self.orders: list[tuple[str, int, float]] = []
         self.news = False
         self.silent_until = self.busy_until = 0
-        self.second, self.calls = -1, 0          # calls taken in this second
-        self.seen = -1                           # up to when the clock has been heeded
+        self.second, self.calls = -1, 0  # calls taken in this second
+        self.seen = -1  # up to when the clock has been heeded
 
     def offer(self, now: int, build: int) -> None:
         """A new build; what was on trial until then is taken off."""
@@ -82,8 +84,11 @@
         state, plan, self.seen = self.state, self.plan, now
         if now < self.silent_until or state.phase not in (ON_TRIAL, RELEASED):
             return
-        standing = [verdict for build, stage, verdict, until in self.votes.values()
-                    if build == state.build and stage == state.stage and until > now]
+        standing = [
+            verdict
+            for build, stage, verdict, until in self.votes.values()
+            if build == state.build and stage == state.stage and until > now
+        ]
         if standing.count("back") >= plan.back_votes and state.build != self.base:
             self.state = state._replace(phase=GOING_BACK, cap=0.0, since=now)
             self.orders.append(("back", state.build, 0.0))
--- a/tealsail/world/draws.py
+++ b/tealsail/world/draws.py
@@ -3,6 +3,7 @@
 Two options are compared on the same random numbers: a draw is a hash of the day's seed, its purpose and whom it is
 for, so a day that sends one shot more does not shift all later draws.
 """
+
 from bisect import bisect_right
 from math import exp, log
 from statistics import NormalDist
@@ -10,8 +11,8 @@
 
 from ..parts import mix
 
-POINTS = 512                                     # parts of a table
-ARRIVALS, WORK, FATE, SPEED, LIST, NOTES, RETRY, TURNS, PICKS, OWN = range(1, 11)     # what draws are for
+POINTS = 512  # parts of a table
+ARRIVALS, WORK, FATE, SPEED, LIST, NOTES, RETRY, TURNS, PICKS, OWN = range(1, 11)  # what draws are for
 
 
 def share(seed: int, purpose: int, *whom: int) -> float:
@@ -22,6 +23,7 @@
 class Table(NamedTuple):
     """A distribution as its quantiles in whole units, evenly spaced: what a fit finds and what a formula gives
     alike, and the same on any machine whatever its mathematical library does in the last bit."""
+
     quantiles: tuple[int, ...]
 
     def at(self, part: float) -> int:
@@ -48,7 +50,7 @@
     normal = NormalDist(log(mean) - sigma * sigma / 2, sigma or 1e-9)
     parts = [min(max(place / POINTS, 0.25 / POINTS), 1 - 0.25 / POINTS) for place in range(POINTS + 1)]
     table = Table(tuple(max(1, round(exp(normal.inv_cdf(part)))) for part in parts))
-    return table.times(mean / table.mean)        # what the cut took away
+    return table.times(mean / table.mean)  # what the cut took away
 
 
 def empirical(seen: list[int]) -> Table:
@@ -73,6 +75,7 @@
 
 class Gaps:
     """The gaps of a Poisson stream of one event a unit of time, from a generator of its own."""
+
     MASK = (1 << 64) - 1
 
     def __init__(self, *seed: int) -> None:
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -9,26 +9,30 @@
 
 Beside each stands what independent even draws would have given: every shot drawn anew among the units that were open to it.
 """
+
 from collections import Counter, defaultdict
 from typing import Any
 
 from ..record.lines import Came, Done, Head, Life, Line, Log, Met, Ran, Unit
 from .draws import Gaps
 
-SPAN, HERD = 50_000, 1_000                       # tenths of a ms: windows of evenness, of herds
-FEWEST, THIN = 5, 10                             # units of a build, shots for each of them in a window that counts
+SPAN, HERD = 50_000, 1_000  # tenths of a ms: windows of evenness, of herds
+FEWEST, THIN = 5, 10  # units of a build, shots for each of them in a window that counts
 SECOND = 10_000
-MOST_TOLD = 200                                  # changes of who acts
+MOST_TOLD = 200  # changes of who acts
 UNSOUND = ("hangs", "silent", "fails", "slows")
 
 
 class Server:
     """A unit as the record has it."""
+
     __slots__ = ("build", "open", "sound", "hand", "even", "drawn_even")
 
     def __init__(self, build: int) -> None:
         self.build, self.open, self.sound, self.hand = build, True, True, 0
-        self.even = self.drawn_even = 0.0        # the build's sum of even shares when it last got a shot; when it was last drawn
+        self.even = self.drawn_even = (
+            0.0  # the build's sum of even shares when it last got a shot; when it was last drawn
+        )
 
 
 class Window:
@@ -49,10 +53,10 @@
     def __init__(self) -> None:
         self.cores = 1.0
         self.units: dict[str, Server] = {}
-        self.open: dict[int, list[str]] = defaultdict(list)      # build -> units that are open
-        self.empty: dict[int, set[str]] = defaultdict(set)       # and of these the sound ones with nothing in hand
-        self.at: dict[tuple[int, int, int], str] = {}            # shots in units' hands
-        self.sums: dict[int, float] = defaultdict(float)         # build -> even shares so far
+        self.open: dict[int, list[str]] = defaultdict(list)  # build -> units that are open
+        self.empty: dict[int, set[str]] = defaultdict(set)  # and of these the sound ones with nothing in hand
+        self.at: dict[tuple[int, int, int], str] = {}  # shots in units' hands
+        self.sums: dict[int, float] = defaultdict(float)  # build -> even shares so far
         self.wide: dict[int, Window] = defaultdict(Window)
         self.brief: dict[int, Window] = defaultdict(Window)
         self.spread: list[tuple[float, float, float, float]] = []
@@ -61,12 +65,20 @@
         self.by_second: dict[str, Counter[int]] = defaultdict(Counter)
         self.met: Counter[tuple[str, int]] = Counter()
         self.luck = Gaps(7, 7)
-        self.words: dict[int, str] = {}          # relay -> who acts, by its word
+        self.words: dict[int, str] = {}  # relay -> who acts, by its word
         self.acting, self.keepers_at_once = "", 1
         self.owners: list[str] = []
         self.last = 0
-        self.handlers = {Head: self.head, Unit: self.unit, Ran: self.ran, Done: self.done, Came: self.done, Met: self.meet,
-                         Log: self.log, Life: self.life}
+        self.handlers = {
+            Head: self.head,
+            Unit: self.unit,
+            Ran: self.ran,
+            Done: self.done,
+            Came: self.done,
+            Met: self.meet,
+            Log: self.log,
+            Life: self.life,
+        }
 
     def __call__(self, line: Line) -> None:
         self.last = line.at
@@ -163,7 +175,9 @@
         """Units that were open all the while: of those that came or went a part would be missed."""
         names = [name for name in self.open[build] if name in window.got or self.units[name].sound]
         if len(names) >= FEWEST and sum(window.got.values()) >= THIN * len(names):
-            self.spread.append((*spread([window.got[name] for name in names]), *spread([window.drawn[name] for name in names])))
+            self.spread.append(
+                (*spread([window.got[name] for name in names]), *spread([window.drawn[name] for name in names]))
+            )
 
     def done(self, line: Done | Came) -> None:
         self.ended((line.relay, line.number, line.place))
@@ -201,7 +215,9 @@
             self.keepers_at_once = max(self.keepers_at_once, share if len(self.words) >= 10 else 1)
             if first != self.acting and 2 * many[first] > len(self.words) and len(self.owners) < MOST_TOLD:
                 self.acting = first
-                self.owners.append(f"{at / SECOND:7.2f}s {first} by the word of {many[first]} of {len(self.words)} relays")
+                self.owners.append(
+                    f"{at / SECOND:7.2f}s {first} by the word of {many[first]} of {len(self.words)} relays"
+                )
 
     # what came of it
     def close(self) -> None:
@@ -215,8 +231,13 @@
         """By name; nothing for a record without units."""
         if not self.shots:
             return {}
-        found = {"waste": self.wasted / self.shots, "herd": self.herd, "herd_chance": self.herd_chance,
-                 "idle": self.idle, "idle_chance": self.idle_chance}
+        found = {
+            "waste": self.wasted / self.shots,
+            "herd": self.herd,
+            "herd_chance": self.herd_chance,
+            "idle": self.idle,
+            "idle_chance": self.idle_chance,
+        }
         for place, name in enumerate(("even_99th", "even_least", "even_99th_chance", "even_least_chance")):
             if self.spread:
                 found[name] = sum(each[place] for each in self.spread) / len(self.spread)
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -3,6 +3,7 @@
 A place holds one unit, or two while one replaces the other.  What happens is kept in `changes` (for the list), `lines`
 (for the record) and `ended` (units whose connections break); timers are its own, `due` and `wake`.
 """
+
 import heapq
 from typing import Any, Callable, NamedTuple
 
@@ -16,14 +17,15 @@
 
 class Layout(NamedTuple):
     """What the fleet is like.  Times are tenths of a ms."""
+
     places: int = 12
     zones: tuple[str, ...] = ("a",)
     cells: int = 1
-    speeds: float = 0.1                          # machines' speeds spread evenly over 1 by so much, both ways
-    start: tuple[int, int] = (8_000, 20_000)     # from a launch until it runs
-    drain: int = 20_000                          # a draining one is gone after so long
-    notice: int = 30_000                         # a dead one leaves the list after so long
-    beside: bool = False                         # earlier units stay until the release
+    speeds: float = 0.1  # machines' speeds spread evenly over 1 by so much, both ways
+    start: tuple[int, int] = (8_000, 20_000)  # from a launch until it runs
+    drain: int = 20_000  # a draining one is gone after so long
+    notice: int = 30_000  # a dead one leaves the list after so long
+    beside: bool = False  # earlier units stay until the release
 
 
 class Place:
@@ -31,25 +33,28 @@
 
     def __init__(self, number: int, zone: str, cell: int) -> None:
         self.number, self.zone, self.cell = number, zone, cell
-        self.unit: Unit | None = None            # what serves here
-        self.coming: tuple[int, int] | None = None   # build and ticket of a launch
+        self.unit: Unit | None = None  # what serves here
+        self.coming: tuple[int, int] | None = None  # build and ticket of a launch
 
 
 class Fleet:
     """Runs the units of one day."""
 
-    def __init__(self, layout: Layout, kind: Kind, builds: dict[int, Build], works: list[Table], base: int,
-                 seed: int) -> None:
+    def __init__(
+        self, layout: Layout, kind: Kind, builds: dict[int, Build], works: list[Table], base: int, seed: int
+    ) -> None:
         self.layout, self.kind, self.builds, self.works, self.seed = layout, kind, builds, works, seed
-        self.base = base                         # the build that new places run
-        self.units: dict[str, Unit] = {}         # all that run or drain, by name
+        self.base = base  # the build that new places run
+        self.units: dict[str, Unit] = {}  # all that run or drain, by name
         self.changes: list[Entry] = []
         self.lines: list[Any] = []
         self.ended: list[Unit] = []
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count = self.names = self.tickets = 0
-        self.places = [Place(number, layout.zones[number % len(layout.zones)],
-                             number // len(layout.zones) % layout.cells) for number in range(layout.places)]
+        self.places = [
+            Place(number, layout.zones[number % len(layout.zones)], number // len(layout.zones) % layout.cells)
+            for number in range(layout.places)
+        ]
         for place in self.places:
             self.run(0, place, base, 0)
 
@@ -71,7 +76,7 @@
     def launch(self, now: int, build: int, part: float) -> None:
         """Brings `build` to that part of the places; machines start at times of their own."""
         order = sorted(self.places, key=lambda place: share(self.seed, draws.PICKS, build, place.number))
-        for place in order[:max(1, round(part * len(order)))]:
+        for place in order[: max(1, round(part * len(order)))]:
             if not self.runs(place, build) and not (place.coming and place.coming[0] == build):
                 self.start(now, place, build)
 
@@ -83,12 +88,12 @@
         self.later(now + wait, self.started, place, build, self.tickets)
 
     def started(self, now: int, place: Place, build: int, ticket: int) -> None:
-        if place.coming != (build, ticket):      # called back since
+        if place.coming != (build, ticket):  # called back since
             return
         place.coming, earlier = None, place.unit
         self.run(now, place, build, now)
         if earlier and not (self.layout.beside and build > earlier.build.number):
-            self.drain(now, earlier)             # else it stays until the release, beside this one
+            self.drain(now, earlier)  # else it stays until the release, beside this one
 
     def back(self, now: int, build: int, base: int) -> None:
         """Takes a build off: its launches are called off, and what runs it is replaced by the earlier build."""
@@ -96,8 +101,14 @@
             if place.coming and place.coming[0] == build:
                 place.coming = None
             if self.runs(place, build):
-                stays = next((unit for unit in self.units.values() if unit.place is place
-                              and unit.build.number == base and not unit.draining and not unit.dead), None)
+                stays = next(
+                    (
+                        unit
+                        for unit in self.units.values()
+                        if unit.place is place and unit.build.number == base and not unit.draining and not unit.dead
+                    ),
+                    None,
+                )
                 if stays:
                     self.drain(now, place.unit)
                     place.unit = stays
@@ -121,8 +132,9 @@
 
     def left(self, build: int) -> bool:
         """Whether any unit of it is there or coming."""
-        return any(unit.build.number == build and not unit.dead for unit in self.units.values()) \
-            or not self.all_run(build)
+        return any(unit.build.number == build and not unit.dead for unit in self.units.values()) or not self.all_run(
+            build
+        )
 
     # units
     def run(self, now: int, place: Place, build: int, started: int, name: str = "", speed: float = 0.0) -> Unit:
@@ -170,7 +182,7 @@
             self.later(now + span, self.returns, unit)
 
     def noticed(self, now: int, unit: Unit) -> None:
-        if self.units.get(unit.name) is unit:    # else it is back already
+        if self.units.get(unit.name) is unit:  # else it is back already
             del self.units[unit.name]
             self.tell(now, unit, "gone")
             self.line(now, unit, "gone")
@@ -185,12 +197,25 @@
         self.changes.append(Entry(unit.name, unit.build.number, state, unit.zone, unit.cell, 1.0, unit.started))
 
     def line(self, now: int, unit: Unit, event: str) -> None:
-        self.lines.append(UnitLine(now, unit.name, unit.build.number, unit.zone, event,
-                                   round(unit.kind.cores * unit.speed, 6), unit.kind.cold_from, unit.kind.warm_up))
+        self.lines.append(
+            UnitLine(
+                now,
+                unit.name,
+                unit.build.number,
+                unit.zone,
+                event,
+                round(unit.kind.cores * unit.speed, 6),
+                unit.kind.cold_from,
+                unit.kind.warm_up,
+            )
+        )
 
     def chosen(self, many: int, part: float, zone: str, build: int, salt: int) -> list[Unit]:
         """Units that a fault hits: so many, or that part, of a zone ('': any) and a build (-1: any)."""
-        fit = [unit for unit in self.units.values() if not unit.dead and not unit.draining
-               and zone in ("", unit.zone) and build in (-1, unit.build.number)]
+        fit = [
+            unit
+            for unit in self.units.values()
+            if not unit.dead and not unit.draining and zone in ("", unit.zone) and build in (-1, unit.build.number)
+        ]
         fit.sort(key=lambda unit: (share(self.seed, draws.PICKS, salt, unit.mark), unit.name))
-        return fit[:many if many else round(part * len(fit)) or (1 if part else 0)]
+        return fit[: many if many else round(part * len(fit)) or (1 if part else 0)]
--- a/tealsail/world/network.py
+++ b/tealsail/world/network.py
@@ -1,4 +1,5 @@
 """The network between relays and units and between relays: delays, cuts, and notes that are lost, late, doubled or old."""
+
 from typing import Any, NamedTuple
 
 from .draws import NOTES, share
@@ -6,18 +7,20 @@
 
 class Paths(NamedTuple):
     """Times are tenths of a ms, one way."""
-    near: int = 2                                # inside a zone
-    far: int = 10                                # to another
-    handshake: int = 5                           # a new connection's more, on top of the way there and back
-    note_least: int = 5                          # notes between relays
+
+    near: int = 2  # inside a zone
+    far: int = 10  # to another
+    handshake: int = 5  # a new connection's more, on top of the way there and back
+    note_least: int = 5  # notes between relays
     note_most: int = 50
     note_loss: float = 0.0
-    distances: dict[tuple[str, str], int] = {}   # by zone pairs, where they differ from `far`
+    distances: dict[tuple[str, str], int] = {}  # by zone pairs, where they differ from `far`
 
 
 class Trouble(NamedTuple):
     """What befalls a part of all notes until a time: lost, late (by `far`), doubled, reordered (late by up to `far`, each
     by chance) or replayed (a copy again after `far`)."""
+
     kind: str
     until: int
     part: float
@@ -30,22 +33,25 @@
 
     def __init__(self, paths: Paths, relay_zones: list[str], seed: int) -> None:
         self.paths, self.zones, self.seed = paths, relay_zones, seed
-        self.cuts: dict[tuple[int, str], int] = {}               # relay and zone -> cut off until
-        self.silent: dict[str, int] = {}         # unit -> nothing from or to it until
-        self.apart: dict[tuple[int, int], int] = {}              # relay and relay: what one sends the other is lost until
-        self.away: dict[tuple[int, str], int] = {}               # relay and `list` or `platform`: cut off until
+        self.cuts: dict[tuple[int, str], int] = {}  # relay and zone -> cut off until
+        self.silent: dict[str, int] = {}  # unit -> nothing from or to it until
+        self.apart: dict[tuple[int, int], int] = {}  # relay and relay: what one sends the other is lost until
+        self.away: dict[tuple[int, str], int] = {}  # relay and `list` or `platform`: cut off until
         self.troubles: list[Trouble] = []
         self.notes = 0
 
     def plain(self) -> list[Any]:
         """All that is wrong, as lists."""
-        return [[[*key, until] for key, until in each.items()] for each in (self.cuts, self.apart, self.away)] \
-            + [[[name, until] for name, until in self.silent.items()], [list(each) for each in self.troubles]]
+        return [[[*key, until] for key, until in each.items()] for each in (self.cuts, self.apart, self.away)] + [
+            [[name, until] for name, until in self.silent.items()],
+            [list(each) for each in self.troubles],
+        ]
 
     def take_over(self, plain: list[Any]) -> None:
         cuts, apart, away, silent, troubles = plain
-        self.cuts, self.apart, self.away = ({(first, second): until for first, second, until in each}
-                                            for each in (cuts, apart, away))
+        self.cuts, self.apart, self.away = (
+            {(first, second): until for first, second, until in each} for each in (cuts, apart, away)
+        )
         self.silent, self.troubles = dict(silent), [Trouble(*each) for each in troubles]
 
     def way(self, relay: int, zone: str) -> int:
@@ -81,7 +87,9 @@
             if each.kind == "late":
                 copies = [wait + each.far for wait in copies]
             elif each.kind == "reordered":
-                copies = [wait + int(share(self.seed, NOTES, self.notes, to, sender, place) * each.far) for wait in copies]
+                copies = [
+                    wait + int(share(self.seed, NOTES, self.notes, to, sender, place) * each.far) for wait in copies
+                ]
             else:
-                copies.append(copies[0] + each.far)              # doubled, at once; replayed, later
+                copies.append(copies[0] + each.far)  # doubled, at once; replayed, later
         return copies
--- a/tealsail/world/roster.py
+++ b/tealsail/world/roster.py
@@ -1,4 +1,5 @@
 """The list of units, as each relay's agent has it: late, stale or silent."""
+
 from typing import NamedTuple
 
 from .draws import LIST, share
@@ -6,6 +7,7 @@
 
 class Entry(NamedTuple):
     """One unit; `state`: open, draining or gone; `started` 0 for long ago."""
+
     name: str
     build: int
     state: str
@@ -18,15 +20,16 @@
 class Roster:
     """Keeps versions.  A change is known to a relay's agent some time after it happened, the same time for all
     changes of one round at one relay; while it is stale nothing new goes out, and what has piled up goes at its end."""
-    ROUND = 1_000                                # tenths of a ms: changes of so long go out together
+
+    ROUND = 1_000  # tenths of a ms: changes of so long go out together
 
     def __init__(self, least: int, most: int, relays: int, seed: int) -> None:
-        self.entries: dict[str, Entry] = {}      # all that is not gone
-        self.log: list[Entry] = []               # every change; its place + 1 is its version
+        self.entries: dict[str, Entry] = {}  # all that is not gone
+        self.log: list[Entry] = []  # every change; its place + 1 is its version
         self.lag = [least + int(share(seed, LIST, relay) * (most - least)) for relay in range(relays)]
-        self.told = [0] * relays                 # the version that each relay's agent has
+        self.told = [0] * relays  # the version that each relay's agent has
         self.stale_until = self.round_at = 0
-        self.late_at: dict[int, int] = {}        # relay -> its agent stands still until
+        self.late_at: dict[int, int] = {}  # relay -> its agent stands still until
 
     def change(self, now: int, entry: Entry) -> int:
         """Returns when the round that tells of it goes out."""
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -8,20 +8,22 @@
 
 A relay's process that is stopped from outside keeps nothing in time: what it has to do within a time, it has that much longer.
 """
+
 from collections import deque
 from typing import Any, NamedTuple
 
 from ..record.lines import Came, End, Head, Life, Line, News, Ran, Shot, Take, Told, Unit
 
 NEVER_RAN = ("full", "unreachable", "moot")
-MOST_TOLD = 50                                   # breaches kept word for word
+MOST_TOLD = 50  # breaches kept word for word
 LONG_AGO, LATER = -1 << 60, 1 << 60
-MOST_HALTS = 2_000                               # of one relay that are kept
-FORGET = 600_000                                 # tenths of a ms after which what is over is forgotten
+MOST_HALTS = 2_000  # of one relay that are kept
+FORGET = 600_000  # tenths of a ms after which what is over is forgotten
 
 
 class Breach(NamedTuple):
     """One rule broken, once."""
+
     at: int
     rule: str
     text: str
@@ -29,18 +31,20 @@
 
 class Slack(NamedTuple):
     """What passes: times of the sockets' bench are 50 ms longer, 2 shots and 4% more pass there."""
-    time: int = 0                                # tenths of a ms
+
+    time: int = 0  # tenths of a ms
     shots: float = 0.0
     part: float = 0.0
 
 
 class Open:
     """An invocation that a relay has at hand."""
+
     __slots__ = ("take", "out", "ran", "ran_at", "ended", "left", "doubt")
 
     def __init__(self, take: Take) -> None:
         self.take, self.out, self.ran, self.ran_at, self.ended, self.left = take, {}, False, 0, False, False
-        self.doubt: dict[int, int] = {}          # copies whose end may still be on its way to whoever looks: since when
+        self.doubt: dict[int, int] = {}  # copies whose end may still be on its way to whoever looks: since when
 
 
 class Cold:
@@ -61,20 +65,30 @@
         self.breaches: list[Breach] = []
         self.counts = dict.fromkeys(("lost", "twice", "drains", "cold", "exposure"), 0)
         self.nearest = {"cold": 0.0, "exposure": 0.0}
-        self.cold_by_second: dict[int, float] = {}               # the closest to the limit of any unit in that second
+        self.cold_by_second: dict[int, float] = {}  # the closest to the limit of any unit in that second
         self.open: dict[tuple[int, int], Open] = {}
         self.closed: deque[tuple[int, tuple[int, int]]] = deque()
-        self.warned: dict[int, dict[str, int]] = {}              # relay -> unit that drains or is gone -> since
-        self.listed: dict[int, dict[str, int]] = {}              # relay -> unit -> build as last listed
+        self.warned: dict[int, dict[str, int]] = {}  # relay -> unit that drains or is gone -> since
+        self.listed: dict[int, dict[str, int]] = {}  # relay -> unit -> build as last listed
         self.news: dict[int, News] = {}
-        self.lowered: dict[int, tuple[int, float]] = {}          # relay -> when its cap fell, and from what
+        self.lowered: dict[int, tuple[int, float]] = {}  # relay -> when its cap fell, and from what
         self.taken: dict[int, deque[int]] = {}
-        self.tried: dict[tuple[int, int], deque[int]] = {}       # relay and build -> shots in the span
+        self.tried: dict[tuple[int, int], deque[int]] = {}  # relay and build -> shots in the span
         self.cold: dict[str, Cold] = {}
-        self.halts: dict[int, deque[list[int]]] = {}             # relay -> when its process stood still: from, to
+        self.halts: dict[int, deque[list[int]]] = {}  # relay -> when its process stood still: from, to
         self.last = 0
-        self.handlers = {Head: self.head, Take: self.take, Shot: self.shot, Came: self.came, End: self.end,
-                         Ran: self.ran, Unit: self.unit, Told: self.told, News: self.stood, Life: self.life}
+        self.handlers = {
+            Head: self.head,
+            Take: self.take,
+            Shot: self.shot,
+            Came: self.came,
+            End: self.end,
+            Ran: self.ran,
+            Unit: self.unit,
+            Told: self.told,
+            News: self.stood,
+            Life: self.life,
+        }
 
     def __call__(self, line: Line) -> None:
         handler = self.handlers.get(type(line))
@@ -115,8 +129,9 @@
         if one.ended:
             return self.breach(line.at, "lost", f"relay {line.relay} answered {line.number} twice")
         one.ended, one.left = True, line.answer == "left"
-        if line.answer != "lost" and line.at > one.take.give_up + self.slack.time \
-                + int(self.facts.get("answer_slack", 0)) + self.halted(line.relay, one.take.at, line.at):
+        if line.answer != "lost" and line.at > one.take.give_up + self.slack.time + int(
+            self.facts.get("answer_slack", 0)
+        ) + self.halted(line.relay, one.take.at, line.at):
             self.breach(line.at, "lost", f"relay {line.relay} answered {line.number} too late")
         if line.answer == "rejected" and one.ran and self.effects[one.take.workload].get("effect") == "one-shot":
             self.breach(line.at, "twice", f"relay {line.relay} rejected {line.number}, which may have run")
@@ -127,7 +142,7 @@
     def shot(self, line: Shot) -> None:
         one = self.open.get((line.relay, line.number))
         if one and one.left and self.halted(line.relay, one.take.at, line.at):
-            pass                                 # its client left while it was stopped: it reads the query before that
+            pass  # its client left while it was stopped: it reads the query before that
         elif one is None or one.ended:
             self.breach(line.at, "lost", f"relay {line.relay} sent a shot for {line.number}, which was over")
         else:
@@ -136,8 +151,11 @@
             for place in one.out:
                 one.doubt.setdefault(place, line.at)
             effect = self.effects[one.take.workload]
-            if one.ran and effect.get("effect") != "harmless" and (
-                    effect.get("effect") != "stamped" or line.at >= one.ran_at + effect.get("memory", 0)):
+            if (
+                one.ran
+                and effect.get("effect") != "harmless"
+                and (effect.get("effect") != "stamped" or line.at >= one.ran_at + effect.get("memory", 0))
+            ):
                 self.breach(line.at, "twice", f"relay {line.relay} sent {line.number} again, which may have run")
             one.out[line.place] = line.at
         self.drained(line)
@@ -165,8 +183,12 @@
 
     def drained(self, line: Shot) -> None:
         since = self.warned.get(line.relay, {}).get(line.unit)
-        if since is not None and line.at > since + self.grace + self.slack.time + self.halted(line.relay, since, line.at):
-            self.breach(line.at, "drains", f"relay {line.relay} sent to {line.unit} {line.at - since} after it was told")
+        if since is not None and line.at > since + self.grace + self.slack.time + self.halted(
+            line.relay, since, line.at
+        ):
+            self.breach(
+                line.at, "drains", f"relay {line.relay} sent to {line.unit} {line.at - since} after it was told"
+            )
 
     # 4
     def unit(self, line: Unit) -> None:
@@ -232,15 +254,16 @@
         allowed = self.facts.get("free_shots", 0) + self.slack.shots + cap * (1 + self.slack.part) * len(taken)
         self.nearest["exposure"] = max(self.nearest["exposure"], len(tried) / allowed if allowed else 9.0)
         if len(tried) > allowed + 1e-9:
-            self.breach(line.at, "exposure", f"relay {line.relay}: {len(tried)} shots at build {build}, "
-                                             f"{allowed:.1f} allowed")
+            self.breach(
+                line.at, "exposure", f"relay {line.relay}: {len(tried)} shots at build {build}, {allowed:.1f} allowed"
+            )
 
     def life(self, line: Life) -> None:
         """A relay that starts knows nothing of what it was told before."""
         halts = self.halts.setdefault(line.relay, deque(maxlen=MOST_HALTS))
         if line.event == "stopped":
             halts.append([line.at, LATER])
-        elif halts and halts[-1][1] == LATER:    # it runs again, or has ended; what came meanwhile it takes now
+        elif halts and halts[-1][1] == LATER:  # it runs again, or has ended; what came meanwhile it takes now
             halts[-1][1] = line.at
             taken = self.taken.get(line.relay, deque())
             self.taken[line.relay] = deque(max(at, line.at) if at >= halts[-1][0] else at for at in taken)
--- a/tealsail/world/spill.py
+++ b/tealsail/world/spill.py
@@ -2,6 +2,7 @@
 
 All relays together may send to a zone, from other zones, at most so much on top of what the zone's own relays usually send it.
 """
+
 from collections import deque
 
 from ..record.lines import Head, Line, Shot, Take, Unit
@@ -12,16 +13,17 @@
 class Spill:
     """Feed it a record; `nearest` is the closest that the limit came (1 is the limit), `peaks` by zone the most that
     came from outside in a span over the usual own use, `breaches` how many shots were beyond it."""
-    SPAN, USUAL, LEAST = 2 * SECOND, 10 * SECOND, 20     # of a window; of what is usual; shots that say something
-    CHANCE = 3.0                                 # standard deviations that Poisson arrivals may add in a window
+
+    SPAN, USUAL, LEAST = 2 * SECOND, 10 * SECOND, 20  # of a window; of what is usual; shots that say something
+    CHANCE = 3.0  # standard deviations that Poisson arrivals may add in a window
 
     def __init__(self, over: float) -> None:
         self.over = over
         self.zone_of: dict[str, str] = {}
         self.relays: list[str] = []
-        self.asked: dict[str, deque[int]] = {}   # takes of a zone's relays in the usual span
-        self.come: dict[str, deque[int]] = {}    # shots from outside in the span
-        self.usual: dict[str, float] = {}        # the most that was usual, a second
+        self.asked: dict[str, deque[int]] = {}  # takes of a zone's relays in the usual span
+        self.come: dict[str, deque[int]] = {}  # shots from outside in the span
+        self.usual: dict[str, float] = {}  # the most that was usual, a second
         self.peaks: dict[str, float] = {}
         self.nearest, self.breaches = 0.0, 0
 
--- a/tealsail/world/unit.py
+++ b/tealsail/world/unit.py
@@ -4,6 +4,7 @@
 shot in work progresses alike: a shot ends when that time has gone on by its work, so a change of speed moves one
 figure and not every shot.  Source: the usual virtual-time form of processor sharing, as in fair queueing.
 """
+
 import heapq
 from collections import deque
 from typing import Any, NamedTuple
@@ -13,30 +14,32 @@
 from .draws import FATE, OWN, WORK, Table, share
 
 NEVER = 1 << 60
-COLD_STEP = 500                                  # tenths of a ms: how often a cold unit's speed is taken anew
-REPORTS = 64                                     # load reports kept
+COLD_STEP = 500  # tenths of a ms: how often a cold unit's speed is taken anew
+REPORTS = 64  # load reports kept
 
 
 class Kind(NamedTuple):
     """What a unit is like.  Times are tenths of a ms."""
+
     cores: float = 2.0
-    slots: int = 16                              # in work at a time
-    room: int = 32                               # waiting behind them; the next one is turned away
-    drag: float = 0.0                            # for each one in work beyond the cores: so much less is done
+    slots: int = 16  # in work at a time
+    room: int = 32  # waiting behind them; the next one is turned away
+    drag: float = 0.0  # for each one in work beyond the cores: so much less is done
     cold_from: float = 0.3
     warm_up: int = 40_000
-    fall_multiple: float = 4.0                   # a cold one sent so many times what it can do for so long
-    fall_span: int = 15_000                      # falls over
-    stops: bool = True                           # work that nobody waits for any more stops
-    report_every: int = 0                        # load reports; 0: none
+    fall_multiple: float = 4.0  # a cold one sent so many times what it can do for so long
+    fall_span: int = 15_000  # falls over
+    stops: bool = True  # work that nobody waits for any more stops
+    report_every: int = 0  # load reports; 0: none
     report_delay: int = 0
-    unsteady: float = 0.0                        # share of errors of its own, at once, whatever it runs
-    handshake: int = 0                           # work of a new connection, done with the first shot on it
-    connections: int = 0                         # held at a time, at the most; 0: no limit
+    unsteady: float = 0.0  # share of errors of its own, at once, whatever it runs
+    handshake: int = 0  # work of a new connection, done with the first shot on it
+    connections: int = 0  # held at a time, at the most; 0: no limit
 
 
 class Asked(NamedTuple):
     """A shot as a unit gets it.  `ref` is the driver's; `mark` says which invocation, the same for each try."""
+
     ref: Any
     mark: int
     workload: int
@@ -44,6 +47,7 @@
 
 class Job:
     """A shot in the unit's hands."""
+
     __slots__ = ("asked", "work", "ends", "over")
 
     def __init__(self, asked: Asked, work: int) -> None:
@@ -57,14 +61,25 @@
     """A machine without I/O: call `take`, `stop`, `wake` and the faults with the time; fetch `said`; wake it at
     `due`.  `said` holds (ref, outcome) with served, wrong, error, full or reset."""
 
-    def __init__(self, name: str, mark: int, build: Build, kind: Kind, speed: float, zone: str, cell: int,
-                 started: int, works: list[Table], seed: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        mark: int,
+        build: Build,
+        kind: Kind,
+        speed: float,
+        zone: str,
+        cell: int,
+        started: int,
+        works: list[Table],
+        seed: int,
+    ) -> None:
         self.name, self.mark, self.build, self.kind, self.speed = name, mark, build, kind, speed
         self.zone, self.cell, self.started, self.works, self.seed = zone, cell, started, works, seed
-        self.at, self.own = started, 0.0         # the time up to which its own time has gone on, and that
+        self.at, self.own = started, 0.0  # the time up to which its own time has gone on, and that
         self.slow, self.hung, self.dead, self.draining = 1.0, False, False, False
         self.errors = kind.unsteady
-        self.jobs: dict[Any, Job] = {}           # by ref, in work or waiting
+        self.jobs: dict[Any, Job] = {}  # by ref, in work or waiting
         self.heap: list[tuple[float, int, Job]] = []
         self.working = self.count = 0
         self.queue: deque[Job] = deque()
@@ -72,11 +87,11 @@
         self.received = Ring(kind.fall_span, 20)
         self.reports: deque[tuple[int, float, float]] = deque(maxlen=REPORTS)
         self.said: list[tuple[Any, str]] = []
-        self.taken: list[tuple[Any, int]] = []   # (ref, work) of what was let in, for the record
-        self.fell = self.told_fallen = False     # over, under what it was sent while cold
-        self.held = 0                            # connections
-        self.place: Any = None                   # where in the fleet it runs
-        self.wake_at = NEVER                     # when its driver will wake it
+        self.taken: list[tuple[Any, int]] = []  # (ref, work) of what was let in, for the record
+        self.fell = self.told_fallen = False  # over, under what it was sent while cold
+        self.held = 0  # connections
+        self.place: Any = None  # where in the fleet it runs
+        self.wake_at = NEVER  # when its driver will wake it
 
     def warmth(self, now: int) -> float:
         """The part of its capacity that it has."""
@@ -209,8 +224,9 @@
 
     def fate(self, now: int, job: Job) -> str:
         build = self.build
-        if (build.errors or build.wrong) and build.acts(job.asked.workload, self.age(now), self.busy(),
-                                                        self.seed, self.mark):
+        if (build.errors or build.wrong) and build.acts(
+            job.asked.workload, self.age(now), self.busy(), self.seed, self.mark
+        ):
             luck = share(self.seed, FATE, job.asked.mark, self.mark)
             if luck < build.errors:
                 return "error"
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,5 @@
 """The one fake host of the stories, a relay that it drives, and a network in memory."""
+
 import struct
 from typing import Any
 
@@ -10,7 +11,7 @@
 
 from tealsail import policy
 
-logger.remove()                                  # the stories are told by their assertions
+logger.remove()  # the stories are told by their assertions
 
 SECOND = policy.SECOND
 HARMLESS = dict(promised=SECOND, abandon=4 * SECOND, effect="harmless", payoff=1.0)
@@ -36,10 +37,24 @@
 
     def __init__(self, units: int = 4, workloads: tuple = (HARMLESS,), **facts: Any) -> None:
         self.host = FakeHost()
-        facts = dict(dict(workloads=list(workloads), most_shots=3, may_cancel=True, may_tell=True, relays=3,
-                          exposure_span=2 * SECOND, caps=[0.5, 1.0], stage_shares=[0.25, 1.0], free_shots=1,
-                          warm_up=4 * SECOND, cold_from=0.3, fall_span=2 * SECOND, drain_grace=SECOND),
-                     **facts)
+        facts = dict(
+            dict(
+                workloads=list(workloads),
+                most_shots=3,
+                may_cancel=True,
+                may_tell=True,
+                relays=3,
+                exposure_span=2 * SECOND,
+                caps=[0.5, 1.0],
+                stage_shares=[0.25, 1.0],
+                free_shots=1,
+                warm_up=4 * SECOND,
+                cold_from=0.3,
+                fall_span=2 * SECOND,
+                drain_grace=SECOND,
+            ),
+            **facts,
+        )
         self.relay = policy.Relay(self.host, facts, 7, 100 * SECOND)
         self.relay.on_stage(1, 1, policy.RELEASED, 1.0, 0)
         self.count = 0
@@ -82,9 +97,16 @@
         """A build on trial in stage 0, on the last units, long warm."""
         self.relay.on_stage(build, 0, policy.ON_TRIAL, 0.5, age)
         units = len(self.relay.units)
-        self.lists([self.unit(number, build if number >= units - many else build - 1,
-                             started=(self.relay.now - 9 * SECOND) * (number >= units - many))
-                   for number in range(units)])
+        self.lists(
+            [
+                self.unit(
+                    number,
+                    build if number >= units - many else build - 1,
+                    started=(self.relay.now - 9 * SECOND) * (number >= units - many),
+                )
+                for number in range(units)
+            ]
+        )
 
     def evidence(self, canary: dict[str, int], baseline: dict[str, int], start: int = 5) -> bytes:
         rows = [[each["served"], each.get("failed", 0)] + [0] * 8 for each in (canary, baseline)]
@@ -99,9 +121,11 @@
 
 # The network code's stories: connections in memory, and a clock that only a story moves.
 
+
 class Wire(testing.StringTransport):
     """One end of a connection; what it wrote is what `sent` returns.  Closing shows only after `settle`,
     as with real sockets."""
+
     closing = ended = False
 
     def __init__(self, protocol: Any) -> None:
@@ -128,7 +152,7 @@
     def loseConnection(self) -> None:
         self.closing = True
 
-    abortConnection = loseWriteConnection = loseConnection       # the other side ends its half at once
+    abortConnection = loseWriteConnection = loseConnection  # the other side ends its half at once
 
     def settle(self) -> bool:
         """Whether it has ended by now."""
@@ -142,7 +166,7 @@
 
     def gets(self, data: bytes, piece: int = 1 << 20) -> None:
         for first in range(0, len(data), piece):
-            self.protocol.dataReceived(data[first:first + piece])
+            self.protocol.dataReceived(data[first : first + piece])
 
 
 class Reactor(testing.MemoryReactorClock):
@@ -187,8 +211,11 @@
 
 IDLE = field(b"Z", b"I")
 GREETING = field(b"R", bytes(4)) + field(b"K", bytes(8)) + IDLE
-ROW = (field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1") + field(b"D", b"\0\1\0\0\0\2\x9f\x03")
-       + field(b"C", b"SELECT 1\0"))
+ROW = (
+    field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
+    + field(b"D", b"\0\1\0\0\0\2\x9f\x03")
+    + field(b"C", b"SELECT 1\0")
+)
 OPENING = struct.pack(">II", 37, 3 << 16) + b"user\0backend\0database\0store\0\0"
 
 
@@ -196,6 +223,8 @@
     return field(b"E", f"SERROR\0C{code}\0Mno\0\0".encode())
 
 
-def asking(wait: int = 480, more: str = "", workload: str = "basket", name: str = "7f3a", number: str = "9b1f") -> bytes:
+def asking(
+    wait: int = 480, more: str = "", workload: str = "basket", name: str = "7f3a", number: str = "9b1f"
+) -> bytes:
     text = f"SELECT content FROM kv WHERE name = '{name}' /* id={number},c={workload},t=acme,d={wait}{more} */"
     return field(b"Q", text.encode() + b"\0")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,14 +1,16 @@
 """The wire: what is malformed ends the process with one plain message; what is unknown is skipped."""
+
 import io
 import unittest
 import unittest.mock
 
 from tealsail.adapter.frames import serve
 
-START = ("ENLIST relay=3 rngSeed=5 requestClasses.count=1 requestClasses.0.effect=read_like "
-         "limits.maxAttempts=3\n")
-UNITS = ("DEFINE_LIST slot=0 hosts=2\nENTRY unit=8 release=1 stageState=IN\n"
-         "ENTRY unit=9 release=1 stageState={}\nTOPOLOGY relay=3 form=whole stamp=1 slot=0\n")
+START = "ENLIST relay=3 rngSeed=5 requestClasses.count=1 requestClasses.0.effect=read_like limits.maxAttempts=3\n"
+UNITS = (
+    "DEFINE_LIST slot=0 hosts=2\nENTRY unit=8 release=1 stageState=IN\n"
+    "ENTRY unit=9 release=1 stageState={}\nTOPOLOGY relay=3 form=whole stamp=1 slot=0\n"
+)
 
 
 def reply(events: str) -> tuple[int, list[str], str]:
@@ -20,8 +22,16 @@
 class Frames(unittest.TestCase):
     def test_a_list_number_may_be_used_again_in_a_batch_and_an_instance_started_anew(self) -> None:
         demand = "DEMAND relay=3 requestId={} grade=0 giveUpAt=500\n"
-        code, lines, _ = reply(START + UNITS.format("IN") + UNITS.format("LAME") + demand.format(1)
-                               + "RETIRE relay=3\n" + START + UNITS.format("LAME") + demand.format(2))
+        code, lines, _ = reply(
+            START
+            + UNITS.format("IN")
+            + UNITS.format("LAME")
+            + demand.format(1)
+            + "RETIRE relay=3\n"
+            + START
+            + UNITS.format("LAME")
+            + demand.format(2)
+        )
         placed = [line.split()[2:4] for line in lines if line.startswith("PLACE")]
         self.assertEqual((code, placed), (0, [["requestId=1", "unit=8"], ["requestId=2", "unit=8"]]))
 
@@ -29,11 +39,13 @@
         self.assertEqual(reply(START + "NEWS relay=3 mood=fair\nTIMER relay=3 ctx=5 mood=fair\n")[0], 0)
 
     def test_one_plain_message_names_the_line(self) -> None:
-        for events, said in ((START + "TIMER relay=3\n", "line 3: TIMER: no or unknown 'ctx'"),
-                             ("timer relay=3 ctx=1\n", "line 2: unknown message name 'timer'"),
-                             ("TIMER relay\n", "line 2: TIMER: 'relay' is not name=value"),
-                             ("TIMER relay=4\n", "line 2: TIMER for relay 4, which has not been started"),
-                             ("TURN moment=11\n", "line 2: TURN inside a batch")):
+        for events, said in (
+            (START + "TIMER relay=3\n", "line 3: TIMER: no or unknown 'ctx'"),
+            ("timer relay=3 ctx=1\n", "line 2: unknown message name 'timer'"),
+            ("TIMER relay\n", "line 2: TIMER: 'relay' is not name=value"),
+            ("TIMER relay=4\n", "line 2: TIMER for relay 4, which has not been started"),
+            ("TURN moment=11\n", "line 2: TURN inside a batch"),
+        ):
             code, lines, complaints = reply(events)
             self.assertEqual((code, lines, complaints), (2, [""], f"tealsail.adapter: {said}\n"))
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,13 +1,21 @@
 """The checker of the five rules: each breach provoked alone, and days in order that break none."""
+
 import unittest
 
 from tealsail.record.lines import Came, End, Head, Life, News, Ran, Shot, Take, Told, Unit
 from tealsail.world.rules import Slack, check
 
 SECOND = 10_000
-FACTS = {"workloads": [{"effect": "harmless"}, {"effect": "one-shot"}, {"effect": "stamped", "memory": SECOND}],
-         "exposure_span": 2 * SECOND, "drain_grace": SECOND, "fall_multiple": 4.0, "fall_span": SECOND,
-         "free_shots": 1, "caps": [0.2, 1.0], "answer_slack": 500}
+FACTS = {
+    "workloads": [{"effect": "harmless"}, {"effect": "one-shot"}, {"effect": "stamped", "memory": SECOND}],
+    "exposure_span": 2 * SECOND,
+    "drain_grace": SECOND,
+    "fall_multiple": 4.0,
+    "fall_span": SECOND,
+    "free_shots": 1,
+    "caps": [0.2, 1.0],
+    "answer_slack": 500,
+}
 
 
 def take(number: int, at: int = 0, workload: int = 0, relay: int = 0) -> Take:
@@ -25,12 +33,25 @@
         return {name: count for name, count in rules.counts.items() if count}
 
     def test_a_day_in_order(self) -> None:
-        self.assertEqual(self.broken(take(1), shot(1, 0), Came(50, 0, 1, 0, "reset"), shot(1, 50, 1),
-                                     Came(90, 0, 1, 1, "served"), End(90, 0, 1, "served")), {})
+        self.assertEqual(
+            self.broken(
+                take(1),
+                shot(1, 0),
+                Came(50, 0, 1, 0, "reset"),
+                shot(1, 50, 1),
+                Came(90, 0, 1, 1, "served"),
+                End(90, 0, 1, "served"),
+            ),
+            {},
+        )
 
     def test_never_answered_answered_twice_too_late_or_never_taken(self) -> None:
-        for lines in ([take(1)], [take(1), End(1, 0, 1, "served"), End(2, 0, 1, "rejected")],
-                      [take(1), End(3 * SECOND + 501, 0, 1, "forfeited")], [End(1, 0, 9, "served")]):
+        for lines in (
+            [take(1)],
+            [take(1), End(1, 0, 1, "served"), End(2, 0, 1, "rejected")],
+            [take(1), End(3 * SECOND + 501, 0, 1, "forfeited")],
+            [End(1, 0, 9, "served")],
+        ):
             self.assertEqual(self.broken(*lines), {"lost": 1})
 
     def test_what_a_dead_relay_had_is_not_lost_by_the_rule(self) -> None:
@@ -44,9 +65,17 @@
 
     def test_on_sockets_an_end_that_is_seen_a_moment_late_is_no_copy_and_one_much_later_is(self) -> None:
         for late, found in ((400, {}), (900, {"twice": 1})):
-            self.assertEqual(self.broken(
-                take(1), shot(1, 0), shot(1, 10, 1, "u2"), Came(10 + late, 0, 1, 0, "cancelled"),
-                End(2000, 0, 1, "served"), slack=Slack(time=500)), found)
+            self.assertEqual(
+                self.broken(
+                    take(1),
+                    shot(1, 0),
+                    shot(1, 10, 1, "u2"),
+                    Came(10 + late, 0, 1, 0, "cancelled"),
+                    End(2000, 0, 1, "served"),
+                    slack=Slack(time=500),
+                ),
+                found,
+            )
 
     def test_one_shot_work_that_may_have_run_goes_out_again_or_is_rejected(self) -> None:
         begun = [take(1, workload=1), shot(1, 0), Came(50, 0, 1, 0, "reset")]
@@ -56,56 +85,112 @@
 
     def test_one_shot_work_that_never_ran_may_go_again(self) -> None:
         for outcome in ("full", "unreachable", "moot"):
-            self.assertEqual(self.broken(take(1, workload=1), shot(1, 0), Came(5, 0, 1, 0, outcome), shot(1, 6, 1),
-                                         Came(9, 0, 1, 1, "served"), End(9, 0, 1, "served")), {})
+            self.assertEqual(
+                self.broken(
+                    take(1, workload=1),
+                    shot(1, 0),
+                    Came(5, 0, 1, 0, outcome),
+                    shot(1, 6, 1),
+                    Came(9, 0, 1, 1, "served"),
+                    End(9, 0, 1, "served"),
+                ),
+                {},
+            )
 
     def test_stamped_work_again_only_within_the_memory(self) -> None:
         for again, found in ((SECOND - 1, {}), (SECOND, {"twice": 1})):
-            self.assertEqual(self.broken(take(1, workload=2), shot(1, 0), Came(50, 0, 1, 0, "reset"), shot(1, again, 1),
-                                         End(again + 9, 0, 1, "forfeited")), found)
+            self.assertEqual(
+                self.broken(
+                    take(1, workload=2),
+                    shot(1, 0),
+                    Came(50, 0, 1, 0, "reset"),
+                    shot(1, again, 1),
+                    End(again + 9, 0, 1, "forfeited"),
+                ),
+                found,
+            )
 
     def test_a_drained_unit_gets_nothing_after_the_grace_and_again_once_it_is_back(self) -> None:
         told = Told(100, 0, "u1", 1, "draining", 0)
         for at, found in ((100 + SECOND, {}), (101 + SECOND, {"drains": 1})):
             self.assertEqual(self.broken(told, take(1, at), shot(1, at), End(at, 0, 1, "served")), found)
-        self.assertEqual(self.broken(told, Told(200, 0, "u1", 1, "gone", 0), Told(300, 0, "u1", 2, "open", 300),
-                                     take(1, 5 * SECOND), shot(1, 5 * SECOND), End(5 * SECOND, 0, 1, "served")), {})
+        self.assertEqual(
+            self.broken(
+                told,
+                Told(200, 0, "u1", 1, "gone", 0),
+                Told(300, 0, "u1", 2, "open", 300),
+                take(1, 5 * SECOND),
+                shot(1, 5 * SECOND),
+                End(5 * SECOND, 0, 1, "served"),
+            ),
+            {},
+        )
 
     def test_a_cold_unit_sent_more_than_its_limit_within_the_span(self) -> None:
-        runs = Unit(100, "u1", 1, "a", "runs", 2.0, 0.5, 4 * SECOND)     # can do 1.0 then: 40,000 in a second
+        runs = Unit(100, "u1", 1, "a", "runs", 2.0, 0.5, 4 * SECOND)  # can do 1.0 then: 40,000 in a second
         for each, found in ((3900, {}), (4200, {"cold": 1})):
             self.assertEqual(self.broken(runs, *(Ran(100 + 10 * n, 0, n, 0, "u1", each) for n in range(10))), found)
         self.assertEqual(self.broken(runs, *(Ran(100 + 1200 * n, 0, n, 0, "u1", 4200) for n in range(10))), {})
-        self.assertEqual(self.broken(runs, Ran(5 * SECOND, 0, 1, 0, "u1", 900_000)), {})     # warm by then
+        self.assertEqual(self.broken(runs, Ran(5 * SECOND, 0, 1, 0, "u1", 900_000)), {})  # warm by then
         self.assertEqual(self.broken(runs, Unit(200, "u1", 1, "a", "fell", 2.0, 0.5, 4 * SECOND)), {"cold": 1})
 
     def test_exposure_beyond_the_cap_in_the_span(self) -> None:
         lines = [take(number) for number in range(20)]
         news = [News(0, 0, 2, 0, "on trial", 0.2), Told(0, 0, "u2", 2, "open", 0)]
         for many, found in ((5, {}), (6, {"exposure": 1})):
-            self.assertEqual(self.broken(*news, *lines, *(shot(number, 10, unit="u2", build=2) for number in range(many)),
-                                         *(End(20, 0, number, "served") for number in range(20))), found)
+            self.assertEqual(
+                self.broken(
+                    *news,
+                    *lines,
+                    *(shot(number, 10, unit="u2", build=2) for number in range(many)),
+                    *(End(20, 0, number, "served") for number in range(20)),
+                ),
+                found,
+            )
 
     def test_a_released_build_and_one_that_is_on_trial_at_another_relay_only(self) -> None:
-        lines = [take(1), take(2), take(3), *(shot(number, 10, unit="u2", build=2) for number in (1, 2, 3)),
-                 *(End(20, 0, number, "served") for number in (1, 2, 3))]
+        lines = [
+            take(1),
+            take(2),
+            take(3),
+            *(shot(number, 10, unit="u2", build=2) for number in (1, 2, 3)),
+            *(End(20, 0, number, "served") for number in (1, 2, 3)),
+        ]
         self.assertEqual(self.broken(News(0, 0, 2, 0, "released", 1.0), *lines), {})
         self.assertEqual(self.broken(News(0, 0, 2, 0, "on trial", 0.0), *lines), {"exposure": 2})
         self.assertEqual(self.broken(News(0, 1, 2, 0, "on trial", 0.0), *lines), {})
 
     def test_a_lower_cap_binds_after_the_grace_for_what_is_sent_from_then_on(self) -> None:
         news = [News(0, 0, 2, 0, "on trial", 1.0)]
-        early = [line for number in range(5) for line in (take(number, 100), shot(number, 100, build=2),
-                                                         End(120, 0, number, "served"))]
+        early = [
+            line
+            for number in range(5)
+            for line in (take(number, 100), shot(number, 100, build=2), End(120, 0, number, "served"))
+        ]
         lower = News(200, 0, 2, 0, "going back", 0.0)
-        late = [line for number in (10, 11) for line in (take(number, 300 + SECOND), shot(number, 300 + SECOND, build=2),
-                                                        End(300 + SECOND, 0, number, "served"))]
+        late = [
+            line
+            for number in (10, 11)
+            for line in (
+                take(number, 300 + SECOND),
+                shot(number, 300 + SECOND, build=2),
+                End(300 + SECOND, 0, number, "served"),
+            )
+        ]
         self.assertEqual(self.broken(*news, *early, lower), {})
         self.assertEqual(self.broken(*news, *early, lower, *late), {"exposure": 1})  # one is free
 
     def test_a_relay_that_starts_anew_knows_nothing_of_before(self) -> None:
-        self.assertEqual(self.broken(Told(0, 0, "u1", 1, "draining", 0), Life(10, 0, "up"),
-                                     take(1, 3 * SECOND), shot(1, 3 * SECOND), End(3 * SECOND, 0, 1, "served")), {})
+        self.assertEqual(
+            self.broken(
+                Told(0, 0, "u1", 1, "draining", 0),
+                Life(10, 0, "up"),
+                take(1, 3 * SECOND),
+                shot(1, 3 * SECOND),
+                End(3 * SECOND, 0, 1, "served"),
+            ),
+            {},
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -1,9 +1,10 @@
 """Tiers, spill and the way back: choices without I/O."""
+
 import unittest
 
 from hypothesis import given, strategies as st
 
-from tealsail.choices.hearsay import (ALERT, EACH, MOST_WORDS, Hearsay, Seen, Word, decode, encode)
+from tealsail.choices.hearsay import ALERT, EACH, MOST_WORDS, Hearsay, Seen, Word, decode, encode
 from tealsail.choices.returning import OUT, RAMP, UP, WAITING, Returning
 from tealsail.choices.spill import Give, View, split
 from tealsail.choices.tiers import Tier, Zoning, tiers
@@ -23,6 +24,7 @@
 
 class Spills(unittest.TestCase):
     """Zone 0 is the relay's own; 1 and 2 are equally near, 3 is far."""
+
     ORDER = [Tier(0.0, (0,)), Tier(1.0, (1, 2)), Tier(5.0, (3,))]
 
     def of(self, *able: float, give: float = 1.0, agreed: tuple[float, ...] = (), **rules) -> list:
@@ -39,22 +41,22 @@
         self.assertEqual(self.of(5, 10, 10), [0.7, 0.3, 0.0])
 
     def test_a_lost_tier_spills_to_the_stated_limits_and_the_rest_is_rejected(self) -> None:
-        self.assertEqual(self.of(0, 10, 10), [0.0, 1.0, 0.0])    # half on top of each of two
+        self.assertEqual(self.of(0, 10, 10), [0.0, 1.0, 0.0])  # half on top of each of two
         self.assertEqual(self.of(0, 10, 10, spill_over=0.2), [0.0, 0.4, 0.0])
         self.assertEqual(self.of(0, 10, 10, spill_share=0.6), [0.0, 0.6, 0.0])
-        self.assertEqual(self.of(0, 10, 10, 10, spill_over=0.2), [0.0, 0.4, 0.2])    # and on to the far one
+        self.assertEqual(self.of(0, 10, 10, 10, spill_over=0.2), [0.0, 0.4, 0.2])  # and on to the far one
         self.assertEqual(self.of(0, 10, 10, give=0.5), [0.0, 0.5, 0.0])
 
     def test_two_lost_zones_share_the_room_of_the_third(self) -> None:
-        self.assertEqual(self.of(0, 0, 10), [0.0, 0.25, 0.0])    # half on top, half of it for each
-        self.assertEqual(self.of(0, 5, 10)[1], 0.385)            # one lost, one short of 0.3
+        self.assertEqual(self.of(0, 0, 10), [0.0, 0.25, 0.0])  # half on top, half of it for each
+        self.assertEqual(self.of(0, 5, 10)[1], 0.385)  # one lost, one short of 0.3
 
     def test_a_tier_that_is_short_itself_takes_less(self) -> None:
         self.assertEqual(self.of(0, 7, 10, spill_over=0.3)[1], 0.294)
         self.assertEqual(self.of(0, 5, 5, 10, spill_over=0.2), [0.0, 0.0, 0.125])
 
     def test_where_all_fell_alike_nothing_spills(self) -> None:
-        self.assertEqual(self.of(5, 5, 5), [1.0, 0.0, 0.0])      # beside: a release halves what is listed
+        self.assertEqual(self.of(5, 5, 5), [1.0, 0.0, 0.0])  # beside: a release halves what is listed
         self.assertEqual(self.of(0, 0, 0), [0.0, 0.0, 0.0])
 
     def test_under_the_panic_threshold_the_rest_of_a_tier_is_not_preferred(self) -> None:
@@ -62,14 +64,19 @@
         self.assertEqual(self.of(4, 10, 10)[0], 0.56)
 
     def test_what_a_relay_alone_sees_gets_its_zones_part_of_the_room_that_nobody_is_agreed_to_need(self) -> None:
-        self.assertEqual(self.of(0, 10, 10, agreed=(10, 10, 10)), [0.0, 0.5, 0.0])   # half of a half from each of two
-        self.assertEqual(self.of(0, 0, 10, agreed=(10, 0, 10)), [0.0, 0.0, 0.0])     # all of it is the lost zone's
+        self.assertEqual(self.of(0, 10, 10, agreed=(10, 10, 10)), [0.0, 0.5, 0.0])  # half of a half from each of two
+        self.assertEqual(self.of(0, 0, 10, agreed=(10, 0, 10)), [0.0, 0.0, 0.0])  # all of it is the lost zone's
 
     def test_a_relay_whose_zone_never_had_units_uses_the_next_as_its_own(self) -> None:
         views = {0: View(0.0, 0.0, 0.0), 1: View(10.0, 10.0, 10.0), 2: View(10.0, 10.0, 10.0)}
         self.assertEqual(split(self.ORDER[:2], views, dict.fromkeys(views, 1.0), RULES).keep, [0.0, 1.0])
 
-    @given(st.lists(st.tuples(WEIGHTS, st.floats(0, 1.5)), min_size=1, max_size=6), st.data(), st.floats(0, 1), st.floats(0, 2))
+    @given(
+        st.lists(st.tuples(WEIGHTS, st.floats(0, 1.5)), min_size=1, max_size=6),
+        st.data(),
+        st.floats(0, 1),
+        st.floats(0, 2),
+    )
     def test_no_zone_is_sent_more_than_the_stated_rate_by_all_relays_together(self, rows, data, share, over) -> None:
         """Each zone's relays decide alone; what comes to a zone from all others is summed up."""
         rules = RULES._replace(spill_share=share, spill_over=over)
@@ -79,8 +86,10 @@
         come = dict.fromkeys(views, 0.0)
         for own in views:
             order = tiers(own, len(views), Zoning(costs))
-            views = {zone: view._replace(able=view.usual * data.draw(st.sampled_from([0.0, 0.2, 0.8, 1.0])))
-                     for zone, view in agreed.items()}           # each sees something else
+            views = {
+                zone: view._replace(able=view.usual * data.draw(st.sampled_from([0.0, 0.2, 0.8, 1.0])))
+                for zone, view in agreed.items()
+            }  # each sees something else
             give = {zone: data.draw(st.sampled_from([0.3, 1.0])) for zone in views}
             found = split(order, views, give, rules)
             self.assertTrue(all(each >= 0 for each in found.keep))
@@ -88,7 +97,7 @@
             self.assertLessEqual(sum(found.keep[1:]), share + 1e-9)
             for tier, part in list(zip(order, found.keep))[1:]:
                 self.assertLessEqual(part, sum(found.room.get(zone, 0.0) for zone in tier.zones) + 1e-9)
-            for zone, room in found.room.items():                # the most that the gate lets through
+            for zone, room in found.room.items():  # the most that the gate lets through
                 come[zone] += room * views[own].usual
         for zone, view in agreed.items():
             self.assertLessEqual(come[zone], over * view.usual * (1 + 1e-6) + 1e-9)
@@ -104,7 +113,7 @@
             give.saw(False)
             give.beat(0.1)
         self.assertAlmostEqual(give.level, (2 / 3) ** 4 + 8 * 0.05)
-        give.saw(True)                           # one late answer among few is chance
+        give.saw(True)  # one late answer among few is chance
         give.saw(False)
         give.saw(False)
         before = give.level
@@ -117,7 +126,9 @@
         gives, load = [Give() for _ in range(200)], []
         views = {0: View(10.0, 0.0, 0.0), 1: View(10.0, 10.0, 10.0), 2: View(10.0, 10.0, 10.0)}
         for beat in range(200):
-            spilled = sum(split(self.ORDER[:2], views, dict.fromkeys(views, give.level), RULES).keep[1] for give in gives) / len(gives)
+            spilled = sum(
+                split(self.ORDER[:2], views, dict.fromkeys(views, give.level), RULES).keep[1] for give in gives
+            ) / len(gives)
             busy = 0.7 * (1 + spilled / 2)
             load.append(busy)
             for give in gives:
@@ -157,7 +168,7 @@
         self.assertEqual(found[:2], [0.0, RULES.first])
         self.assertEqual(sorted(found), found)
         self.assertEqual(zone.state, UP)
-        for early, late in zip(found, found[2:]):                # in a second never more than twice as much
+        for early, late in zip(found, found[2:]):  # in a second never more than twice as much
             self.assertLessEqual(late, max(RULES.first, 2 * early))
 
     def test_without_answers_no_step_whatever_the_clock_says(self) -> None:
@@ -186,7 +197,7 @@
         zone.turn(UP, 1.0, now)
         zone.lost(now + RULES.calm + 1)
         self.assertEqual((zone.flaps, zone.state), (0, OUT))
-        zone.lost(now + RULES.calm + 2)          # told twice is lost once
+        zone.lost(now + RULES.calm + 2)  # told twice is lost once
         self.assertEqual(zone.flaps, 0)
         zone.there(now)
         self.assertEqual(zone.state, WAITING)
@@ -208,6 +219,7 @@
 
 class Words(unittest.TestCase):
     """Zone 1 is spoken of; relays of zones 0, 1 and 2 speak."""
+
     REACHED, OUT_OF_REACH = Seen(1, 20, 0, 0), Seen(1, 0, 0, 20)
 
     def heard(self, *said: tuple[int, Seen]) -> Hearsay:
@@ -250,13 +262,13 @@
             found.add(sender, Word(own, True, alone, ()), 0)
         self.assertEqual(found.troubled(2, True), {1: 0.5, 0: 0.0})
         self.assertEqual(found.troubled(1, True)[1], 2 / 3)
-        self.assertEqual(self.heard().troubled(1, True), {})     # with nobody heard nothing is agreed
+        self.assertEqual(self.heard().troubled(1, True), {})  # with nobody heard nothing is agreed
 
     def test_answers_count_once_a_span_and_no_relay_counts_for_many(self) -> None:
         found = self.heard((0, Seen(1, 200, 50, 0)), (2, self.OUT_OF_REACH))
         self.assertEqual(found.evidence(), [Seen(1, 8, 2, 0)])
         found.add(0, Word(0, True, False, (self.REACHED,)), 5_000)
-        self.assertEqual(found.evidence(), [])   # the same answers, told again
+        self.assertEqual(found.evidence(), [])  # the same answers, told again
         found.add(0, Word(0, True, False, (self.REACHED,)), 20_000)
         self.assertEqual(found.evidence(), [Seen(1, EACH, 0, 0)])
 
@@ -268,7 +280,7 @@
     def test_who_is_told_of_trouble_tells_too_for_a_while_and_that_does_not_feed_itself(self) -> None:
         found = self.heard((0, self.REACHED))
         self.assertEqual((found.alert(ALERT - 1), found.alert(ALERT)), (True, False))
-        found.add(1, Word(0, False, False, (self.REACHED,)), ALERT)     # a word without trouble of its own
+        found.add(1, Word(0, False, False, (self.REACHED,)), ALERT)  # a word without trouble of its own
         self.assertFalse(found.alert(ALERT + 1))
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,5 @@
 """Clients' connections in memory: what comes, what is answered, and how they end."""
+
 import unittest
 
 from twisted.internet.defer import Deferred
@@ -18,8 +19,9 @@
         self.left: list[int] = []
         self.counters = Counters()
         self.reactor = Reactor()
-        self.clients = clients.Clients(self.reactor, self.take, lambda: round(self.reactor.seconds() * 10_000),
-                                       self.counters, 16)
+        self.clients = clients.Clients(
+            self.reactor, self.take, lambda: round(self.reactor.seconds() * 10_000), self.counters, 16
+        )
 
     def take(self, statement: object, at: int) -> Deferred:
         place = len(self.taken)
@@ -129,8 +131,7 @@
         wire.sent()
         self.assertEqual(len(self.taken), 1)
         self.taken[0].callback(VALUE)
-        self.assertEqual(wire.sent(), messages.whole(VALUE) + field(b"I", b"") + IDLE
-                         + field(b"C", b"SET\0") + IDLE)
+        self.assertEqual(wire.sent(), messages.whole(VALUE) + field(b"I", b"") + IDLE + field(b"C", b"SET\0") + IDLE)
         self.taken[1].callback(clients.Rejected(25))
         self.assertIn(b"C53300\0", wire.value())
         self.assertIn(b"D3\0", wire.sent())
@@ -173,7 +174,7 @@
             wire, place = self.client(), len(self.taken)
             wire.gets(asking() + wrong + EMPTY)
             self.assertFalse(wire.closing)
-            wire.gets(bytes(1000))               # what comes behind it is not kept
+            wire.gets(bytes(1000))  # what comes behind it is not kept
             self.assertLess(len(wire.protocol.splitter.held), 100)
             self.taken[place].callback(VALUE)
             sent = wire.sent()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,5 @@
 """Time that neither stands still nor jumps: steps of the wall clock, stopped processes, and stamps of others."""
+
 import unittest
 from random import Random
 
@@ -51,20 +52,22 @@
         self.assertEqual(len(hands.gaps), 1)
 
     @given(STEPS, st.floats(2, 3600))
-    def test_a_units_start_stays_what_it_was_taken_for_and_a_later_one_is_read_by_the_later_clock(self, step, age) -> None:
+    def test_a_units_start_stays_what_it_was_taken_for_and_a_later_one_is_read_by_the_later_clock(
+        self, step, age
+    ) -> None:
         hands = Hands()
         stamps = Stamps(hands.clock)
         started = int((hands.wall - age) * SECOND)
         first = stamps.of(7, started)
         hands.wall += step
         hands.clock.look()
-        self.assertEqual(stamps.of(7, started), first)           # not started anew
+        self.assertEqual(stamps.of(7, started), first)  # not started anew
         again = int((hands.wall - 1) * SECOND)
         assume(again != started)
         self.assertAlmostEqual(hands.clock() - stamps.of(7, again), SECOND, delta=20)
 
     def test_a_start_ahead_of_now_is_now(self) -> None:
-        hands = Hands()                          # a clock behind the platform's would keep a unit cold for as long
+        hands = Hands()  # a clock behind the platform's would keep a unit cold for as long
         self.assertEqual(Stamps(hands.clock).of(7, int((START + 3600) * SECOND)), hands.clock())
         self.assertEqual(Stamps(hands.clock).of(8, 0), 0)
 
@@ -105,12 +108,12 @@
         wire.sent()
         wire.gets(ROW + IDLE)
         self.assertEqual(client.sent(), ROW + IDLE)
-        self.wait(0.1)                           # a connection that has just answered rests
+        self.wait(0.1)  # a connection that has just answered rests
         for _ in range(200):
             self.ahead += chance.choice((-1, 1)) * 86_400 ** chance.random()
             client.gets(asking())
             asked = wire.sent()
-            if b"id=9b1f" not in asked:          # idle for a while: it proves itself first
+            if b"id=9b1f" not in asked:  # idle for a while: it proves itself first
                 wire.gets(field(b"I", b"") + IDLE)
                 asked = wire.sent()
             self.assertIn(b"id=9b1f", asked)
@@ -135,11 +138,11 @@
         relay = self.relay.facade.relay
         shot = next(iter(relay.known.values())).shots[0]
         shot.group = [0] * 100
-        self.reactor.rightNow += 60              # nothing ran
+        self.reactor.rightNow += 60  # nothing ran
         self.reactor.advance(0)
         self.reactor.advance(0.1)
         self.assertIsNone(shot.group)
-        self.assertEqual(shot.unit.rest_until, 0)                # the unit is not blamed
+        self.assertEqual(shot.unit.rest_until, 0)  # the unit is not blamed
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
