--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -3,6 +3,7 @@
 Each story lays a query, an answer, an end or a list into the kernel's buffers first and lets the loop go on then, so that
 nothing is left to luck.  docs/design/crossings.md lists them.
 """
+
 import json
 import os
 import select
@@ -27,12 +28,15 @@
 from .test_relay import config, listing, reply, told, unit
 
 EMPTY, NOTHING = field(b"Q", b"\0"), field(b"I", b"") + IDLE
-PATIENCE = 20.0                                  # seconds of real time, for a machine that is busy with other things
+PATIENCE = 20.0  # seconds of real time, for a machine that is busy with other things
 
 
 def row(value: bytes) -> bytes:
-    return (field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
-            + field(b"D", b"\0\1" + struct.pack(">I", len(value)) + value) + field(b"C", b"SELECT 1\0"))
+    return (
+        field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
+        + field(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
+        + field(b"C", b"SELECT 1\0")
+    )
 
 
 def free_port() -> int:
@@ -58,10 +62,16 @@
     def started(self, *units: dict, held: bool = False, **more: object) -> Relay:
         """`held`: in its first instant, when its list has not come yet; else with its door open."""
         here = {"hostPort": "127.0.0.1:%d" % self.unit_side.getsockname()[1]}
-        tree = config(listen=f"127.0.0.1:{self.port}", peer_listen=f"127.0.0.1:{free_port()}",
-                      discovery="127.0.0.1:%d" % self.agent_side.getsockname()[1],
-                      rollouts=config()["rollouts"] | {"address": "127.0.0.1:1"},
-                      known=listing(41, True, *(units or (unit(1) | here,)))) | more
+        tree = (
+            config(
+                listen=f"127.0.0.1:{self.port}",
+                peer_listen=f"127.0.0.1:{free_port()}",
+                discovery="127.0.0.1:%d" % self.agent_side.getsockname()[1],
+                rollouts=config()["rollouts"] | {"address": "127.0.0.1:1"},
+                known=listing(41, True, *(units or (unit(1) | here,))),
+            )
+            | more
+        )
         self.tree = tree
         self.relay = Relay(self.reactor, told(tree))
         self.relay.start()
@@ -151,8 +161,9 @@
 
     def in_kernel(self, client: socket.socket) -> None:
         """What that client wrote waits at the relay's end, unread."""
-        here = next(each for each in self.relay.clients.connections
-                    if each.transport.getPeer().port == client.getsockname()[1])
+        here = next(
+            each for each in self.relay.clients.connections if each.transport.getPeer().port == client.getsockname()[1]
+        )
         self.assertTrue(select.select([here.transport.socket], [], [], PATIENCE)[0])
 
     def leaving(self) -> list[None]:
@@ -241,7 +252,7 @@
         client = self.connect()
         ended = self.leaving()
         self.later(0.002)
-        client.sendall(asking(wait=3000))        # our end is on its way to it
+        client.sendall(asking(wait=3000))  # our end is on its way to it
         self.assertEqual(self.to_the_end(client), b"")
         client.close()
         self.pass_time(LAST)
@@ -383,7 +394,7 @@
         client.sendall(bytes(300_000))
         said = self.to_the_end(client)
         self.assertEqual((said.count(b"C08P01\0"), said[:1]), (1, b"E"))
-        client.sendall(bytes(1000))              # still no reset: it is read and dropped
+        client.sendall(bytes(1000))  # still no reset: it is read and dropped
         self.turn()
         client.close()
         self.until(lambda: not self.relay.clients.connections)
@@ -411,7 +422,7 @@
         client.sendall(asking(wait=3000, name="other"))
         self.until(lambda: select.select([inside, self.unit_side], [], [], 0)[0])
         if select.select([inside], [], [], 0)[0]:
-            inside.sendall(NOTHING)              # whether it is still there; and then the query
+            inside.sendall(NOTHING)  # whether it is still there; and then the query
             self.got(inside, b"*/\0")
         other = self.shot() if select.select([self.unit_side], [], [], 0)[0] else inside
         inside.sendall(row(b"first") + IDLE)
@@ -539,10 +550,12 @@
         """What a client is told whose one-shot query of so many bytes is on its way when the unit's side is reset."""
         self.started()
         client = self.connect()
-        text = b"INSERT INTO kv (name, content) VALUES ('k', '\\x%s') RETURNING content /* id=1,c=order,t=acme,d=3000 */"
+        text = (
+            b"INSERT INTO kv (name, content) VALUES ('k', '\\x%s') RETURNING content /* id=1,c=order,t=acme,d=3000 */"
+        )
         client.sendall(field(b"Q", text % (b"00" * size) + b"\0"))
         inside = self.accept(self.unit_side)
-        self.unit_side.close()                   # nothing else to send it to
+        self.unit_side.close()  # nothing else to send it to
         pool = next(iter(self.relay.units.pools.values()))
         next(iter(pool.all)).transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         inside.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -592,14 +605,13 @@
         agent = self.agent()
         whole = reply(listing(42, True))
         for place in range(0, 5):
-            agent.sendall(whole[place:place + 1])
+            agent.sendall(whole[place : place + 1])
             self.pass_time(0.9)
             if self.relay.counters.counts["discovery.ended.silent"]:
                 break
         self.assertEqual(self.relay.counters.counts["discovery.ended.silent"], 1)
         self.agent()
 
-
     def first_query(self) -> socket.socket:
         """A query that waits in the kernel of a relay which has just begun, and the loop has gone round many times."""
         self.started(held=True)
@@ -641,11 +653,15 @@
     def test_a_file_of_another_relay_or_customer_moves_nothing(self) -> None:
         self.started()
         settings, elsewhere = self.tree["settings"], {"discovery": "127.0.0.1:7"}
-        others = [{"name": "n7"}, {"listen": "127.0.0.8:5432"}, {"peer_listen": "127.0.0.8:7946"},
-                  {"settings": settings | {"requestClasses": settings["requestClasses"][::-1]}},
-                  {"settings": settings | {"requestClasses": settings["requestClasses"][:1]}},
-                  {"settings": settings | {"tenants": [{"name": "umbrella", "share": 1}]}},
-                  {"settings": settings | {"fleetSize": 3}}]
+        others = [
+            {"name": "n7"},
+            {"listen": "127.0.0.8:5432"},
+            {"peer_listen": "127.0.0.8:7946"},
+            {"settings": settings | {"requestClasses": settings["requestClasses"][::-1]}},
+            {"settings": settings | {"requestClasses": settings["requestClasses"][:1]}},
+            {"settings": settings | {"tenants": [{"name": "umbrella", "share": 1}]}},
+            {"settings": settings | {"fleetSize": 3}},
+        ]
         for other in others:
             before = dict(self.relay.facade.relay.facts)
             with self.subTest(list(other)), self.assertRaises(ValueError):
@@ -659,8 +675,10 @@
         settings = self.tree["settings"]
         before = dict(self.relay.facade.relay.facts)
         there = self.listening()
-        self.changed(discovery="127.0.0.1:%d" % there.getsockname()[1],
-                     settings=settings | {"limits": settings["limits"] | {"dialTimeout": 400, "maxAttempts": 1}})
+        self.changed(
+            discovery="127.0.0.1:%d" % there.getsockname()[1],
+            settings=settings | {"limits": settings["limits"] | {"dialTimeout": 400, "maxAttempts": 1}},
+        )
         self.assertEqual(self.relay.facade.relay.facts, before)
         self.assertEqual(self.relay.counters.counts["configuration.kept"], 1)
         self.got(self.accept(there), b"\r\n\r\n")
@@ -685,8 +703,12 @@
         self.addCleanup(self.folder.cleanup)
         self.path = os.path.join(self.folder.name, "config.json")
         self.port = free_port()
-        self.tree = config(listen=f"127.0.0.1:{self.port}", discovery="127.0.0.1:1", peer_listen="",
-                           rollouts={"address": "127.0.0.1:1"})
+        self.tree = config(
+            listen=f"127.0.0.1:{self.port}",
+            discovery="127.0.0.1:1",
+            peer_listen="",
+            rollouts={"address": "127.0.0.1:1"},
+        )
 
     def write(self, tree: object) -> None:
         whole = os.path.join(self.folder.name, "whole")
@@ -697,9 +719,10 @@
     def process(self) -> subprocess.Popen:
         with open("deploy/balancer.toml", "rb") as file:
             line = tomllib.load(file)["run"].replace(".venv/bin/python", sys.executable)
-        process = subprocess.Popen(["/bin/sh", "-c", line], text=True, stderr=subprocess.PIPE,
-                                   env=os.environ | {"EDGE_CONFIG": self.path})
-        limit = threading.Timer(3 * PATIENCE, process.kill)              # then what is waited for ends, and fails
+        process = subprocess.Popen(
+            ["/bin/sh", "-c", line], text=True, stderr=subprocess.PIPE, env=os.environ | {"EDGE_CONFIG": self.path}
+        )
+        limit = threading.Timer(3 * PATIENCE, process.kill)  # then what is waited for ends, and fails
         limit.start()
         self.addCleanup(limit.cancel)
         self.addCleanup(process.stderr.close)
@@ -716,10 +739,10 @@
         """Guards against a new configuration that comes while a relay starts, and ends it."""
         os.mkfifo(self.path)
         process = self.process()
-        with open(self.path, "w") as file:       # opens once it wants to read: it stands there until this is closed
+        with open(self.path, "w") as file:  # opens once it wants to read: it stands there until this is closed
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGUSR1)
-            self.write(self.tree | {"discovery": "127.0.0.1:2"})         # the hangup has this one read
+            self.write(self.tree | {"discovery": "127.0.0.1:2"})  # the hangup has this one read
             file.write(json.dumps(self.tree))
         self.said(process, "configuration discovery=127.0.0.1:2 ")
         process.send_signal(signal.SIGTERM)
@@ -794,7 +817,9 @@
         """An answer, a query on an idle connection, one on a new connection and SIGTERM all wait in the kernel; it goes on then."""
         server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(server.close)
-        self.write(self.tree | {"known": listing(41, True, unit(1) | {"hostPort": "127.0.0.1:%d" % server.getsockname()[1]})})
+        self.write(
+            self.tree | {"known": listing(41, True, unit(1) | {"hostPort": "127.0.0.1:%d" % server.getsockname()[1]})}
+        )
         process = self.process()
         self.said(process, "serving")
         busy, idle = self.client(OPENING + asking(wait=20000)), self.client(OPENING + EMPTY)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,8 +1,21 @@
 """The module in blocking style, without sockets."""
+
 import unittest
 
-from tealsail.facade import (CallOff, Departed, Facade, Flagged, Forfeit, Heard, Listed, Outcome, Reject,
-                             Shoot, Standing, Units)
+from tealsail.facade import (
+    CallOff,
+    Departed,
+    Facade,
+    Flagged,
+    Forfeit,
+    Heard,
+    Listed,
+    Outcome,
+    Reject,
+    Shoot,
+    Standing,
+    Units,
+)
 from tealsail.notes import answer_note, read_shots
 
 from .fake import HARMLESS, ONE_SHOT, SECOND
@@ -18,8 +31,14 @@
 class Stories(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = Clock()
-        facts = dict(workloads=[dict(HARMLESS, name="basket"), dict(ONE_SHOT, name="order")], most_shots=3,
-                     customers=[dict(name="acme", share=1.0)], may_cancel=True, may_tell=True, relays=3)
+        facts = dict(
+            workloads=[dict(HARMLESS, name="basket"), dict(ONE_SHOT, name="order")],
+            most_shots=3,
+            customers=[dict(name="acme", share=1.0)],
+            may_cancel=True,
+            may_tell=True,
+            relays=3,
+        )
         self.facade = Facade(facts, 7, self.clock)
         self.facade.report(Standing(1, 1, "released", 1.0, 0))
         self.facade.report(Units("whole", [Listed(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
@@ -38,8 +57,17 @@
 
     def test_what_waits_for_another_relays_word_gets_its_step_out_of_a_tick(self) -> None:
         """The step is the kept invocation's, not that of whatever came in meanwhile."""
-        facade = Facade(dict(self.facade.relay.facts, relays=9, index=min({*range(9)} - {*Facade(
-            dict(self.facade.relay.facts, relays=9), 7, self.clock).relay.guide.order})), 7, self.clock)
+        facade = Facade(
+            dict(
+                self.facade.relay.facts,
+                relays=9,
+                index=min(
+                    {*range(9)} - {*Facade(dict(self.facade.relay.facts, relays=9), 7, self.clock).relay.guide.order}
+                ),
+            ),
+            7,
+            self.clock,
+        )
         facade.report(Standing(1, 1, "released", 1.0, 0))
         facade.report(Units("whole", [Listed(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
         self.facade = facade
@@ -47,10 +75,10 @@
         keeper, asked = facade.tick().notes[0]
         self.assertEqual((none, also, read_shots(asked)[0]), (None, None, kept))
         self.assertIsNone(facade.report(Heard(keeper, answer_note(kept, 1))))
-        (number, step), = facade.tick().steps
+        ((number, step),) = facade.tick().steps
         self.assertEqual((number, step.unit), (kept, read_shots(asked)[3]))
         self.clock.now += facade.relay.guide.WAIT
-        (number, step), = facade.tick().steps    # no answer: by itself
+        ((number, step),) = facade.tick().steps  # no answer: by itself
         self.assertEqual((number, type(step)), (alone, Shoot))
         self.assertIsNone(facade.report(Outcome(kept, 0, "served")))
 
@@ -90,12 +118,13 @@
         self.assertFalse(self.facade.stands(number, 0))
 
     def test_a_fault_of_the_module_costs_at_most_that_invocation_and_is_logged(self) -> None:
-        self.facade.report(Flagged(5, 99, 0))                    # build 1, and no workload of that number
+        self.facade.report(Flagged(5, 99, 0))  # build 1, and no workload of that number
         number, _ = self.pick()
         self.facade.relay.choice.cost = lambda unit: 1 / 0
         self.assertEqual(self.facade.report(Outcome(number, 0, "unreachable")), Forfeit())
         self.assertEqual(self.facade.faults, 2)
-        self.assertEqual([line.split(":")[0] for line in self.facade.tick().lines],
-                         ["fault IndexError", "fault ZeroDivisionError"])
+        self.assertEqual(
+            [line.split(":")[0] for line in self.facade.tick().lines], ["fault IndexError", "fault ZeroDivisionError"]
+        )
         del self.facade.relay.choice.cost
         self.assertIsInstance(self.pick()[1], Shoot)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,5 @@
 """Faults between relays in the script and in the model, how even the load was, and the hunt; no processes."""
+
 import tempfile
 import time
 import unittest
@@ -23,25 +24,44 @@
 
 class Words(unittest.TestCase):
     def test_relays_are_named_by_number_part_zone_and_what_they_do(self) -> None:
-        found = read_script("at 1s pause the keeper for 5s\nat 2s kill 20% of relays of zone a\nat 3s restart 2 relays\n"
-                            "from 4s for 8s cut relay 3 from the list\nfrom 5s for 8s cut all relays of zone a from the others one way\n"
-                            "from 6s for 1s cut 4 relays from 3 relays of zone b\nfrom 7s for 1s notes replayed after 5s 30%\n"
-                            "at 8s step clocks of the judges by -3600s\nfrom 9s for 2s hold all relays to 20%")
-        self.assertEqual([(each.kind, each.who, each.many, each.part, each.zone, each.whom) for each in found[:6]], [
-            ("pause relays", "keeper", 0, 0.0, "", ""), ("kill relays", "", 0, 0.2, "a", ""), ("restart relays", "", 2, 0.0, "", ""),
-            ("cut", "3", 0, 0.0, "", "list"), ("cut", "", 0, 1.0, "a", "others"), ("cut", "", 4, 0.0, "", "relays")])
+        found = read_script(
+            "at 1s pause the keeper for 5s\nat 2s kill 20% of relays of zone a\nat 3s restart 2 relays\n"
+            "from 4s for 8s cut relay 3 from the list\nfrom 5s for 8s cut all relays of zone a from the others one way\n"
+            "from 6s for 1s cut 4 relays from 3 relays of zone b\nfrom 7s for 1s notes replayed after 5s 30%\n"
+            "at 8s step clocks of the judges by -3600s\nfrom 9s for 2s hold all relays to 20%"
+        )
+        self.assertEqual(
+            [(each.kind, each.who, each.many, each.part, each.zone, each.whom) for each in found[:6]],
+            [
+                ("pause relays", "keeper", 0, 0.0, "", ""),
+                ("kill relays", "", 0, 0.2, "a", ""),
+                ("restart relays", "", 2, 0.0, "", ""),
+                ("cut", "3", 0, 0.0, "", "list"),
+                ("cut", "", 0, 1.0, "a", "others"),
+                ("cut", "", 4, 0.0, "", "relays"),
+            ],
+        )
         self.assertTrue(found[4].one_way)
         self.assertEqual(found[5].party, ("", 3, 0.0, "b"))
-        self.assertEqual([(each.who, each.times, each.far) for each in found[6:]],
-                         [("replayed", 0.3, 5 * SECOND), ("judges", -3600.0, 0), ("", 0.2, 0)])
+        self.assertEqual(
+            [(each.who, each.times, each.far) for each in found[6:]],
+            [("replayed", 0.3, 5 * SECOND), ("judges", -3600.0, 0), ("", 0.2, 0)],
+        )
 
     def test_what_makes_no_sense_is_refused_with_its_line(self) -> None:
-        for text, said in (("at 3s hang 2 relays", "can't be told to hang"), ("at 3s pause 2 units for 1s", "can't be told to pause"),
-                           ("at 1s cut neighbours", "needs a time"), ("at 1s kill relays 0", "can't be read")):
+        for text, said in (
+            ("at 3s hang 2 relays", "can't be told to hang"),
+            ("at 3s pause 2 units for 1s", "can't be told to pause"),
+            ("at 1s cut neighbours", "needs a time"),
+            ("at 1s kill relays 0", "can't be read"),
+        ):
             with self.assertRaisesRegex(Unclear, said):
                 read_script(text)
-        for text, said in (("at 1s kill relay 8", "relays 0 to 7"), ("at 1s cut 2 relays from relay 9", "relays 0 to 7"),
-                           ("at 1s cut 2 relays from zone c", "no zone c")):
+        for text, said in (
+            ("at 1s kill relay 8", "relays 0 to 7"),
+            ("at 1s cut 2 relays from relay 9", "relays 0 to 7"),
+            ("at 1s cut 2 relays from zone c", "no zone c"),
+        ):
             with self.assertRaisesRegex(BadScenario, said):
                 convert(day(fleet=FLEET, script=text))
 
@@ -54,9 +74,15 @@
     def test_late_doubled_reordered_and_replayed_notes_and_one_way_cuts_that_end(self) -> None:
         network = Network(Paths(note_least=10, note_most=20), ["a"] * 4, 7)
         network.apart[0, 1] = SECOND
-        self.assertEqual((network.note(0, 0, 1), len(network.note(0, 1, 0)), len(network.note(SECOND, 0, 1))), ([], 1, 1))
-        for kind, least, most, copies in (("late", 3_010, 3_020, 1), ("doubled", 10, 20, 2), ("reordered", 10, 3_020, 1),
-                                          ("replayed", 10, 3_020, 2)):
+        self.assertEqual(
+            (network.note(0, 0, 1), len(network.note(0, 1, 0)), len(network.note(SECOND, 0, 1))), ([], 1, 1)
+        )
+        for kind, least, most, copies in (
+            ("late", 3_010, 3_020, 1),
+            ("doubled", 10, 20, 2),
+            ("reordered", 10, 3_020, 1),
+            ("replayed", 10, 3_020, 2),
+        ):
             network.troubles = [Trouble(kind, SECOND, 1.0, 0 if kind == "doubled" else 3_000)]
             waits = [network.note(0, 2, 3) for _ in range(200)]
             self.assertEqual({len(each) for each in waits}, {copies}, kind)
@@ -66,7 +92,7 @@
         other.take_over(network.plain())
         self.assertEqual(other.plain(), network.plain())
         network.note(2 * SECOND, 2, 3)
-        self.assertEqual(network.troubles, [])   # what is over is forgotten
+        self.assertEqual(network.troubles, [])  # what is over is forgotten
 
 
 class Places(unittest.TestCase):
@@ -76,7 +102,7 @@
         place = known.peer(relay, other)
         self.assertEqual(addresses.pair(bytes(int(each) for each in place.host.split("."))), (relay, other))
         self.assertEqual(addresses.caller(known.at(addresses.LIST, relay).host), relay)
-        self.assertEqual(addresses.caller(place.host), -1)       # not from a relay's own address
+        self.assertEqual(addresses.caller(place.host), -1)  # not from a relay's own address
 
     def test_two_trials_never_share_ports(self) -> None:
         first, second = addresses.Taken(3), addresses.Taken(3)
@@ -95,7 +121,7 @@
                 monotonic, wall = time.monotonic, time.time
                 shifted.take_over(shifted.Shift(str(path)))
                 ahead = time.monotonic() - monotonic()
-                self.assertAlmostEqual(ahead, 3.0, delta=0.1)    # 1 s, and a fifth of 10
+                self.assertAlmostEqual(ahead, 3.0, delta=0.1)  # 1 s, and a fifth of 10
                 self.assertAlmostEqual(time.time() - wall(), 3.0 - 3600, delta=0.1)
                 self.assertAlmostEqual(time.clock_gettime(time.CLOCK_MONOTONIC), time.monotonic(), delta=0.1)
 
@@ -115,11 +141,14 @@
         (stopped, on), keeper = [(line.at, line.event) for line in lives], lives[0].relay
         self.assertEqual((stopped, on), ((3 * SECOND, "stopped"), (8 * SECOND, "on")))
         self.assertEqual(result.owners[0].split()[1], f"keeper={keeper}")
-        acted = [line for line in lines if isinstance(line, (Shot, End)) and line.relay == keeper
-                 and 3 * SECOND < line.at < 8 * SECOND]
+        acted = [
+            line
+            for line in lines
+            if isinstance(line, (Shot, End)) and line.relay == keeper and 3 * SECOND < line.at < 8 * SECOND
+        ]
         self.assertEqual([line for line in acted if isinstance(line, Shot)], [])
         self.assertGreater(len(result.owners), 1)
-        self.assertGreater(result.figures["service"], 0.85)      # it has an eighth of all for five twelfths of the day
+        self.assertGreater(result.figures["service"], 0.85)  # it has an eighth of all for five twelfths of the day
 
     def test_one_killed_while_it_is_stopped_loses_what_it_had_not_read_and_no_more(self) -> None:
         _, lines, lives = self.play("at 3s pause relay 0 for 5s\nat 5s kill relay 0 for 1s")
@@ -130,16 +159,25 @@
         self.assertTrue(all(2.5 * SECOND < taken[line.number] <= 5 * SECOND for line in lost))
 
     def test_a_share_of_a_core_and_a_clock_that_is_fast_keep_the_rules(self) -> None:
-        result, _, lives = self.play("from 3s for 5s hold 3 relays to 30%\nfrom 2s for 6s run clocks of 3 relays x 1.2\n"
-                                     "at 4s step clocks of all relays by +3600s")
+        result, _, lives = self.play(
+            "from 3s for 5s hold 3 relays to 30%\nfrom 2s for 6s run clocks of 3 relays x 1.2\n"
+            "at 4s step clocks of all relays by +3600s"
+        )
         self.assertGreater(len(lives), 300)
         self.assertGreater(result.figures["service"], 0.9)
 
     def test_relays_cut_off_from_the_list_and_the_platform_learn_when_that_ends(self) -> None:
-        _, lines, _ = self.play("from 1s for 5s cut 2 relays from the list\nat 2s kill 2 units\nfrom 1s for 3s list stale at relay 0",
-                                fleet=FLEET | {"notice_ms": 200.0}, builds={"offered_s": 900})
-        gone = {relay: min(line.at for line in lines if isinstance(line, Told) and line.relay == relay and line.state == "gone")
-                for relay in range(8)}
+        _, lines, _ = self.play(
+            "from 1s for 5s cut 2 relays from the list\nat 2s kill 2 units\nfrom 1s for 3s list stale at relay 0",
+            fleet=FLEET | {"notice_ms": 200.0},
+            builds={"offered_s": 900},
+        )
+        gone = {
+            relay: min(
+                line.at for line in lines if isinstance(line, Told) and line.relay == relay and line.state == "gone"
+            )
+            for relay in range(8)
+        }
         self.assertEqual(sum(at >= 6 * SECOND for at in gone.values()), 2)
         self.assertGreaterEqual(gone[0], 4 * SECOND)
 
@@ -157,8 +195,11 @@
 
 def rows(*shots: tuple[int, int, str]) -> list:
     """Shots of (when, how long, at which unit) as lines in order."""
-    lines = [line for number, (at, work, unit) in enumerate(shots)
-             for line in (Ran(at, 0, number, 0, unit, work), Done(at + work, 0, number, 0, unit, "served"))]
+    lines = [
+        line
+        for number, (at, work, unit) in enumerate(shots)
+        for line in (Ran(at, 0, number, 0, unit, work), Done(at + work, 0, number, 0, unit, "served"))
+    ]
     return sorted(lines, key=lambda line: line.at)
 
 
@@ -175,16 +216,21 @@
 
     def test_waste_is_a_shot_at_a_busy_unit_beside_a_sound_empty_one(self) -> None:
         shots = [(0, 100, "u0"), (10, 100, "u0"), (300, 100, "u0"), (310, 100, "u1"), (320, 100, "u1")]
-        self.assertEqual(self.look(rows(*shots)).figures()["waste"], 1 / 5)          # at 10; at 320 both are busy
+        self.assertEqual(self.look(rows(*shots)).figures()["waste"], 1 / 5)  # at 10; at 320 both are busy
         hung = [Unit(1, "u1", 1, "a", "hangs", 1.0, 0.3, 1000), *rows((5, 100, "u0"), (10, 100, "u0"))]
         self.assertEqual(self.look(hung).figures()["waste"], 0.0)
         self.assertEqual(self.look(rows((0, 100, "u0"), (10, 100, "u0")), cores=2.0).figures()["waste"], 0.0)
 
     def test_with_a_relay_that_dies_its_shots_leave_their_units(self) -> None:
         """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the trial."""
-        lines = [Ran(0, 3, 1, 0, "u0", 100), Ran(5, 4, 2, 0, "u0", 100), Life(10, 3, "down"), *rows((20, 100, "u1"), (30, 100, "u0"))]
+        lines = [
+            Ran(0, 3, 1, 0, "u0", 100),
+            Ran(5, 4, 2, 0, "u0", 100),
+            Life(10, 3, "down"),
+            *rows((20, 100, "u1"), (30, 100, "u0")),
+        ]
         evenness = self.look(lines)
-        self.assertEqual((evenness.wasted, evenness.units["u0"].hand), (1, 1))       # the second; relay 4's is there yet
+        self.assertEqual((evenness.wasted, evenness.units["u0"].hand), (1, 1))  # the second; relay 4's is there yet
 
     def test_a_herd_stands_out_beside_even_draws_and_even_draws_do_not(self) -> None:
         turns = [(at * 10, 5, f"u{at % 10}") for at in range(6_000)]
@@ -201,7 +247,11 @@
         self.assertLess(left.figures()["idle"], 3)
 
     def test_who_acts_is_told_by_the_word_of_most_and_handshakes_by_the_second(self) -> None:
-        lines = [Log(at, relay, f"duties keeper={keeper} judges=1,2,3") for at, keeper in ((10, 4), (20_000, 5)) for relay in range(12)]
+        lines = [
+            Log(at, relay, f"duties keeper={keeper} judges=1,2,3")
+            for at, keeper in ((10, 4), (20_000, 5))
+            for relay in range(12)
+        ]
         evenness = self.look([*lines, *(Met(30_000 + at, 1, "u1") for at in range(7)), *rows((40_000, 5, "u0"))])
         self.assertEqual([each.split()[1] for each in evenness.owners], ["keeper=4", "keeper=5"])
         self.assertEqual(evenness.figures()["handshakes_most"], 7)
@@ -210,14 +260,25 @@
 
 class Baselines(unittest.TestCase):
     def test_who_sees_all_wastes_nothing_and_who_sees_nothing_as_much_as_chance(self) -> None:
-        scenario = convert(day(fleet=FLEET | {"units": 20}, unit={"cores": 1.0}, clients={"rate": 450}, builds={"offered_s": 900}, seconds=8))
-        found = {name: baselines.baseline(scenario, 5, name) for name in ("even draws", "two, seen exactly", "all, seen exactly")}
+        scenario = convert(
+            day(
+                fleet=FLEET | {"units": 20},
+                unit={"cores": 1.0},
+                clients={"rate": 450},
+                builds={"offered_s": 900},
+                seconds=8,
+            )
+        )
+        found = {
+            name: baselines.baseline(scenario, 5, name)
+            for name in ("even draws", "two, seen exactly", "all, seen exactly")
+        }
         blind, two, bound = found.values()
         self.assertEqual(bound["waste"], 0.0)
         self.assertTrue(0.05 < two["waste"] < blind["waste"] - 0.1)
         self.assertTrue(bound["p99_ms"] < two["p99_ms"] < blind["p99_ms"])
         self.assertLess(blind["herd"], 2 * blind["herd_chance"])
-        self.assertEqual(found["even draws"], baselines.baseline(scenario, 5, "even draws"))     # the same twice
+        self.assertEqual(found["even draws"], baselines.baseline(scenario, 5, "even draws"))  # the same twice
 
     def test_subsets_are_of_different_units_and_a_round_visits_all(self) -> None:
         units = [mock.Mock(jobs=[], spec_set=["name", "jobs"]) for _ in range(20)]
@@ -232,8 +293,14 @@
     def check(self, ended: int) -> dict[str, int]:
         rules = Rules()
         rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
-        for line in (Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7), Life(500, 1, "stopped"), Life(5_500, 1, "on"),
-                     Shot(5_600, 1, 7, 0, "u1", 1, 100), Came(5_700, 1, 7, 0, "served"), End(ended, 1, 7, "served")):
+        for line in (
+            Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
+            Life(500, 1, "stopped"),
+            Life(5_500, 1, "on"),
+            Shot(5_600, 1, 7, 0, "u1", 1, 100),
+            Came(5_700, 1, 7, 0, "served"),
+            End(ended, 1, 7, "served"),
+        ):
             rules(line)
         rules.close()
         return rules.counts
@@ -242,14 +309,20 @@
         self.assertEqual(self.check(5_999)["lost"], 0)
         self.assertEqual(self.check(6_001)["lost"], 1)
 
-
     def test_a_query_that_waited_in_the_socket_of_a_stopped_relay_is_read_after_its_client_left(self) -> None:
         for stopped, breaches in ((True, 0), (False, 1)):
             rules = Rules()
             rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
             halt = [Life(500, 1, "stopped"), Life(5_500, 1, "on")] if stopped else []
-            for line in sorted([Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7), *halt, End(1_000, 1, 7, "left"),
-                                Shot(5_600, 1, 7, 0, "u1", 1, 100)], key=lambda line: line.at):
+            for line in sorted(
+                [
+                    Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
+                    *halt,
+                    End(1_000, 1, 7, "left"),
+                    Shot(5_600, 1, 7, 0, "u1", 1, 100),
+                ],
+                key=lambda line: line.at,
+            ):
                 rules(line)
             self.assertEqual(rules.counts["lost"], breaches)
 
@@ -276,7 +349,11 @@
 
     def test_a_day_that_wastes_is_found_and_told_by_its_shortest_script(self) -> None:
         scenario = convert(day(fleet=FLEET, clients={"rate": 500}, seconds=6, builds={"offered_s": 900}))
-        lines = ["from 1s for 2s notes doubled", "from 1s for 4s notes lost 100%", "at 2s step clocks of 2 relays by +60s"]
+        lines = [
+            "from 1s for 2s notes doubled",
+            "from 1s for 4s notes lost 100%",
+            "at 2s step clocks of 2 relays by +60s",
+        ]
         calm, worst = (hunt.failing(scenario, 3, each, {"waste": 0.0}).get("waste", 0.0) for each in ([], lines))
         self.assertGreater(worst, calm)
         limits = {"waste": (calm + worst) / 2}
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,5 @@
 """The votes: a story for each path, and for each way in which a verdict went wrong."""
+
 import random
 import unittest
 from math import erfc, sqrt
@@ -25,7 +26,7 @@
     def test_a_failure_or_two_or_what_the_baseline_shares_are_no_verdict(self) -> None:
         self.assertEqual(self.judged(dict(served=20, failed=2), dict(served=22), age=0), [])
         self.assertEqual(self.judged(dict(served=20, failed=8), dict(served=20, failed=8), age=0), [])
-        self.assertEqual(self.judged(dict(served=220, failed=23), dict(served=230, failed=12), age=0), [])        # chance
+        self.assertEqual(self.judged(dict(served=220, failed=23), dict(served=230, failed=12), age=0), [])  # chance
         self.assertEqual(self.judged(dict(served=210, failed=35), dict(served=230, failed=12), age=0), BACK)
 
     def test_back_by_rank_at_the_horizon(self) -> None:
@@ -44,7 +45,7 @@
     def test_on_at_the_horizon_when_alike_and_not_sooner(self) -> None:
         alike = dict(served=60, bucket=3)
         self.assertEqual(self.judged(alike, alike), ON)
-        self.assertEqual(self.judged(alike, alike, control="timer"), [])         # not under the clock
+        self.assertEqual(self.judged(alike, alike, control="timer"), [])  # not under the clock
         story = Story()
         story.trial()
         story.lists([story.unit(3, 2, started=story.relay.now)], kind="changes")
@@ -75,18 +76,18 @@
         for data in (early, late, early, b"junk", late[:-1]):
             story.relay.on_told(1, data)
         self.assertEqual(story.relay.judge.pool()[0][0][0], 30)
-        story.relay.on_told(1, story.evidence(dict(served=4), dict(served=4), start=99))     # restarted since
+        story.relay.on_told(1, story.evidence(dict(served=4), dict(served=4), start=99))  # restarted since
         self.assertEqual(story.relay.judge.pool()[0][0][0], 34)
 
     def busy(self, seconds: int, failing: float) -> list[int]:
         """A released build, judged for so long by what four relays at 240 outcomes a second tell; the baseline
         had 0.3% failures."""
-        story = Story(units=40, relays=5, index=max(range(5), key=lambda at: mix(2, at)))     # a judge
+        story = Story(units=40, relays=5, index=max(range(5), key=lambda at: mix(2, at)))  # a judge
         story.trial(many=20)
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
         size = len(story.relay.judge.pooled.sums)
         for each in story.relay.units.values():
-            each.failing = 0.003                 # one failure here and there, as any build has
+            each.failing = 0.003  # one failure here and there, as any build has
         for second in range(10, seconds, 2):
             served, failed = 240 * second, int(240 * second * failing)
             cells = [(0, served - failed), (1, failed), (10, 7200), (11, 22)]
@@ -132,16 +133,16 @@
         story.relay.on_told(1, story.evidence(dict(served=60), dict(served=60)))
         story.beat()
         story.beat()
-        self.assertEqual(story.votes(), ON)                      # not again while one is under way
+        self.assertEqual(story.votes(), ON)  # not again while one is under way
         story.relay.on_vote_answer("full")
         for answer, beats, votes in ((None, 2, 2), ("ok", 4, 2), (None, 4, 3)):
             if answer:
                 story.relay.on_vote_answer(answer)
             for _ in range(beats):
                 story.beat()
-            self.assertEqual(story.votes(), ON * votes)          # it did not count; renewed before it ends
+            self.assertEqual(story.votes(), ON * votes)  # it did not count; renewed before it ends
         story.relay.on_stage(2, 1, policy.ON_TRIAL, 1.0, 0)
-        story.relay.on_vote_answer("ok")                         # for the stage before
+        story.relay.on_vote_answer("ok")  # for the stage before
         story.beat()
         self.assertEqual([stage for _, stage, _ in story.host.of("vote")], [0, 0, 0])
 
@@ -153,7 +154,6 @@
         story.beat()
         self.assertEqual(story.votes(), BACK)
 
-
     def test_a_build_with_nothing_to_be_held_against_is_not_judged(self) -> None:
         story = Story()
         for _ in range(60):
@@ -165,10 +165,10 @@
 class Evidence(unittest.TestCase):
     def test_the_rank_tests_sums_agree_with_scipy(self) -> None:
         from scipy.stats import mannwhitneyu
+
         chance = random.Random(3)
         for _ in range(20):
-            groups = [[chance.randrange(8) + shift for _ in range(chance.randrange(20, 60))]
-                      for shift in (1, 0)]
+            groups = [[chance.randrange(8) + shift for _ in range(chance.randrange(20, 60))] for shift in (1, 0)]
             counts = [[group.count(bucket) for bucket in range(9)] for group in groups]
             over, variance = rank_test(*counts)
             known = mannwhitneyu(*groups, alternative="greater", method="asymptotic", use_continuity=False)
@@ -203,18 +203,22 @@
         story.later(3 * SECOND)
         story.relay.units[0].credit = 1.0
         story.serve(latency=3000)
-        self.assertEqual((row[2 + 3], sum(row[2:])), (1, 1))     # 0.3 of the promise, by 0.825: under 0.26
+        self.assertEqual((row[2 + 3], sum(row[2:])), (1, 1))  # 0.3 of the promise, by 0.825: under 0.26
 
     def test_errors_are_a_units_own_if_many_where_its_build_has_few_and_earlier_units_fail_too(self) -> None:
         for many, errors, others, elsewhere, own in (
-                (3, 0.9, 0.0, 0.0, False), (3, 0.9, 0.0, 0.9, True),     # and with no earlier unit:
-                (0, 0.5, 0.0, 0, True), (0, 0.5, 0.06, 0, False), (0, 0.15, 0.0, 0, False)):
+            (3, 0.9, 0.0, 0.0, False),
+            (3, 0.9, 0.0, 0.9, True),  # and with no earlier unit:
+            (0, 0.5, 0.0, 0, True),
+            (0, 0.5, 0.06, 0, False),
+            (0, 0.15, 0.0, 0, False),
+        ):
             story = Story(units=6)
             story.trial(many=many)
             *rest, unit = story.relay.units.values()
             unit.failing, rest[0].failing = errors, elsewhere
             rest[-1].failing = rest[-2].failing = others
-            self.assertFalse(story.relay.choice.stands_out(unit))        # nothing is known of the others
+            self.assertFalse(story.relay.choice.stands_out(unit))  # nothing is known of the others
             for each in story.relay.units.values():
                 each.met = story.relay.now
             self.assertEqual(story.relay.choice.stands_out(unit), own)
@@ -224,7 +228,7 @@
         story = Story()
         story.trial(many=2)
         for _ in range(20):
-            for unit in (0, 3):                  # of the earlier build, and of that on trial
+            for unit in (0, 3):  # of the earlier build, and of that on trial
                 story.relay.on_flag(unit, 0, 0)
         self.assertEqual([story.relay.trial.groups[name][1] for name in ("canary", "baseline")], [20, 20])
 
@@ -273,10 +277,12 @@
         """In order: nobody else sees it; it has nearly all of the traffic; all see it; lies that hide what others see."""
         sixty, fails = dict(served=60), (dict(served=50, failed=10), dict(served=60))
         for canary, baseline, honest, votes in (
-                (dict(failed=40, served=20), sixty, (sixty, sixty), ON),
-                (dict(failed=40, served=400), dict(served=440), (dict(served=10), dict(served=10)), BACK),
-                (*fails, fails, BACK), (dict(served=60_000), sixty, fails, BACK),
-                (sixty, dict(served=10, failed=60_000), fails, BACK)):
+            (dict(failed=40, served=20), sixty, (sixty, sixty), ON),
+            (dict(failed=40, served=400), dict(served=440), (dict(served=10), dict(served=10)), BACK),
+            (*fails, fails, BACK),
+            (dict(served=60_000), sixty, fails, BACK),
+            (sixty, dict(served=10, failed=60_000), fails, BACK),
+        ):
             story = Story()
             story.trial()
             for sender, told in ((1, honest), (2, honest), (3, honest), (5, (canary, baseline))):
@@ -290,10 +296,14 @@
         story = Story(relays=40, on_votes=20, votes_per_second=100)
         story.trial()
         judge = story.relay.judge
-        judges = judge.order[:2]                                 # place 10 votes and is no judge, 39 does not
-        for judge.place, sender, said, votes in ((10, judge.order[-1], BACK, []), (39, judges[0], ON, []),
-                                                 (10, judges[0], ON, ON), (10, judges[1], BACK, ON + BACK),
-                                                 (10, judges[0], ON, ON + BACK)):
+        judges = judge.order[:2]  # place 10 votes and is no judge, 39 does not
+        for judge.place, sender, said, votes in (
+            (10, judge.order[-1], BACK, []),
+            (39, judges[0], ON, []),
+            (10, judges[0], ON, ON),
+            (10, judges[1], BACK, ON + BACK),
+            (10, judges[0], ON, ON + BACK),
+        ):
             story.relay.on_told(sender, verdict_note(2, 0, *said))
             story.beat()
             story.relay.on_vote_answer("ok")
@@ -317,18 +327,23 @@
         for judge.beat in (3, 5, 7, 9, 11):
             judge.tell()
             lengths.append(len(story.host.of("tell")))
-        self.assertEqual(lengths, [4, 4, 4, 8, 8])               # the judges and the next in line
+        self.assertEqual(lengths, [4, 4, 4, 8, 8])  # the judges and the next in line
 
     def test_thousands_of_relays_tell_in_turns_and_judges_at_each_time(self) -> None:
         """10,000 relays that each tell each second cost a judge a fifth of a core; an eighth of them tells, all in turn."""
-        for relays, index, judges, times in ((999, 5, False, 16), (2500, 5, False, 5), (10_000, 5, False, 2),
-                                             (10_000, 6, False, 2), (10_000, 6, True, 16)):
+        for relays, index, judges, times in (
+            (999, 5, False, 16),
+            (2500, 5, False, 5),
+            (10_000, 5, False, 2),
+            (10_000, 6, False, 2),
+            (10_000, 6, True, 16),
+        ):
             story = Story(relays=relays, index=index)
             story.trial()
             judge, told = story.relay.judge, []
             judge.place = 0 if judges else 30
             judge.order = [number for number in range(10) if number != index]
-            for beat in range(32):               # sixteen seconds, with new failures all the time
+            for beat in range(32):  # sixteen seconds, with new failures all the time
                 judge.beat = beat
                 before = len(story.host.of("tell"))
                 story.relay.trial.groups["canary"][beat % 2 * 2] += 1
@@ -379,7 +394,7 @@
             for beat in range(14):
                 story.relay.trial.groups["canary"][0] += 80
                 story.beat()
-            story.relay.trial.groups["canary"][1] += 10          # 4 and 1.5% of 960 are above it, of 320 below
+            story.relay.trial.groups["canary"][1] += 10  # 4 and 1.5% of 960 are above it, of 320 below
             for number in range(failing):
                 story.relay.units[number].failing = 0.5
             story.beat()
@@ -413,7 +428,7 @@
             groups["baseline"][0] += 300
             groups["canary"][0] += 600
             groups["baseline"][1] += baseline
-            groups["canary"][1] += 8                             # far below 4 and 1.5%
+            groups["canary"][1] += 8  # far below 4 and 1.5%
             for number in (3, 4, 5):
                 story.relay.units[number].failing = 0.02
             story.beat()
@@ -455,10 +470,10 @@
         story.relay.known[story.count].shots[0].unit = first
         first.missed = 1
         story.comes(story.count, "unreachable")
-        self.assertIs(story.relay.rows[0][-1], first)            # what fails gives its place to the next
+        self.assertIs(story.relay.rows[0][-1], first)  # what fails gives its place to the next
         story.relay.choice.cut_off, known, strange = 0.9, *story.relay.rows[0][:2]
         known.met, known.out, strange.met, strange.out = story.relay.now, 1, 0, 0
-        self.assertLess(*map(story.relay.choice.cost, (known, strange)))         # no connection yet
+        self.assertLess(*map(story.relay.choice.cost, (known, strange)))  # no connection yet
 
     def test_cold_units_get_their_share_over_hundreds_of_relays_with_one_shot_each(self) -> None:
         shots = []
@@ -469,8 +484,7 @@
             story.serve()
             shots += story.sent()
         cold = sum(unit > 7 for unit in shots)
-        self.assertTrue(8 < cold < 35, cold)                     # an even share of 60, by a warmth of 0.3: 18
-
+        self.assertTrue(8 < cold < 35, cold)  # an even share of 60, by a warmth of 0.3: 18
 
 
 class NoReports(unittest.TestCase):
@@ -483,7 +497,7 @@
     def test_the_keeper_names_the_unit_with_the_least_at_hand_and_the_shot_goes_there(self) -> None:
         story = self.story()
         number = story.take()
-        (keeper, asked), = story.host.of("tell")
+        ((keeper, asked),) = story.host.of("tell")
         self.assertEqual((story.sent(), keeper), ([], story.relay.guide.order[0]))
         self.assertEqual(read_shots(asked)[:2], (number, 4))
         story.relay.on_told(keeper, answer_note(number, 2))
@@ -491,7 +505,7 @@
         other = Story(relays=9, index=keeper, load_via="none")
         for count, (unit, out) in enumerate(((0, 2), (1, 1), (2, 0), (3, 1))):
             other.relay.on_told(5, state_note(count, unit, out, 0))
-        other.relay.on_told(5, state_note(1, 1, 9, 0))           # doubled, late: an older count
+        other.relay.on_told(5, state_note(1, 1, 9, 0))  # doubled, late: an older count
         other.relay.on_told(7, ask_note(77, [0, 1, 2, 3]))
         self.assertEqual(other.host.of("tell")[-1], (7, answer_note(77, 2)))
 
@@ -504,9 +518,9 @@
             self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.relay.guide.keeper(), story.relay.guide.order[1])
         other = story.take()
-        story.relay.on_told(min({*range(1, 9)} - {*story.relay.guide.order}), answer_note(other, 1))   # not asked
+        story.relay.on_told(min({*range(1, 9)} - {*story.relay.guide.order}), answer_note(other, 1))  # not asked
         self.assertEqual(story.sent(other), [])
-        story.relay.on_told(story.relay.guide.order[0], answer_note(number, 1))      # too late: nothing twice
+        story.relay.on_told(story.relay.guide.order[0], answer_note(number, 1))  # too late: nothing twice
         self.assertEqual(len(story.sent(number)), 1)
 
     def test_who_has_gone_while_the_answer_was_awaited_gets_no_shot_and_what_is_over_time_its_answer(self) -> None:
@@ -541,12 +555,12 @@
     def test_where_any_unit_would_be_late_who_asks_gives_up_at_once_and_names_a_time_to_come_back(self) -> None:
         """Each of a hundred relays learnt of a jam from its own few answers, and a fifth of them were late."""
         story = Story(relays=9, index=self.story().relay.guide.order[0])
-        story.relay.on_told(7, ask_note(75, [0, 1, 2, 3]))       # asked before it is told anything
-        for count in range(100):                 # 50 ends a second at four units, 20 shots each at hand
+        story.relay.on_told(7, ask_note(75, [0, 1, 2, 3]))  # asked before it is told anything
+        for count in range(100):  # 50 ends a second at four units, 20 shots each at hand
             story.later(200)
             story.relay.on_told(5, state_note(count, count % 4, 20, 16))
-            if count == 9:                       # one that has just begun to be told knows no pace: a tenth of a
-                story.relay.on_told(7, ask_note(76, [0, 1, 2, 3]))       # start's first seconds was turned away
+            if count == 9:  # one that has just begun to be told knows no pace: a tenth of a
+                story.relay.on_told(7, ask_note(76, [0, 1, 2, 3]))  # start's first seconds was turned away
         for _, answer in story.host.of("tell")[:2]:
             self.assertLess(read_shots(answer)[1], 4)
         for count in range(200, 400):
@@ -598,15 +612,17 @@
             story.relay.on_told(sender, ask_note(number, [0, 1]))
             return read_shots(story.host.of("tell")[-1][1])[1]
 
-        self.assertEqual([named(1, 7), named(2, 7), named(3, 8)], [0, 1, 0])         # named and not told of yet: at hand
+        self.assertEqual([named(1, 7), named(2, 7), named(3, 8)], [0, 1, 0])  # named and not told of yet: at hand
         story.relay.on_told(7, state_note(1, 0, 1, 0))
-        story.relay.on_told(7, state_note(2, 0, 0, 16))          # sent, and served
-        self.assertEqual(story.relay.guide.loads[0].given, [(-1, story.relay.now), (8, story.relay.now)])   # another's stays
+        story.relay.on_told(7, state_note(2, 0, 0, 16))  # sent, and served
+        self.assertEqual(
+            story.relay.guide.loads[0].given, [(-1, story.relay.now), (8, story.relay.now)]
+        )  # another's stays
         story.relay.on_told(8, state_note(1, 0, 1, 0))
         story.relay.on_told(8, state_note(2, 0, 0, 16))
         for count, out in ((3, 1), (4, 0)):
             story.relay.on_told(7, state_note(count, 1, out, 16 - 16 * out))
-        self.assertEqual(named(4, 7), 1)         # both are empty: the one named less of late, since in a fixed order
+        self.assertEqual(named(4, 7), 1)  # both are empty: the one named less of late, since in a fixed order
         story.relay.on_told(7, state_note(5, 1, 1, 0))
         story.relay.on_told(7, state_note(6, 1, 0, 16))
         story.later(2 * story.relay.guide.WAIT)  # a unit got nothing for 50 times its mean gap
@@ -643,7 +659,7 @@
             story.comes(story.take(), outcome, latency=500)
             self.assertFalse(story.relay.choice.fit(story.relay.units[0]))
         story = Story(units=1, workloads=(ONE_SHOT,))
-        story.serve("unreachable", latency=SECOND // 4)          # nothing came back at all: out of reach
+        story.serve("unreachable", latency=SECOND // 4)  # nothing came back at all: out of reach
         self.assertFalse(story.relay.choice.fit(story.relay.units[0]))
 
     def test_a_silent_unit_rests_and_is_tried_again_with_one_shot(self) -> None:
@@ -670,7 +686,7 @@
         for _ in range(60):
             story.serve(latency=2 * SECOND)
             story.later(1)
-        self.assertLess(story.relay.admission.limit, 1)          # then chance decides
+        self.assertLess(story.relay.admission.limit, 1)  # then chance decides
         story.host.calls.clear()
         for _ in range(60):
             story.serve()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,5 @@
 """Scenarios, their script, the model's days, bars and fits."""
+
 import copy
 import hashlib
 import json
@@ -27,12 +28,18 @@
 SECOND = 10_000
 EXAMPLES = Path(__file__).parent.parent / "examples"
 DAY: dict[str, Any] = {
-    "name": "a day", "seconds": 20, "fleet": {"relays": 2, "units": 8, "start_ms": [300, 800]},
-    "unit": {"cores": 2.0, "warm_up_ms": 1500}, "clients": {"rate": 100},
-    "workload": [{"name": "fetch", "share": 0.8, "work": {"mean_ms": 20}},
-                 {"name": "submit", "effect": "one-shot", "share": 0.2, "work": {"mean_ms": 30}, "payoff": 3}],
+    "name": "a day",
+    "seconds": 20,
+    "fleet": {"relays": 2, "units": 8, "start_ms": [300, 800]},
+    "unit": {"cores": 2.0, "warm_up_ms": 1500},
+    "clients": {"rate": 100},
+    "workload": [
+        {"name": "fetch", "share": 0.8, "work": {"mean_ms": 20}},
+        {"name": "submit", "effect": "one-shot", "share": 0.2, "work": {"mean_ms": 30}, "payoff": 3},
+    ],
     "customer": [{"name": "acme", "share": 0.3}, {"name": "umbra", "share": 0.7}],
-    "builds": [{"number": 2, "offered_s": 2}]}
+    "builds": [{"number": 2, "offered_s": 2}],
+}
 
 
 def day(**more: Any) -> dict[str, Any]:
@@ -50,23 +57,31 @@
 
 class Scripts(unittest.TestCase):
     def test_sentences_and_what_they_mean(self) -> None:
-        found = read_script("at 12s kill 3 units of zone b for 10s  # a comment\n\n"
-                            "from 1.5s for 500ms slow 20% of units of build 2 x 3\nat 3s fail 30% of answers of all units\n"
-                            "from 20s for 1m customer acme x 5\nat 9s kill relay 1 for 2s\nat 9s cut all relays from zone b")
+        found = read_script(
+            "at 12s kill 3 units of zone b for 10s  # a comment\n\n"
+            "from 1.5s for 500ms slow 20% of units of build 2 x 3\nat 3s fail 30% of answers of all units\n"
+            "from 20s for 1m customer acme x 5\nat 9s kill relay 1 for 2s\nat 9s cut all relays from zone b"
+        )
         kill = next(fault for fault in found if fault.kind == "kill")
-        self.assertEqual((kill.at, kill.span, kill.many, kill.zone, kill.text),
-                         (12 * SECOND, 10 * SECOND, 3, "b", "at 12s kill 3 units of zone b for 10s"))
-        self.assertEqual([(fault.kind, fault.part, fault.times, fault.build) for fault in found[:2]],
-                         [("slow", 0.2, 3.0, 2), ("fail", 1.0, 0.3, -1)])
+        self.assertEqual(
+            (kill.at, kill.span, kill.many, kill.zone, kill.text),
+            (12 * SECOND, 10 * SECOND, 3, "b", "at 12s kill 3 units of zone b for 10s"),
+        )
+        self.assertEqual(
+            [(fault.kind, fault.part, fault.times, fault.build) for fault in found[:2]],
+            [("slow", 0.2, 3.0, 2), ("fail", 1.0, 0.3, -1)],
+        )
         self.assertEqual([fault.at for fault in found], sorted(fault.at for fault in found))
 
     def test_what_can_not_be_read_is_told_with_its_line_and_column(self) -> None:
-        for text, where in (("at 3s kill 1 unit\nat 12 kill 3 units", "line 2, column 4"),
-                            ("at 12s kil 3 units", "line 1, column 8: .* expected customer, cut"),
-                            ("at 3s kill 3 units of", "line 1, column 22: .* expected build, zone"),
-                            ("at 3s list stale", "line 1: .* needs a time"),
-                            ("from 3s for 2s slow 1 unit x 0", "a factor above nothing"),
-                            ("x" * 70_000, "longer than")):
+        for text, where in (
+            ("at 3s kill 1 unit\nat 12 kill 3 units", "line 2, column 4"),
+            ("at 12s kil 3 units", "line 1, column 8: .* expected customer, cut"),
+            ("at 3s kill 3 units of", "line 1, column 22: .* expected build, zone"),
+            ("at 3s list stale", "line 1: .* needs a time"),
+            ("from 3s for 2s slow 1 unit x 0", "a factor above nothing"),
+            ("x" * 70_000, "longer than"),
+        ):
             with self.assertRaisesRegex(Unclear, where):
                 read_script(text)
 
@@ -79,26 +94,28 @@
 
     @given(st.integers(0, 900), st.integers(1, 900), st.integers(1, 50), st.sampled_from(["kill", "hang", "silence"]))
     def test_numbers_come_through(self, at, span, many, verb) -> None:
-        fault, = read_script(f"at {at}ms {verb} {many} units for {span}s")
+        (fault,) = read_script(f"at {at}ms {verb} {many} units for {span}s")
         self.assertEqual((fault.at, fault.span, fault.many, fault.kind), (at * 10, span * SECOND, many, verb))
 
 
 class Scenarios(unittest.TestCase):
     def test_a_wrong_field_is_one_line_with_its_path(self) -> None:
-        for change, where in (({"clients": {"rate": "many"}}, r"clients\.rate: expected `float`"),
-                              ({"clients": {"rat": 3}}, r"clients: .*unknown field `rat`"),
-                              ({"clients": {"rate": math.inf}}, r"clients\.rate: expected `float` <="),
-                              ({"clients": {"rate": math.nan}}, r"clients\.rate: expected `float` >"),
-                              ({"clients": {"rate": 5e5}, "seconds": 1000}, r"clients\.rate: more than"),
-                              ({"fleet": {"relays": 0}}, r"fleet\.relays: expected `int` >= 1"),
-                              ({"builds": {"only": "nothing"}}, r"builds\[0\]\.only: no workload 'nothing'"),
-                              ({"builds": {"number": 1}}, r"builds\[0\]\.number: not above"),
-                              ({"script": "at 3s kil"}, r"script: line 1, column 7"),
-                              ({"script": "at 3s lose zone z"}, r"no zone z"),
-                              ({"script": "from 3s for 1s customer nobody x 2"}, "no customer nobody"),
-                              ({"script": "at 3s kill relay 7"}, "relays 0 to 1"),
-                              ({"platform": {"caps": [0.5]}}, r"platform\.caps: fewer"),
-                              ({"settings": {"limits.cancel.x": 1}}, r"settings\.limits\.cancel\.x")):
+        for change, where in (
+            ({"clients": {"rate": "many"}}, r"clients\.rate: expected `float`"),
+            ({"clients": {"rat": 3}}, r"clients: .*unknown field `rat`"),
+            ({"clients": {"rate": math.inf}}, r"clients\.rate: expected `float` <="),
+            ({"clients": {"rate": math.nan}}, r"clients\.rate: expected `float` >"),
+            ({"clients": {"rate": 5e5}, "seconds": 1000}, r"clients\.rate: more than"),
+            ({"fleet": {"relays": 0}}, r"fleet\.relays: expected `int` >= 1"),
+            ({"builds": {"only": "nothing"}}, r"builds\[0\]\.only: no workload 'nothing'"),
+            ({"builds": {"number": 1}}, r"builds\[0\]\.number: not above"),
+            ({"script": "at 3s kil"}, r"script: line 1, column 7"),
+            ({"script": "at 3s lose zone z"}, r"no zone z"),
+            ({"script": "from 3s for 1s customer nobody x 2"}, "no customer nobody"),
+            ({"script": "at 3s kill relay 7"}, "relays 0 to 1"),
+            ({"platform": {"caps": [0.5]}}, r"platform\.caps: fewer"),
+            ({"settings": {"limits.cancel.x": 1}}, r"settings\.limits\.cancel\.x"),
+        ):
             with self.subTest(where), self.assertRaisesRegex(BadScenario, where) as caught:
                 scenario = convert(day(**change), "s.toml")
                 scenario.facts(0)
@@ -131,8 +148,11 @@
         return figures.result(), lines
 
     def of(self, lines: list, kind: type, **fields: Any) -> list:
-        return [line for line in lines if type(line) is kind
-                and all(getattr(line, name) == value for name, value in fields.items())]
+        return [
+            line
+            for line in lines
+            if type(line) is kind and all(getattr(line, name) == value for name, value in fields.items())
+        ]
 
     def test_the_same_scenario_and_seed_give_the_same_record_byte_for_byte(self) -> None:
         marks = []
@@ -151,25 +171,42 @@
     def test_a_good_build_brought_in_while_all_units_jam_is_not_sent_back(self) -> None:
         """Three places in five at once: the new build was blamed for it (8 of 9 days, units 1.5 to 2.2 times slower)."""
         for seed in (1, 2):
-            result, _ = self.play(seed, seconds=14, fleet={"relays": 20, "units": 24, "drain_ms": 3000}, clients={"rate": 1250},
-                                  platform={"shares": (0.1, 0.6, 1.0), "caps": (0.2, 1.0, 1.0), "bake_ms": 800},
-                                  script="from 4800ms for 6s slow 100% of units x 1.8")
+            result, _ = self.play(
+                seed,
+                seconds=14,
+                fleet={"relays": 20, "units": 24, "drain_ms": 3000},
+                clients={"rate": 1250},
+                platform={"shares": (0.1, 0.6, 1.0), "caps": (0.2, 1.0, 1.0), "bake_ms": 800},
+                script="from 4800ms for 6s slow 100% of units x 1.8",
+            )
             self.assertEqual(result.figures["released.2"], 1.0)
 
     def test_twenty_eight_of_forty_relays_come_back_at_once_without_a_storm(self) -> None:
         """Most in a tenth of a second, over the whole fleet: three votes, and 60 handshakes of 28 relays without any."""
         lines, connects, connect = [], Counter(), Unit.connect
-        model = Model(convert(day(seconds=12, fleet={"relays": 40, "units": 24}, clients={"rate": 700}, script="\n".join(
-            f"at 5s kill relay {relay} for 1s" for relay in range(28)))), 1, [lines.append])
+        model = Model(
+            convert(
+                day(
+                    seconds=12,
+                    fleet={"relays": 40, "units": 24},
+                    clients={"rate": 700},
+                    script="\n".join(f"at 5s kill relay {relay} for 1s" for relay in range(28)),
+                )
+            ),
+            1,
+            [lines.append],
+        )
         with mock.patch.object(Unit, "connect", lambda unit: connects.update([model.now // 1000]) or connect(unit)):
             model.play()
         self.assertEqual(max(Counter(line.at // 1000 for line in self.of(lines, Vote)).values()), 3)
         self.assertLessEqual(max(connects[at] for at in range(60, 80)), 60)
-        self.assertLess(sum(connects[at] for at in range(90, 105)), 60)          # and then they have what they need
+        self.assertLess(sum(connects[at] for at in range(90, 105)), 60)  # and then they have what they need
 
     def test_connections_at_units_are_scarce_and_handshakes_work(self) -> None:
-        (few, lines), (many, _) = (self.play(seconds=8, fleet={"relays": 20, "units": 4}, clients={"rate": 120}, unit=unit)
-                                   for unit in ({"connections": 10, "handshake_work_ms": 5.0}, {}))
+        (few, lines), (many, _) = (
+            self.play(seconds=8, fleet={"relays": 20, "units": 4}, clients={"rate": 120}, unit=unit)
+            for unit in ({"connections": 10, "handshake_work_ms": 5.0}, {})
+        )
         self.assertTrue(self.of(lines, Came, outcome="full"))
         self.assertTrue(0.75 < few.figures["service"] < many.figures["service"])
 
@@ -192,14 +229,15 @@
     def test_one_customer_at_five_times_its_rate_with_its_repeats(self) -> None:
         surge = "from 5s for 8s customer acme x 5"
         calm, _ = self.play(clients={"rate": 200, "repeats": 2}, builds={"offered_s": 90})
-        result, lines = self.play(clients={"rate": 200, "repeats": 2}, unit={"cores": 0.8}, script=surge,
-                                  builds={"offered_s": 90})
+        result, lines = self.play(
+            clients={"rate": 200, "repeats": 2}, unit={"cores": 0.8}, script=surge, builds={"offered_s": 90}
+        )
         self.assertGreater(len({line.first for line in self.of(lines, Take)}), 4000 + 0.9 * 200 * 0.3 * 4 * 8)
         repeats = [line for line in self.of(lines, Take) if line.number != line.first]
         self.assertGreater(len(repeats), 20)
         self.assertLess(result.figures["service"], calm.figures["service"])
         seen = {line.number for line in self.of(lines, Take)}
-        self.assertEqual(len(seen), len(self.of(lines, Take)))   # each repeat has a number of its own
+        self.assertEqual(len(seen), len(self.of(lines, Take)))  # each repeat has a number of its own
 
     def test_a_list_eight_seconds_behind_while_stages_go_on(self) -> None:
         _, lines = self.play(script="from 3s for 8s list stale")
@@ -233,16 +271,22 @@
         self.assertTrue([line for line in self.of(lines, Stage) if line.at > 10 * SECOND])
 
     def test_units_that_die_hang_slow_down_fall_silent_and_fail(self) -> None:
-        result, lines = self.play(clients={"rate": 60}, script="at 4s kill 1 unit for 3s\nfrom 6s for 2s hang 1 unit\n"
-                                  "from 8s for 2s slow 1 unit x 5\nfrom 10s for 2s silence 1 unit\n"
-                                  "from 12s for 2s fail 80% of answers of 1 unit\nat 14s drain 1 unit")
+        result, lines = self.play(
+            clients={"rate": 60},
+            script="at 4s kill 1 unit for 3s\nfrom 6s for 2s hang 1 unit\n"
+            "from 8s for 2s slow 1 unit x 5\nfrom 10s for 2s silence 1 unit\n"
+            "from 12s for 2s fail 80% of answers of 1 unit\nat 14s drain 1 unit",
+        )
         seen = {line.outcome for line in self.of(lines, Came)}
         self.assertTrue({"served", "error", "unreachable"} <= seen, seen)
         self.assertGreater(result.figures["service"], 0.9)
 
     def test_notes_that_are_lost_and_two_zones_apart(self) -> None:
-        result, lines = self.play(fleet={"zones": ["a", "b"]}, network={"far_ms": 12.0},
-                                  script="from 1s for 15s notes lost\nfrom 5s for 2s cut relay 0 from zone b")
+        result, lines = self.play(
+            fleet={"zones": ["a", "b"]},
+            network={"far_ms": 12.0},
+            script="from 1s for 15s notes lost\nfrom 5s for 2s cut relay 0 from zone b",
+        )
         self.assertTrue(self.of(lines, Came, relay=0, outcome="unreachable"))
         self.assertEqual(self.of(lines, Came, relay=1, outcome="unreachable"), [])
         self.assertIn("service.zone.b", result.figures)
@@ -278,7 +322,10 @@
 
 class Figured(unittest.TestCase):
     """What figures say, on a record written by hand."""
-    HEAD = Head(0, 1, "model", "x", 1, {"workloads": [{"name": "fetch", "promised": 1000, "payoff": 2.0}], "customers": []})
+
+    HEAD = Head(
+        0, 1, "model", "x", 1, {"workloads": [{"name": "fetch", "promised": 1000, "payoff": 2.0}], "customers": []}
+    )
 
     def result(self, *lines: Any) -> dict[str, float]:
         figures = Figures()
@@ -287,11 +334,18 @@
         return figures.result().figures
 
     def test_repeats_belong_to_their_first_try_and_count_from_when_it_was_meant(self) -> None:
-        found = self.result(Take(100, 0, 1, 0, 0, 0, "", 30_000, 1), End(110, 0, 1, "rejected"),
-                            Take(900, 0, 2, 0, 0, 0, "", 30_000, 1), End(1_001, 0, 2, "served"),
-                            Take(2000, 0, 3, 2000, 0, 0, "", 30_000, 3), End(2_050, 0, 3, "rejected"),
-                            Take(2100, 0, 4, 2000, 0, 0, "", 30_000, 3), End(2_500, 0, 4, "served"),
-                            Take(5000, 0, 5, 5000, 0, 0, "", 30_000, 5), End(5_010, 0, 5, "forfeited"))
+        found = self.result(
+            Take(100, 0, 1, 0, 0, 0, "", 30_000, 1),
+            End(110, 0, 1, "rejected"),
+            Take(900, 0, 2, 0, 0, 0, "", 30_000, 1),
+            End(1_001, 0, 2, "served"),
+            Take(2000, 0, 3, 2000, 0, 0, "", 30_000, 3),
+            End(2_050, 0, 3, "rejected"),
+            Take(2100, 0, 4, 2000, 0, 0, "", 30_000, 3),
+            End(2_500, 0, 4, "served"),
+            Take(5000, 0, 5, 5000, 0, 0, "", 30_000, 5),
+            End(5_010, 0, 5, "forfeited"),
+        )
         self.assertAlmostEqual(found["service"], 1 / 3)
         self.assertAlmostEqual(found["late"], 1 / 3)
         self.assertAlmostEqual(found["forfeited"], 1 / 3)
@@ -299,10 +353,23 @@
 
     def test_harm_is_what_the_build_on_trial_touched_and_was_not_kept(self) -> None:
         on_trial = Stage(10, 2, 0, "on trial", 0.2)
-        found = self.result(on_trial, *(line for number, build, answer in ((1, 2, "forfeited"), (2, 1, "forfeited"),
-                                                                          (3, 2, "served"), (4, 1, "served"))
-                                        for line in (Take(20, 0, number, 20, 0, 0, "", 30_000, number),
-                                                     Shot(20, 0, number, 0, "u", build, 10), End(50, 0, number, answer))))
+        found = self.result(
+            on_trial,
+            *(
+                line
+                for number, build, answer in (
+                    (1, 2, "forfeited"),
+                    (2, 1, "forfeited"),
+                    (3, 2, "served"),
+                    (4, 1, "served"),
+                )
+                for line in (
+                    Take(20, 0, number, 20, 0, 0, "", 30_000, number),
+                    Shot(20, 0, number, 0, "u", build, 10),
+                    End(50, 0, number, answer),
+                )
+            ),
+        )
         self.assertEqual((found["harm"], found["service"], found["at_trial"]), (0.25, 0.5, 0.5))
 
 
@@ -322,8 +389,14 @@
 
     def test_an_option_that_wins_on_service_and_loses_on_harm(self) -> None:
         first = [{"service": 0.90 + 0.01 * (day % 3), "harm": 0.001, "p50_ms": 10 + day % 2} for day in range(8)]
-        second = [{"service": each["service"] + 0.02 + 0.001 * (day % 2), "harm": 0.004 + 0.001 * (day % 2),
-                   "p50_ms": 10 + (day + 1) % 2} for day, each in enumerate(first)]
+        second = [
+            {
+                "service": each["service"] + 0.02 + 0.001 * (day % 2),
+                "harm": 0.004 + 0.001 * (day % 2),
+                "p50_ms": 10 + (day + 1) % 2,
+            }
+            for day, each in enumerate(first)
+        ]
         found = bars.differences(first, second)
         self.assertEqual([found[name].better for name in ("service", "harm", "p50_ms")], ["B", "A", "can't tell"])
 
@@ -331,7 +404,6 @@
         found = bars.bars([{"service": 1.0, "back_s.2": 3.0}, {"service": 0.9}, {"service": 0.99, "back_s.2": 5.0}])
         self.assertEqual((found["service"].high, found["back_s.2"].many), (1.0, 2))
 
-
     def test_days_of_two_kinds_lie_in_bars_that_ask_for_no_shape(self) -> None:
         """A build goes back after 8 s or after 40: a normal bar of few days reaches below zero, that of 39 does not, and
         one more day lies outside about one time in twenty."""
@@ -339,6 +411,7 @@
 
         def back() -> float:
             return chance.gauss(8, 1) if chance.random() < 0.7 else chance.gauss(40, 3)
+
         held, wide = 0, []
         for _ in range(400):
             known = bars.bar("back_s.2", [back() for _ in range(39)])
@@ -352,12 +425,16 @@
 class Fits(unittest.TestCase):
     def record(self, folder: str, seconds: float, **more: Any) -> Path:
         path = Path(folder) / f"{seconds}.record.gz"
-        runs.play(convert(day(seconds=seconds, fleet={"units": 8, "speeds": 0.0, "start_ms": [300, 800]}, **more)), 3, path)
+        runs.play(
+            convert(day(seconds=seconds, fleet={"units": 8, "speeds": 0.0, "start_ms": [300, 800]}, **more)), 3, path
+        )
         return path
 
     def test_work_and_a_builds_pace_and_errors_are_found_again(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            path = self.record(folder, 60, builds={"pace": 1.3, "errors": 0.004, "offered_s": 30}, clients={"rate": 150})
+            path = self.record(
+                folder, 60, builds={"pace": 1.3, "errors": 0.004, "offered_s": 30}, clients={"rate": 150}
+            )
             found = fits.fit(path)
             fetch = found.workloads[0]
             self.assertEqual((fetch.name, fetch.note), ("fetch", "as seen"))
@@ -370,9 +447,15 @@
     def test_what_differs_between_days_is_in_the_bars_of_a_fit_from_several(self) -> None:
         """Two days on which the same work took a tenth more or less: either alone is sure of itself, and one is wrong."""
         with tempfile.TemporaryDirectory() as folder:
-            days = [self.record(folder, seconds, builds={"offered_s": 90}, workload=[
-                {"name": "fetch", "effect": "harmless", "work": {"mean_ms": mean, "cv": 0.3}}])
-                for seconds, mean in ((20, 20.0), (21, 22.0))]
+            days = [
+                self.record(
+                    folder,
+                    seconds,
+                    builds={"offered_s": 90},
+                    workload=[{"name": "fetch", "effect": "harmless", "work": {"mean_ms": mean, "cv": 0.3}}],
+                )
+                for seconds, mean in ((20, 20.0), (21, 22.0))
+            ]
             alone, both = fits.fit(days[0]).workloads[0], fits.fit(days).workloads[0]
             self.assertLess(alone.mean_bar[1], 21.3)
             self.assertTrue(both.mean_bar[0] < 20.3 and both.mean_bar[1] > 21.5, both.mean_bar)
@@ -382,7 +465,9 @@
 
     def test_too_few_shots_give_wide_bars_and_say_so(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            few, many = (fits.fit(self.record(folder, seconds, builds={"offered_s": 90})).workloads[1] for seconds in (2, 60))
+            few, many = (
+                fits.fit(self.record(folder, seconds, builds={"offered_s": 90})).workloads[1] for seconds in (2, 60)
+            )
             self.assertIn("few shots", few.note)
             width = [each.mean_bar[1] - each.mean_bar[0] for each in (few, many)]
             self.assertGreater(width[0], 2 * width[1])
@@ -403,7 +488,7 @@
             fitted = Path(folder) / "fit.json"
             fitted.write_bytes(fits.msgspec.json.encode(fits.fit(self.record(folder, 3))))
             known, drawn = convert(day(seconds=8)), convert(day(seconds=8, fit=str(fitted)))
-            options = runs.days([[known] * 24, fits.drawn(drawn, 24)], jobs=1)       # of six the ratio is chance: 1.0 to 2
+            options = runs.days([[known] * 24, fits.drawn(drawn, 24)], jobs=1)  # of six the ratio is chance: 1.0 to 2
             self.assertGreater(options[1].bars["p50_ms"].spread, 1.2 * options[0].bars["p50_ms"].spread)
 
     def test_a_fit_that_is_not_there_and_a_build_that_it_does_not_know(self) -> None:
@@ -421,9 +506,19 @@
 
     def day(self, service: list[float], to_a: float = 10.0, **figures: float) -> Result:
         many = len(service)
-        return Result("a day", 1, "model", {"service": sum(service) / many} | figures,
-                      {"asked": [10.0] * many, "service": service, "shots.a>a": [10.0] * many,
-                       "shots.b>a": [0.0] * 10 + [to_a] * (many - 10), "shots.b>b": [10.0] * 10 + [0.0] * (many - 10)})
+        return Result(
+            "a day",
+            1,
+            "model",
+            {"service": sum(service) / many} | figures,
+            {
+                "asked": [10.0] * many,
+                "service": service,
+                "shots.a>a": [10.0] * many,
+                "shots.b>a": [0.0] * 10 + [to_a] * (many - 10),
+                "shots.b>b": [10.0] * 10 + [0.0] * (many - 10),
+            },
+        )
 
     def test_time_until_service_is_back_what_it_cost_and_what_came_over_the_others(self) -> None:
         calm = self.day([1.0] * 40, to_a=0.0)
@@ -433,16 +528,21 @@
         self.assertEqual(found["out_s"], 7 + 6)
         self.assertAlmostEqual(found["cost"], (6 * 0.6 + 4 * 0.3 + 12 * 0.01) / 30)
         self.assertAlmostEqual(found["lowest"], 0.4)
-        self.assertAlmostEqual(found["overshoot"], 2.0)          # a gets b's ten on top of its own; b itself is lost
+        self.assertAlmostEqual(found["overshoot"], 2.0)  # a gets b's ten on top of its own; b itself is lost
         self.assertEqual(losses.figures(calm, calm, 10, {"b"})["recover_s"], 0)
 
     def test_options_are_played_with_their_script_and_without_on_the_same_days(self) -> None:
-        tree = day(seconds=12, fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"]}, clients={"rate": 60},
-                   builds={"offered_s": 90}, script="at 4s lose zone b for 4s")
+        tree = day(
+            seconds=12,
+            fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"]},
+            clients={"rate": 60},
+            builds={"offered_s": 90},
+            script="at 4s lose zone b for 4s",
+        )
         tiers = convert(tree | {"name": "tiers", "document": {"zones": {"spill_over": 0.1}}})
         first, second = losses.losses([convert(tree), tiers], 2, 1)
         self.assertEqual([len(first.hit), len(second.calm)], [2, 2])
-        self.assertGreater(first.bars["spill_peak"].mean, 0.8)   # even: two thirds are foreign
+        self.assertGreater(first.bars["spill_peak"].mean, 0.8)  # even: two thirds are foreign
         self.assertLess(second.bars["spill_peak"].mean, 0.35)
         self.assertGreater(losses.compared(first, second)["rejected"].mean, 0)
         self.assertFalse(any(day.breaches for day in second.hit + second.calm))
@@ -451,10 +551,18 @@
 
     def test_a_stated_limit_that_is_broken_is_a_broken_rule_of_the_day(self) -> None:
         """Tiers that let everything through, told to the checker as a limit of a tenth."""
-        tree = day(seconds=14, fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"]}, clients={"rate": 120},
-                   builds={"offered_s": 90}, script="at 6s lose zone b", document={"zones": {"spill_over": 0.1}})
-        with mock.patch("tealsail.choices.zones.Zones.may_spill", lambda self, zone: True), \
-                mock.patch("tealsail.choices.zones.Zones.drawn", lambda self, invocation: 1):
+        tree = day(
+            seconds=14,
+            fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"]},
+            clients={"rate": 120},
+            builds={"offered_s": 90},
+            script="at 6s lose zone b",
+            document={"zones": {"spill_over": 0.1}},
+        )
+        with (
+            mock.patch("tealsail.choices.zones.Zones.may_spill", lambda self, zone: True),
+            mock.patch("tealsail.choices.zones.Zones.drawn", lambda self, invocation: 1),
+        ):
             self.assertGreater(runs.play(convert(tree), 1)[0].breaches["spill"], 0)
 
 
@@ -464,10 +572,13 @@
             for name, more in (("a", {}), ("b", {"errors": 0.3})):
                 (Path(folder) / f"{name}.toml").write_text(
                     f'name = "{name}"\nseconds = 4\n[fleet]\nrelays = 2\nunits = 4\n[[workload]]\nname = "fetch"\n'
-                    f'[[builds]]\nnumber = 2\noffered_s = 0.5\nerrors = {more.get("errors", 0.0)}\n')
+                    f"[[builds]]\nnumber = 2\noffered_s = 0.5\nerrors = {more.get('errors', 0.0)}\n"
+                )
             a, b, out, chart = (str(Path(folder) / name) for name in ("a.toml", "b.toml", "out.json", "c.png"))
             record = str(Path(folder) / "a.record.gz")
-            self.assertEqual(main(["model", "compare", a, b, "--replicas=3", "--jobs=1", f"--json={out}", f"--chart={chart}"]), 0)
+            self.assertEqual(
+                main(["model", "compare", a, b, "--replicas=3", "--jobs=1", f"--json={out}", f"--chart={chart}"]), 0
+            )
             tree = json.loads(Path(out).read_text())
             self.assertEqual(len(tree["days"]["A"]), 3)
             self.assertEqual(Path(chart).read_bytes()[:4], b"\x89PNG")
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -1,4 +1,5 @@
 """Counts of many senders over a lossy network: what is summed was done, once, and memory does not grow."""
+
 import unittest
 
 from hypothesis import given, strategies as st
@@ -19,7 +20,7 @@
 
     def __init__(self, number: int) -> None:
         self.number, self.born, self.counts = number, 1000 * number, [0] * SIZE
-        self.done = [0] * SIZE                   # over all its starts
+        self.done = [0] * SIZE  # over all its starts
         self.notes: list[tuple[int, bytes]] = []
 
     def work(self, cell: int, many: int) -> None:
@@ -31,7 +32,7 @@
         self.notes += [(self.number, data) for data in count_notes(7, self.born, cells, SIZE)]
 
     def restart(self, later: int) -> None:
-        self.tell()                              # a killed one would only have less counted
+        self.tell()  # a killed one would only have less counted
         self.born, self.counts = (self.born + later) & 0xFFFFFFFF, [0] * SIZE
 
 
@@ -45,7 +46,9 @@
 
 
 class Sums(unittest.TestCase):
-    @given(st.lists(st.tuples(st.integers(0, 2), STEP), max_size=40), st.randoms(use_true_random=False), st.floats(0, 0.6))
+    @given(
+        st.lists(st.tuples(st.integers(0, 2), STEP), max_size=40), st.randoms(use_true_random=False), st.floats(0, 0.6)
+    )
     def test_loss_doubling_and_order_never_count_more_than_was_done(self, steps, chance, loss) -> None:
         """Notes come at most a restart late; what was lost is made good by the last one that comes through."""
         senders, pool, way = [Sender(number) for number in range(3)], Pool(SIZE), []
@@ -138,7 +141,7 @@
 
     def test_what_honest_relays_tell_at_the_most_is_under_the_limit(self) -> None:
         for cells in (30, 60, 240, 1920):
-            counts = [(cell, 1 << 20) for cell in range(cells)]          # each as two figures
+            counts = [(cell, 1 << 20) for cell in range(cells)]  # each as two figures
             self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, limits(cells).each)
 
 
@@ -149,8 +152,10 @@
         """Relays that started together tell in the same half seconds; in those between only relays whose canary had failed
         told, so a judge heard of 0.3% failures as of a third."""
         for relays, rate in ((400, 20.0), (1_000, 20.0), (10_000, 4.0)):
-            before, now = (heard(relays, rate, 0.003, thinned=False, matched=matched, seconds=8, together=True)
-                           for matched in (False, True))
+            before, now = (
+                heard(relays, rate, 0.003, thinned=False, matched=matched, seconds=8, together=True)
+                for matched in (False, True)
+            )
             self.assertEqual((before.vote, now.vote), ("back", "on"), (relays, rate))
 
     def test_a_good_build_whose_units_all_fail_a_little_stays_and_one_that_turns_bad_goes(self) -> None:
@@ -170,8 +175,8 @@
 
     def test_few_failures_are_no_normal_sample(self) -> None:
         rare = beyond([[95, 5]], [[99_000, 950]])
-        self.assertAlmostEqual(rare, 3.0, delta=0.1)             # 4.1 by the usual formula; the exact tail is 0.003
-        self.assertAlmostEqual(beyond([[900, 100]], [[980, 20]]), 7.6, delta=0.4)    # many: as the usual formula has it
+        self.assertAlmostEqual(rare, 3.0, delta=0.1)  # 4.1 by the usual formula; the exact tail is 0.003
+        self.assertAlmostEqual(beyond([[900, 100]], [[980, 20]]), 7.6, delta=0.4)  # many: as the usual formula has it
         self.assertAlmostEqual(beyond([[980, 20]], [[900, 100]]), -7.6, delta=0.4)
         self.assertEqual((beyond([[10, 0]], [[10, 0]]), beyond([[0, 0]], [[10, 3]])), (0.0, 0.0))
 
@@ -181,7 +186,7 @@
         for how in ({"lost": (0.0, 8.0)}, {"lost": (1.0, 9.0)}, {"restart": 4.0}, {"restart": 0.5}):
             for seed in range(4):
                 found = heard(50, 4.0, 0.05, seed, **how)
-                deaf = "lost" in how and found.vote_s < how["lost"][1]   # what was heard before stood alone: open
+                deaf = "lost" in how and found.vote_s < how["lost"][1]  # what was heard before stood alone: open
                 self.assertTrue(found.vote == "back" or deaf, (how, seed))
 
     def test_while_a_fleet_is_rolled_a_few_relays_of_before_send_no_good_build_back(self) -> None:
@@ -197,7 +202,9 @@
         for beat in range(12):
             fleet.work(0.5)
             for group, name in enumerate(GROUPS):
-                story.relay.trial.groups[name] = [int(each) for each in fleet.counts[7, group * ROW:(group + 1) * ROW]]
+                story.relay.trial.groups[name] = [
+                    int(each) for each in fleet.counts[7, group * ROW : (group + 1) * ROW]
+                ]
             before, judge.beat = len(story.host.of("tell")), beat
             judge.tell()
             told = [read(data)[4:] for _, data in story.host.of("tell")[before:]]
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,5 @@
 """Parsers of the network code: in any pieces, and against what is not the protocol's."""
+
 import random
 import unittest
 
@@ -7,8 +8,10 @@
 
 from .fake import OPENING, ROW, asking, failure, field
 
-INSERT = (b"INSERT INTO kv (name, content) VALUES ('7f', '\\x9f03') RETURNING content "
-          b"/* id=9b1f,c=order,t=acme,d=480,k=77,new=1 */")
+INSERT = (
+    b"INSERT INTO kv (name, content) VALUES ('7f', '\\x9f03') RETURNING content "
+    b"/* id=9b1f,c=order,t=acme,d=480,k=77,new=1 */"
+)
 
 
 def garbage(seed: int, size: int) -> bytes:
@@ -21,17 +24,18 @@
         for piece in (1, 7, len(stream)):
             splitter, seen = messages.Splitter(typed=True), []
             for first in range(0, len(stream), piece):
-                splitter.feed(stream[first:first + piece])
+                splitter.feed(stream[first : first + piece])
                 seen += [messages.from_unit(*each) for each in splitter]
-            self.assertEqual([type(each).__name__ for each in seen],
-                             ["Status", "Described", "Row", "Complete", "Trouble", "Ready"])
-            self.assertEqual((seen[0], seen[2].columns, seen[4].code),
-                             (messages.Status(b"stats", b"util=0.61"), 1, b"XX000"))
+            self.assertEqual(
+                [type(each).__name__ for each in seen], ["Status", "Described", "Row", "Complete", "Trouble", "Ready"]
+            )
+            self.assertEqual(
+                (seen[0], seen[2].columns, seen[4].code), (messages.Status(b"stats", b"util=0.61"), 1, b"XX000")
+            )
             self.assertEqual(messages.whole(messages.Value(*seen[1:4])), ROW + field(b"Z", b"I"))
 
     def test_the_first_message(self) -> None:
-        self.assertEqual(messages.opening(OPENING[4:]),
-                         messages.Startup({b"user": b"backend", b"database": b"store"}))
+        self.assertEqual(messages.opening(OPENING[4:]), messages.Startup({b"user": b"backend", b"database": b"store"}))
         self.assertEqual(messages.opening(bytes.fromhex("04d2162f")), messages.Encryption())
         for body in (b"", b"\0\2\0\0", b"\0\3\0\0user\0", b"\0\3\0\0user\0me\0"):
             self.assertRaises(messages.Unreadable, messages.opening, body)
@@ -56,8 +60,9 @@
 class Statements(unittest.TestCase):
     def test_all_but_the_time_to_wait_passes_on_as_it_came(self) -> None:
         statement = statements.read(INSERT)
-        self.assertEqual((statement.workload, statement.customer, statement.key, statement.wait),
-                         ("order", "acme", "7f", 480))
+        self.assertEqual(
+            (statement.workload, statement.customer, statement.key, statement.wait), ("order", "acme", "7f", 480)
+        )
         self.assertEqual(statements.onward(statement, 73), INSERT.replace(b"d=480", b"d=73"))
 
     def test_quotes_a_mark_for_repeats_and_a_comment_inside_a_value(self) -> None:
@@ -68,13 +73,27 @@
 
     def test_what_can_not_be_read_says_so(self) -> None:
         good = asking()[5:-1]
-        for text in (b"", b"SELECT 1", b"DROP TABLE kv /* id=1,c=a,d=4 */", good + b"x", good[:-2],
-                     good.replace(b"id=", b"ib="), good.replace(b"d=480", b"d=x"), good.replace(b"c=", b"q="),
-                     good.replace(b"d=480", b"d=nan"), good.replace(b"d=480", b"d=-1"),
-                     good.replace(b"c=basket", b"c=\xff"),
-                     good.replace(b"d=480", b"d=4_80"), good.replace(b"d=480", b"d=1e2"), good.replace(b"d=", b"d=1,d="),
-                     good.replace(b"id=9b1f", b"id="), good.replace(b"id=9b1f", b"id=" + b"9" * 65),
-                     INSERT.replace(b"'\\x", b"'\\y"), good.replace(b",t=acme", b",t"), garbage(5, 200)):
+        for text in (
+            b"",
+            b"SELECT 1",
+            b"DROP TABLE kv /* id=1,c=a,d=4 */",
+            good + b"x",
+            good[:-2],
+            good.replace(b"id=", b"ib="),
+            good.replace(b"d=480", b"d=x"),
+            good.replace(b"c=", b"q="),
+            good.replace(b"d=480", b"d=nan"),
+            good.replace(b"d=480", b"d=-1"),
+            good.replace(b"c=basket", b"c=\xff"),
+            good.replace(b"d=480", b"d=4_80"),
+            good.replace(b"d=480", b"d=1e2"),
+            good.replace(b"d=", b"d=1,d="),
+            good.replace(b"id=9b1f", b"id="),
+            good.replace(b"id=9b1f", b"id=" + b"9" * 65),
+            INSERT.replace(b"'\\x", b"'\\y"),
+            good.replace(b",t=acme", b",t"),
+            garbage(5, 200),
+        ):
             self.assertRaises(statements.Unclear, statements.read, text)
 
 
@@ -84,32 +103,59 @@
     def replies(self, stream: bytes, piece: int) -> list:
         replies, seen = discovery.Replies(), []
         for first in range(0, len(stream), piece):
-            seen += replies.feed(stream[first:first + piece])
+            seen += replies.feed(stream[first : first + piece])
         return seen + replies.ended()
 
     def test_lengths_and_chunks_in_any_pieces(self) -> None:
-        stream = (self.HEAD + b"content-length: 2\r\n\r\n{}" + b"HTTP/1.1 100 Continue\r\n\r\n"
-                  + self.HEAD + b"Transfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\nA\r\n0123456789\r\n"
-                  + b"0\r\nTrailer: yes\r\n\r\n" + b"HTTP/1.1 204 No\r\n\r\n"
-                  + b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nConnection: close\r\n\r\nlater")
+        stream = (
+            self.HEAD
+            + b"content-length: 2\r\n\r\n{}"
+            + b"HTTP/1.1 100 Continue\r\n\r\n"
+            + self.HEAD
+            + b"Transfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\nA\r\n0123456789\r\n"
+            + b"0\r\nTrailer: yes\r\n\r\n"
+            + b"HTTP/1.1 204 No\r\n\r\n"
+            + b"HTTP/1.1 503 Busy\r\nRetry-After: 7\r\nConnection: close\r\n\r\nlater"
+        )
         for piece in (1, 3, len(stream)):
-            self.assertEqual([tuple(each) for each in self.replies(stream, piece)],
-                             [(200, b"{}", False, 0), (200, b"abc0123456789", False, 0), (204, b"", False, 0),
-                              (503, b"later", True, 7)])
+            self.assertEqual(
+                [tuple(each) for each in self.replies(stream, piece)],
+                [
+                    (200, b"{}", False, 0),
+                    (200, b"abc0123456789", False, 0),
+                    (204, b"", False, 0),
+                    (503, b"later", True, 7),
+                ],
+            )
 
     def test_what_is_not_http_is_unreadable(self) -> None:
         chunked = self.HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-        for stream in (b"SSH-2.0-x\r\n\r\n", b"HTTP/1.1 2x0 OK\r\n\r\n", self.HEAD + b"nonsense\r\n\r\n",
-                       self.HEAD + b"Content-Length: -1\r\n\r\n", self.HEAD + b"Content-Length: 99999999\r\n\r\n",
-                       chunked + b"zz\r\n", chunked + b"1\r\nabc\r\n", chunked + b"fffffff\r\n", b"H" * 20000):
+        for stream in (
+            b"SSH-2.0-x\r\n\r\n",
+            b"HTTP/1.1 2x0 OK\r\n\r\n",
+            self.HEAD + b"nonsense\r\n\r\n",
+            self.HEAD + b"Content-Length: -1\r\n\r\n",
+            self.HEAD + b"Content-Length: 99999999\r\n\r\n",
+            chunked + b"zz\r\n",
+            chunked + b"1\r\nabc\r\n",
+            chunked + b"fffffff\r\n",
+            b"H" * 20000,
+        ):
             self.assertRaises(discovery.Unreadable, self.replies, stream, 5)
 
     def test_lists_that_can_not_be_read(self) -> None:
         good = {"generation": 1, "reset": True, "instances": [{"instanceId": "a", "hostPort": "10.0.0.1:5"}]}
         self.assertEqual(discovery.read_news(good).entries[0].weight, 1.0)
-        for wrong in (None, [], {}, {"generation": 1}, {"generation": "x", "instances": []},
-                      {"generation": 1, "instances": [7]}, {"generation": 1, "instances": [{}]},
-                      {"generation": 1, "instances": [{"instanceId": "a", "hostPort": "nowhere"}]}):
+        for wrong in (
+            None,
+            [],
+            {},
+            {"generation": 1},
+            {"generation": "x", "instances": []},
+            {"generation": 1, "instances": [7]},
+            {"generation": 1, "instances": [{}]},
+            {"generation": 1, "instances": [{"instanceId": "a", "hostPort": "nowhere"}]},
+        ):
             self.assertRaises(discovery.Unreadable, discovery.read_news, wrong)
 
 
@@ -118,29 +164,54 @@
 
     def test_answers_news_and_signs_of_life(self) -> None:
         state = platform.State(42, 1, "on trial", 0.28, 310)
-        for line, read in ((b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}",
-                            platform.Answer(11, state, "")),
-                           (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.Answer(10, None, "")),
-                           (b'{"id":9,"error":{"code":-32602,"message":"BUSY"}}', platform.Answer(9, None, "BUSY")),
-                           (b'{"method":"stage","params":' + self.STATE + b"}", platform.Told(state)),
-                           (b'{"method":"ping"}', platform.Told(None))):
+        for line, read in (
+            (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.Answer(11, state, "")),
+            (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.Answer(10, None, "")),
+            (b'{"id":9,"error":{"code":-32602,"message":"BUSY"}}', platform.Answer(9, None, "BUSY")),
+            (b'{"method":"stage","params":' + self.STATE + b"}", platform.Told(state)),
+            (b'{"method":"ping"}', platform.Told(None)),
+        ):
             self.assertEqual(platform.read(line), read)
 
     def test_what_can_not_be_read(self) -> None:
-        for line in (b"{", b"[]", b"7", b'{"id":"x"}', b'{"method":"stage","params":{"State":"new"}}',
-                     b'{"id":1,"result":{"Revision":null}}', garbage(3, 80)):
+        for line in (
+            b"{",
+            b"[]",
+            b"7",
+            b'{"id":"x"}',
+            b'{"method":"stage","params":{"State":"new"}}',
+            b'{"id":1,"result":{"Revision":null}}',
+            garbage(3, 80),
+        ):
             self.assertRaises(platform.Unreadable, platform.read, line)
 
 
 class Settings(unittest.TestCase):
     def test_nested_json_and_the_wires_paths_give_the_same_map(self) -> None:
-        tree = {"fleetSize": 3, "domain": {"mostShares": [0.1, 1.0], "oneWay": False, "span": 2000.0},
-                "requestClasses": [{"name": "a", "aim": 1200.0, "effect": "non_idempotent"}], "tenants": [],
-                "feedback": {"fields": ["util"]}, "dcs": ["x"], "limits": {"dialTimeout": 250.0}, "unknown": 7}
-        pairs = {"fleetSize": "3", "domain.mostShares": "0.1,1.0", "domain.oneWay": "false",
-                 "domain.span": "2000.0", "requestClasses.count": "1", "requestClasses.0.name": "a",
-                 "requestClasses.0.aim": "1200.0", "requestClasses.0.effect": "non_idempotent",
-                 "tenants.count": "0", "feedback.fields": "util", "dcs": "x", "limits.dialTimeout": "250.0"}
+        tree = {
+            "fleetSize": 3,
+            "domain": {"mostShares": [0.1, 1.0], "oneWay": False, "span": 2000.0},
+            "requestClasses": [{"name": "a", "aim": 1200.0, "effect": "non_idempotent"}],
+            "tenants": [],
+            "feedback": {"fields": ["util"]},
+            "dcs": ["x"],
+            "limits": {"dialTimeout": 250.0},
+            "unknown": 7,
+        }
+        pairs = {
+            "fleetSize": "3",
+            "domain.mostShares": "0.1,1.0",
+            "domain.oneWay": "false",
+            "domain.span": "2000.0",
+            "requestClasses.count": "1",
+            "requestClasses.0.name": "a",
+            "requestClasses.0.aim": "1200.0",
+            "requestClasses.0.effect": "non_idempotent",
+            "tenants.count": "0",
+            "feedback.fields": "util",
+            "dcs": "x",
+            "limits.dialTimeout": "250.0",
+        }
         nested = settings.facts(settings.nested(tree))
         self.assertEqual(nested.pop("customers", []), [])
         self.assertEqual(nested, settings.facts(settings.flat(pairs)))
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,5 @@
 """Fleets that ask for the same at the same time: how far their questions part, and whether they are answered."""
+
 import heapq
 import unittest
 from collections import Counter
@@ -29,20 +30,27 @@
 class Fleets(unittest.TestCase):
     def test_a_fleet_that_starts_together_is_answered_relay_by_relay(self) -> None:
         """What 40 relays did before: all at once, and all again after 0.1, 0.2 .. 2 s, in the same moments."""
-        asked, answered = play([0.0] * RELAYS, [Pauses(SimpleNamespace(share=lambda: 0.5))
-                                                for _ in range(RELAYS)], whole=True)
+        asked, answered = play(
+            [0.0] * RELAYS, [Pauses(SimpleNamespace(share=lambda: 0.5)) for _ in range(RELAYS)], whole=True
+        )
         self.assertLess(answered, RELAYS // 2)
-        self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)     # ten seconds on: still in step
+        self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)  # ten seconds on: still in step
         for seed in range(10):
             chances = [Chance(100 * seed + number) for number in range(RELAYS)]
-            asked, answered = play([first_question(each, RELAYS, WITHIN, True, True) for each in chances],
-                                   [by_fleet(each, RELAYS, WITHIN) for each in chances], whole=False)
+            asked, answered = play(
+                [first_question(each, RELAYS, WITHIN, True, True) for each in chances],
+                [by_fleet(each, RELAYS, WITHIN) for each in chances],
+                whole=False,
+            )
             self.assertGreater(answered, 0.8 * RELAYS)
             self.assertLessEqual(max(asked.values()), 6)
 
     def test_connections_that_ended_together_are_not_made_anew_together(self) -> None:
-        tries = Counter(int(10 * at) for pauses in [Pauses(Chance(number)) for number in range(RELAYS)]
-                        for at in accumulate(pauses.next() for _ in range(20)))
+        tries = Counter(
+            int(10 * at)
+            for pauses in [Pauses(Chance(number)) for number in range(RELAYS)]
+            for at in accumulate(pauses.next() for _ in range(20))
+        )
         self.assertLessEqual(max(tries[at] for at in range(20, 200)), RELAYS // 4)
 
     def test_a_relay_asks_often_enough_to_count_as_asking_whatever_it_is_told_to_wait(self) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,5 @@
 """Several real relay processes with faults between them: what must hold whatever the machine's speed."""
+
 import json
 import shutil
 import subprocess
@@ -19,23 +20,31 @@
 
 HOME = Path(__file__).parent.parent
 FLEET = {"relays": 8, "units": 10, "zones": ["a", "b"], "start_ms": [300, 800]}
-AT_LEAST = 0.6                                   # of service: a wide margin, whatever else the machine does
+AT_LEAST = 0.6  # of service: a wide margin, whatever else the machine does
 
 
 class Processes(unittest.TestCase):
     """Eight relays; each story is one kind of fault, and asks for what holds on a busy machine too."""
 
     def play(self, script: str, **more: Any) -> tuple[Result, list[Line]]:
-        tree = {"fleet": FLEET, "clients": {"rate": 120}, "seconds": 7, "builds": {"offered_s": 900}, "script": script} | more
+        tree = {
+            "fleet": FLEET,
+            "clients": {"rate": 120},
+            "seconds": 7,
+            "builds": {"offered_s": 900},
+            "script": script,
+        } | more
         scenario = convert(day(**tree))
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.record.gz"
             result, breaches = trials.play(scenario, 5, path, Path(folder) / "logs", on_time=False)
             lines = list(files.read(path))
-        self.assertEqual([each.text for each in breaches], [])   # the rules, and no relay crashed or lost what it had
+        self.assertEqual([each.text for each in breaches], [])  # the rules, and no relay crashed or lost what it had
         self.assertEqual(result.breaches, {})
         answers = [(line.relay, line.number) for line in lines if isinstance(line, End)]
-        self.assertEqual(sorted(answers), sorted({(line.relay, line.number) for line in lines if isinstance(line, Take)}))
+        self.assertEqual(
+            sorted(answers), sorted({(line.relay, line.number) for line in lines if isinstance(line, Take)})
+        )
         self.assertEqual(sum(isinstance(line, Fault) for line in lines), len(script.strip().splitlines()))
         self.assertGreater(result.figures["service"], AT_LEAST)
         return result, lines
@@ -47,52 +56,78 @@
         result, lines = self.play("at 1.5s pause the keeper for 3s\nfrom 4s for 2s hold 2 relays to 30%")
         first = result.owners[0].split()[1]
         stopped, back = self.lives(lines, "stopped")[0], self.lives(lines, "on")[0]
-        self.assertEqual(first, f"keeper={stopped[1]}")          # who was paused is whom the relays named
+        self.assertEqual(first, f"keeper={stopped[1]}")  # who was paused is whom the relays named
         self.assertEqual(back[1], stopped[1])
         self.assertGreater(back[0] - stopped[0], 2 * SECOND)
-        self.assertFalse([line for line in lines if isinstance(line, Log) and line.relay == stopped[1]
-                          and stopped[0] + SECOND // 10 < line.at < back[0]])        # nothing of it ran
+        self.assertFalse(
+            [
+                line
+                for line in lines
+                if isinstance(line, Log) and line.relay == stopped[1] and stopped[0] + SECOND // 10 < line.at < back[0]
+            ]
+        )  # nothing of it ran
         followed = [line.text.split()[1] for line in lines if isinstance(line, Log) and stopped[0] < line.at < back[0]]
-        self.assertGreater(sum(each != first for each in followed), 3)               # the others found another
-        self.assertGreater(len(self.lives(lines, "stopped")), 20)                    # turns of those held
+        self.assertGreater(sum(each != first for each in followed), 3)  # the others found another
+        self.assertGreater(len(self.lives(lines, "stopped")), 20)  # turns of those held
 
     def test_relays_are_killed_by_role_and_by_zone_and_a_quarter_restarts_in_order(self) -> None:
-        result, lines = self.play("at 1s kill the keeper for 500ms\nat 3s kill all relays of zone b for 500ms\nat 6s restart 25% of relays",
-                                  seconds=8)
+        result, lines = self.play(
+            "at 1s kill the keeper for 500ms\nat 3s kill all relays of zone b for 500ms\nat 6s restart 25% of relays",
+            seconds=8,
+        )
         downs = self.lives(lines, "down")
         keeper = downs[0][1]
         self.assertEqual(f"keeper={keeper}", result.owners[0].split()[1])
         killed = {relay for at, relay in downs if 2.9 * SECOND < at < 5.9 * SECOND}
-        self.assertEqual(killed | {keeper}, {1, 3, 5, 7, keeper})    # it may not have been up again
+        self.assertEqual(killed | {keeper}, {1, 3, 5, 7, keeper})  # it may not have been up again
         self.assertIn(len({relay for at, relay in downs if at > 5.9 * SECOND}), (1, 2))
-        for relay in range(8):                   # by turns, whatever was killed while it came up
+        for relay in range(8):  # by turns, whatever was killed while it came up
             told = [line.event for line in lines if isinstance(line, Life) and line.relay == relay]
-            self.assertEqual(told, (["up", "down"] * len(told))[:len(told)])
+            self.assertEqual(told, (["up", "down"] * len(told))[: len(told)])
 
     def test_relays_are_cut_from_each_other_one_way_and_both_from_the_list_and_from_the_platform(self) -> None:
-        _, lines = self.play("from 1s for 5s cut 2 relays from the list\nfrom 1s for 3s cut all relays of zone b from the others one way\n"
-                             "from 2s for 3s cut 3 relays from the platform\nfrom 4s for 1s cut neighbours\nat 2s kill 2 units",
-                             fleet=FLEET | {"notice_ms": 200.0})
-        told = {relay: [line.at for line in lines if isinstance(line, Told) and line.relay == relay and line.at and line.state == "gone"]
-                for relay in range(8)}
+        _, lines = self.play(
+            "from 1s for 5s cut 2 relays from the list\nfrom 1s for 3s cut all relays of zone b from the others one way\n"
+            "from 2s for 3s cut 3 relays from the platform\nfrom 4s for 1s cut neighbours\nat 2s kill 2 units",
+            fleet=FLEET | {"notice_ms": 200.0},
+        )
+        told = {
+            relay: [
+                line.at
+                for line in lines
+                if isinstance(line, Told) and line.relay == relay and line.at and line.state == "gone"
+            ]
+            for relay in range(8)
+        }
         late = [relay for relay, times in told.items() if times and min(times) > 6 * SECOND]
-        self.assertEqual(len(late), 2)           # those that were cut from the list learn it when that ends
+        self.assertEqual(len(late), 2)  # those that were cut from the list learn it when that ends
         self.assertTrue(all(times for times in told.values()))
 
     def test_notes_are_lost_late_doubled_reordered_and_replayed(self) -> None:
-        result, lines = self.play("from 1s for 4s notes lost 30%\nfrom 1s for 4s notes late 50ms 50%\nfrom 1s for 4s notes doubled\n"
-                                  "from 2s for 4s notes reordered 300ms\nfrom 2s for 4s notes replayed after 2s 50%")
+        result, lines = self.play(
+            "from 1s for 4s notes lost 30%\nfrom 1s for 4s notes late 50ms 50%\nfrom 1s for 4s notes doubled\n"
+            "from 2s for 4s notes reordered 300ms\nfrom 2s for 4s notes replayed after 2s 50%"
+        )
         self.assertGreater(sum(isinstance(line, Ran) for line in lines), 500)
 
     def test_clocks_step_by_an_hour_and_run_a_fifth_fast(self) -> None:
-        _, lines = self.play("at 1s step clocks of 2 relays by -3600s\nat 2s step clocks of relay 3 by +3600s\n"
-                             "from 1s for 4s run clocks of relay 5 x 1.2")
-        by = [line.relay for line in lines if isinstance(line, End) and line.answer == "served" and line.at > 3 * SECOND]
+        _, lines = self.play(
+            "at 1s step clocks of 2 relays by -3600s\nat 2s step clocks of relay 3 by +3600s\n"
+            "from 1s for 4s run clocks of relay 5 x 1.2"
+        )
+        by = [
+            line.relay for line in lines if isinstance(line, End) and line.answer == "served" and line.at > 3 * SECOND
+        ]
         self.assertEqual(set(by), set(range(8)))
 
     def test_lists_of_different_age_while_a_build_is_brought_in_by_relays_that_start_at_once(self) -> None:
-        result, lines = self.play("from 0.6s for 3s list stale at 50% of relays\nat 5s kill all relays for 0.5s", seconds=9,
-                                  builds={"offered_s": 0.5}, platform={"bake_ms": 400}, clients={"rate": 120, "repeats": 2})
+        result, lines = self.play(
+            "from 0.6s for 3s list stale at 50% of relays\nat 5s kill all relays for 0.5s",
+            seconds=9,
+            builds={"offered_s": 0.5},
+            platform={"bake_ms": 400},
+            clients={"rate": 120, "repeats": 2},
+        )
         first: dict[int, int] = {}
         for line in lines:
             if isinstance(line, Told) and line.build == 2:
@@ -104,19 +139,28 @@
         with tempfile.TemporaryDirectory() as folder:
             other = Path(folder) / "tealsail"
             shutil.copytree(HOME / "tealsail", other, ignore=shutil.ignore_patterns("__pycache__"))
-            path = other / "net" / "relay.py"    # as a landing before: it does not say who acts
+            path = other / "net" / "relay.py"  # as a landing before: it does not say who acts
             path.write_text(path.read_text().replace('logger.info("duties', 'logger.debug("duties'))
-            _, lines = self.play("at 2s switch 25% of relays\nat 5s switch all relays of zone b", seconds=8,
-                                 trial={"beside": folder, "beside_part": 0.5})
+            _, lines = self.play(
+                "at 2s switch 25% of relays\nat 5s switch all relays of zone b",
+                seconds=8,
+                trial={"beside": folder, "beside_part": 0.5},
+            )
         spoke = {line.relay for line in lines if isinstance(line, Log) and line.at < 2 * SECOND}
-        self.assertEqual(spoke, {4, 5, 6, 7})    # the first half is of the other checkout
-        self.assertGreater(len({line.relay for line in lines if isinstance(line, Log) and line.at > 2 * SECOND} - spoke), 0)
+        self.assertEqual(spoke, {4, 5, 6, 7})  # the first half is of the other checkout
+        self.assertGreater(
+            len({line.relay for line in lines if isinstance(line, Log) and line.at > 2 * SECOND} - spoke), 0
+        )
         self.assertEqual({relay for at, relay in self.lives(lines, "down") if at > 5 * SECOND}, {1, 3, 5, 7})
 
     def test_parts_in_processes_of_their_own(self) -> None:
         """As with hundreds of relays: units, clients and notes each apart, one clock, records merged."""
-        result, lines = self.play("at 2s pause the keeper for 1s\nfrom 1s for 1s silence 2 units\nat 3s kill 3 units for 1s",
-                                  fleet=FLEET | {"relays": 26, "units": 12}, clients={"rate": 80}, seconds=5)
+        result, lines = self.play(
+            "at 2s pause the keeper for 1s\nfrom 1s for 1s silence 2 units\nat 3s kill 3 units for 1s",
+            fleet=FLEET | {"relays": 26, "units": 12},
+            clients={"rate": 80},
+            seconds=5,
+        )
         self.assertGreater(result.figures["stand_ins_cpu"], 0)
         self.assertEqual(lines, sorted(lines, key=lambda line: line.at))
         self.assertGreater(result.figures["relay_mb.mean"], 5)
@@ -124,14 +168,23 @@
     def test_a_trial_that_is_ended_early_leaves_no_relay_behind(self) -> None:
         """300 relays of a trial that was ended went on without it."""
         with tempfile.TemporaryDirectory() as folder:
-            told = {"scenario": convert(day(fleet=FLEET, seconds=60)).plain(), "seed": 5, "folder": folder, "record": ""}
-            director = subprocess.Popen([sys.executable, "-B", "-m", "tealsail.lab.loopback.theatre"], stdin=subprocess.PIPE,
-                                        stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+            told = {
+                "scenario": convert(day(fleet=FLEET, seconds=60)).plain(),
+                "seed": 5,
+                "folder": folder,
+                "record": "",
+            }
+            director = subprocess.Popen(
+                [sys.executable, "-B", "-m", "tealsail.lab.loopback.theatre"],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+            )
             director.stdin.write(json.dumps(told).encode())
             director.stdin.close()
             deadline = time.monotonic() + 60
             while len(self.processes(folder)) < 8 and time.monotonic() < deadline:
-                time.sleep(0.05)                 # until real processes are there; nothing is judged by this time
+                time.sleep(0.05)  # until real processes are there; nothing is judged by this time
             running = self.processes(folder)
             director.terminate()
             director.wait(60)
@@ -144,7 +197,7 @@
             try:
                 if f"EDGE_CONFIG={folder}/".encode() in environment.read_bytes():
                     found.append(environment.parent.name)
-            except OSError:                      # it has just ended
+            except OSError:  # it has just ended
                 continue
         return found
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,5 @@
 """Records: one format, read as a stream, whatever happened to the file."""
+
 import gzip
 import tempfile
 import tracemalloc
@@ -17,8 +18,10 @@
 ANY = st.one_of(
     st.builds(Take, TIMES, TIMES, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
     st.builds(Shot, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
-    st.builds(Came, TIMES, TIMES, TIMES, TIMES, WORDS), st.builds(End, TIMES, TIMES, TIMES, WORDS),
-    st.builds(Vote, TIMES, TIMES, TIMES, TIMES, WORDS, WORDS))
+    st.builds(Came, TIMES, TIMES, TIMES, TIMES, WORDS),
+    st.builds(End, TIMES, TIMES, TIMES, WORDS),
+    st.builds(Vote, TIMES, TIMES, TIMES, TIMES, WORDS, WORDS),
+)
 
 
 class Records(unittest.TestCase):
@@ -118,9 +121,11 @@
         return found, [line for line in files.read(self.folder / "trace.record") if isinstance(line, Take)]
 
     def test_csv_with_gaps_steps_back_and_spoilt_lines(self) -> None:
-        found, takes = self.imported("at_ms,workload,customer,key\n1000,fetch,acme,k1\n1010.5,fetch,,k2\n"
-                                     "what,fetch,acme,k\n61010.5,submit,umbra,k3\n61000,fetch,acme,k4\n61003,fetch,acme,k5\n"
-                                     "nan,fetch,a,b\n,,,\n")
+        found, takes = self.imported(
+            "at_ms,workload,customer,key\n1000,fetch,acme,k1\n1010.5,fetch,,k2\n"
+            "what,fetch,acme,k\n61010.5,submit,umbra,k3\n61000,fetch,acme,k4\n61003,fetch,acme,k5\n"
+            "nan,fetch,a,b\n,,,\n"
+        )
         self.assertEqual([take.intended for take in takes], [0, 105, 600_105, 600_105, 600_135])
         self.assertEqual((found.lines, found.skipped, found.steps_back, found.longest_gap), (5, 3, 1, 600_000))
         self.assertIn("line 4", found.first_problem)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,5 @@
 """The operator's document, and the record that a relay writes of itself without being in its own way."""
+
 import subprocess
 import sys
 import tempfile
@@ -22,10 +23,12 @@
 class Documents(unittest.TestCase):
     def test_absent_wrong_and_as_a_map(self) -> None:
         self.assertEqual(document.read("/nowhere/tealsail.toml"), document.Document())
-        for tree, why in (({"recording": {}}, r"recording: .*missing required field `file`"),
-                          ({"recording": {"file": "a", "most_mb": 0}}, r"recording\.most_mb: expected `int` >= 1"),
-                          ({"recording": {"file": "a", "keys": "some"}}, r"recording\.keys: invalid enum"),
-                          ({"what": 1}, "unknown field `what`")):
+        for tree, why in (
+            ({"recording": {}}, r"recording: .*missing required field `file`"),
+            ({"recording": {"file": "a", "most_mb": 0}}, r"recording\.most_mb: expected `int` >= 1"),
+            ({"recording": {"file": "a", "keys": "some"}}, r"recording\.keys: invalid enum"),
+            ({"what": 1}, "unknown field `what`"),
+        ):
             with self.assertRaisesRegex(document.BadDocument, why) as caught:
                 document.convert(tree, "t.toml")
             self.assertNotIn("\n", str(caught.exception))
@@ -40,9 +43,17 @@
 
     def test_a_relay_without_a_document_brings_in_nothing_of_it(self) -> None:
         said = subprocess.run(
-            [sys.executable, "-B", "-c", "import sys, tealsail.command.serve, tealsail.command.main; print([name for name in "
-             "('msgspec', 'numpy', 'lark', 'tealsail.record', 'tealsail.world', 'tealsail.lab') if name in sys.modules])"],
-            capture_output=True, text=True, timeout=60)
+            [
+                sys.executable,
+                "-B",
+                "-c",
+                "import sys, tealsail.command.serve, tealsail.command.main; print([name for name in "
+                "('msgspec', 'numpy', 'lark', 'tealsail.record', 'tealsail.world', 'tealsail.lab') if name in sys.modules])",
+            ],
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         self.assertEqual(said.stdout.strip(), "[]", said.stderr)
 
 
@@ -84,7 +95,7 @@
         self.assertEqual(client.sent(), ROW + IDLE)
         client.gets(asking(workload="order", more=",r=1"))
         wire.sent()
-        wire.gets(IDLE)                          # the empty query's answer is owed first
+        wire.gets(IDLE)  # the empty query's answer is owed first
         self.reactor.advance(0.6)
         wire.settle()
         relay.record.close()
@@ -124,6 +135,7 @@
 
         class Still(files.Writer):
             """On a disk that stands still."""
+
             lines = 0
 
             def __init__(self) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,5 @@
 """The whole relay on a network in memory, its start, and one real process on loopback."""
+
 import json
 import os
 import signal
@@ -17,19 +18,38 @@
 
 
 def config(**more: object) -> dict:
-    return {"name": "n0", "listen": f"127.0.0.1:{CLIENTS}", "discovery": f"127.0.0.1:{LIST}", "seed": "8c1f",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "peer_listen": "127.0.0.1:7946",
-            "peers": ["127.0.0.1:7946", "127.0.0.2:7946"], "peers_all": "127.0.0.9:7946",
-            "rollouts": {"address": f"127.0.0.1:{DESK}", "news": state()},
-            "known": listing(41, True, unit(UNIT)),
-            "settings": {"fleetSize": 2, "index": 0, "tenants": [{"name": "acme", "share": 1}],
-                         "requestClasses": [
-                             {"name": "basket", "effect": "read_like", "aim": 500, "deadline": 3000, "gain": 1},
-                             {"name": "order", "effect": "non_idempotent", "aim": 500, "deadline": 3000}],
-                         "domain": {"mostShares": [0.5, 1.0], "waves": [0.5, 1.0], "span": 2000, "free": 1,
-                                    "apiTimeout": 1200, "ballotTtl": 6000, "toAdvance": 1, "noesNeeded": 1},
-                         "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True, "dialTimeout": 250,
-                                    "connIdle": 30000}}} | more
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{CLIENTS}",
+        "discovery": f"127.0.0.1:{LIST}",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "peer_listen": "127.0.0.1:7946",
+        "peers": ["127.0.0.1:7946", "127.0.0.2:7946"],
+        "peers_all": "127.0.0.9:7946",
+        "rollouts": {"address": f"127.0.0.1:{DESK}", "news": state()},
+        "known": listing(41, True, unit(UNIT)),
+        "settings": {
+            "fleetSize": 2,
+            "index": 0,
+            "tenants": [{"name": "acme", "share": 1}],
+            "requestClasses": [
+                {"name": "basket", "effect": "read_like", "aim": 500, "deadline": 3000, "gain": 1},
+                {"name": "order", "effect": "non_idempotent", "aim": 500, "deadline": 3000},
+            ],
+            "domain": {
+                "mostShares": [0.5, 1.0],
+                "waves": [0.5, 1.0],
+                "span": 2000,
+                "free": 1,
+                "apiTimeout": 1200,
+                "ballotTtl": 6000,
+                "toAdvance": 1,
+                "noesNeeded": 1,
+            },
+            "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True, "dialTimeout": 250, "connIdle": 30000},
+        },
+    } | more
 
 
 def state(build: int = 41, wave: int = 0, stands: str = "stable", cap: float = 1.0) -> dict:
@@ -137,7 +157,7 @@
         first.gets(ROW + IDLE)
         wire.gets(reply(listing(43, False, unit(7002, "s-2", "gone"), unit(7003, "s-3"))))
         self.assertIn(b"?after=43&", wire.sent())
-        self.assertTrue(first.settle())          # idle connections to what has left the list end
+        self.assertTrue(first.settle())  # idle connections to what has left the list end
         self.client(asking())
         self.unit(7003)
 
@@ -164,7 +184,7 @@
         self.wait(22.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())   # what was known is not asked for again
+        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())  # what was known is not asked for again
         self.client(asking())
         self.unit()
 
@@ -180,7 +200,9 @@
 
     def test_where_lists_are_asked_for_the_first_question_is_for_what_is_new_and_not_at_once(self) -> None:
         self.reactor = Reactor()
-        Relay(self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))).start()
+        Relay(
+            self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))
+        ).start()
         self.assertFalse(self.reactor.dialled(LIST))
         self.wait(4.1)
         self.assertIn(b"?after=41&", self.reactor.up(LIST).sent())
@@ -205,7 +227,7 @@
             vote = json.loads(wire.sent())
             self.assertEqual(vote["params"], {"Revision": 42, "Wave": 0, "Decision": "go"})
             self.news(wire, build=42, stands="canary")
-            wire.gets(b'{"id":1,"error":{"message":"FAILED"}}\n')        # late, of another call
+            wire.gets(b'{"id":1,"error":{"message":"FAILED"}}\n')  # late, of another call
             said = {"id": vote["id"], "error": {"code": -32602, "message": error}}
             wire.gets(json.dumps(said).encode() + b"\n")
             self.assertEqual(heard.pop(), answer)
@@ -245,14 +267,14 @@
         old = self.discovery(listing(42, True, unit(UNIT)))
         old.sent()
         self.relay.assign(told(config(discovery="127.0.0.1:8600")))
-        self.relay.assign(told(config(discovery="127.0.0.1:8700")))          # two in a row: the last counts
+        self.relay.assign(told(config(discovery="127.0.0.1:8700")))  # two in a row: the last counts
         old.gets(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
         passed = self.reactor.up(8600)
         self.assertTrue(passed.settle())
         new = self.reactor.up(8700)
         self.assertTrue(old.settle())
-        self.assertIn(b"GET /catalog/members HTTP", new.sent())      # the whole list, from another agent
+        self.assertIn(b"GET /catalog/members HTTP", new.sent())  # the whole list, from another agent
         new.gets(reply(listing(7, True, unit(7003, "s-3"))))
         self.assertIn(b"?after=7&", new.sent())
         self.assertEqual([pool.address for pool in self.relay.units.pools.values()], ["127.0.0.9:7003"])
@@ -263,7 +285,7 @@
         old = self.discovery(listing(42, True, unit(UNIT)))
         self.relay.assign(told(config(discovery="127.0.0.1:8600")))
         old.drop()
-        self.reactor.refuse(8600)                # not there yet
+        self.reactor.refuse(8600)  # not there yet
         self.wait(0.3)
         self.assertEqual(self.reactor.dialled(LIST), [])
         self.assertIn(b"GET /catalog/members HTTP", self.reactor.up(8600).sent())
@@ -277,7 +299,7 @@
         new = self.reactor.up(6500)
         self.assertEqual(json.loads(new.sent())["method"], "subscribe")
         self.news(new, build=42, stands="canary", cap=0.28)
-        self.news(old, build=40)                 # what counts comes over the new one
+        self.news(old, build=40)  # what counts comes over the new one
         self.assertEqual((self.relay.facade.relay.build, old.closing), (42, False))
         old.gets(json.dumps({"id": number, "result": state(42, 0, "canary", 0.28)}).encode() + b"\n")
         self.assertEqual((heard, old.settle(), new.closing), (["ok"], True, False))
@@ -297,7 +319,7 @@
         self.assertEqual(self.relay.facade.relay.judge.heard, {})
         self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(list(self.relay.facade.relay.judge.heard), [1])
-        for _ in range(1000):                    # a relay gone mad
+        for _ in range(1000):  # a relay gone mad
             self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 900)
         self.assertEqual(self.relay.counters.counts["peers.dropped"], 2)
@@ -313,25 +335,33 @@
         self.assertEqual(second.sent(), b"")
 
     def test_spoilt_words_of_discovery_and_the_platform_change_nothing_and_are_asked_for_anew(self) -> None:
-        for spoilt in (unit(7002, "s-2") | {"lifecycle": "r#ady"}, unit(7002, "s-2") | {"weight": float("nan")},
-                       unit(7002, "s-2") | {"build": 1e999}, unit(7002, "s-2") | {"startedAtMs": -5}):
+        for spoilt in (
+            unit(7002, "s-2") | {"lifecycle": "r#ady"},
+            unit(7002, "s-2") | {"weight": float("nan")},
+            unit(7002, "s-2") | {"build": 1e999},
+            unit(7002, "s-2") | {"startedAtMs": -5},
+        ):
             wire = self.discovery(listing(50, True, spoilt))
             self.assertTrue(wire.settle())
             self.assertEqual(len(self.relay.units.pools), 1)
             self.relay.discovery.pauses.reset()
             self.wait(0.2)
         wire = self.reactor.up(LIST)
-        wire.gets(b"[" * 9000)                   # no head, and no end of it
+        wire.gets(b"[" * 9000)  # no head, and no end of it
         self.wait(1.1)
-        self.assertTrue(wire.settle())           # a part alone is not waited for as for a watch
+        self.assertTrue(wire.settle())  # a part alone is not waited for as for a watch
         self.wait(0.3)
         wire = self.reactor.up(LIST)
         wire.gets(reply(listing(51, True, unit(UNIT)))[:-4])
         self.wait(1.1)
         self.assertTrue(wire.settle())
-        for line in (b'{"method":"stage","params":%s}\n' % json.dumps(state(build=70000)).encode(),
-                     b'{"method":"stage","params":%s}\n' % json.dumps(state(cap=float("nan"))).encode(),
-                     b"[" * 8000 + b"\n", b"\xff\xfe{}\n", b'{"method":"pi'):
+        for line in (
+            b'{"method":"stage","params":%s}\n' % json.dumps(state(build=70000)).encode(),
+            b'{"method":"stage","params":%s}\n' % json.dumps(state(cap=float("nan"))).encode(),
+            b"[" * 8000 + b"\n",
+            b"\xff\xfe{}\n",
+            b'{"method":"pi',
+        ):
             self.relay.platform.pauses.reset()
             wire = self.desk()
             wire.gets(line)
@@ -366,20 +396,33 @@
 
 class Start(unittest.TestCase):
     def test_one_plain_line_for_each_thing_wrong(self) -> None:
-        for tree, said in (("{", "Expecting"), ("[]", "not an object"), (config(listen=7), "listen"),
-                           (config(listen="nowhere"), "LISTEN"), (config(seed="xyz"), "base 16"),
-                           (config(known={"generation": 1}), "list"), (config(settings={}), "workloads"),
-                           (config(peers="all"), "peers"), (config(rollouts={"news": {}, "address": 5}), "address"),
-                           (config(limits={"sockets": "many"}), "sockets"), (config(discovery=None), "discovery"),
-                           (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize")):
+        for tree, said in (
+            ("{", "Expecting"),
+            ("[]", "not an object"),
+            (config(listen=7), "listen"),
+            (config(listen="nowhere"), "LISTEN"),
+            (config(seed="xyz"), "base 16"),
+            (config(known={"generation": 1}), "list"),
+            (config(settings={}), "workloads"),
+            (config(peers="all"), "peers"),
+            (config(rollouts={"news": {}, "address": 5}), "address"),
+            (config(limits={"sockets": "many"}), "sockets"),
+            (config(discovery=None), "discovery"),
+            (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize"),
+        ):
             with self.assertRaisesRegex(start.BadStart, said):
                 told(tree)
         for environment in ({}, {"EDGE_CONFIG": "/nowhere/at/all"}):
             self.assertRaises(start.BadStart, start.read, environment)
 
     def run_it(self, *words: str, **environment: str) -> subprocess.Popen:
-        return subprocess.Popen([sys.executable, "-B", "-m", "tealsail", *words], text=True,
-                                stdout=subprocess.PIPE, stderr=subprocess.PIPE, env=os.environ | environment)
+        return subprocess.Popen(
+            [sys.executable, "-B", "-m", "tealsail", *words],
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            env=os.environ | environment,
+        )
 
     def test_the_command_line_and_a_bad_start_of_the_process(self) -> None:
         process = self.run_it("version")
@@ -394,9 +437,13 @@
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
         here = {"hostPort": "127.0.0.1:%d" % unit_side.getsockname()[1]}
-        told = config(listen=f"127.0.0.1:{port}", discovery="127.0.0.1:1", peer_listen="",
-                      rollouts={"address": "127.0.0.1:1", "news": state()},
-                      known=listing(1, True, unit(UNIT) | here))
+        told = config(
+            listen=f"127.0.0.1:{port}",
+            discovery="127.0.0.1:1",
+            peer_listen="",
+            rollouts={"address": "127.0.0.1:1", "news": state()},
+            known=listing(1, True, unit(UNIT) | here),
+        )
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(told, file)
             file.flush()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
 """The five rules at the gate: a story for each way in which one was, or could be, broken."""
+
 import unittest
 
 from tealsail import policy
@@ -23,7 +24,7 @@
         story = Story()
         number = story.take()
         story.relay.on_abandoned(number)
-        story.beat()                                             # its outcome is still to come
+        story.beat()  # its outcome is still to come
         story.comes(number, "error")
         self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.host.of("cancel"), [(number, 0)])
@@ -70,10 +71,10 @@
         story = Story(two_shots=False)
         number = story.take()
         invocation, unit = story.relay.known[number], story.relay.units[0]
-        self.assertFalse(story.relay.gate.forward(invocation, unit))     # never two out at once
+        self.assertFalse(story.relay.gate.forward(invocation, unit))  # never two out at once
         story.later(SECOND)
         story.relay.on_wake(story.relay.WAKE_LATE + number)
-        self.assertEqual(story.host.of("cancel"), [])            # alone there it may only be heavy work
+        self.assertEqual(story.host.of("cancel"), [])  # alone there it may only be heavy work
         invocation.shots[0].unit.out += 1
         story.relay.on_wake(story.relay.WAKE_LATE + number)
         self.assertEqual((story.host.of("cancel"), len(story.sent(number))), ([(number, 0)], 1))
@@ -105,17 +106,18 @@
         story.relay.admission.limit, story.relay.cold_share = 1000, [(1.0, 1.0)] * 2
         for _ in range(200):
             story.take()
-        self.assertLess(len(story.sent()), 120 + 120)            # with cold units alone most is rejected
+        self.assertLess(len(story.sent()), 120 + 120)  # with cold units alone most is rejected
 
     def test_on_the_way_back_the_first_cold_earlier_unit_does_not_get_everything(self) -> None:
         story = Story(units=20)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
-        story.lists([story.unit(number, 1 + (number > 0), started=story.relay.now * (number == 0))
-                     for number in range(20)])
-        story.later(SECOND)                                      # the grace of the lowered cap is over
+        story.lists(
+            [story.unit(number, 1 + (number > 0), started=story.relay.now * (number == 0)) for number in range(20)]
+        )
+        story.later(SECOND)  # the grace of the lowered cap is over
         for _ in range(200):
             story.take()
-            story.relay.units[0].credit = 1.0                    # as if of another relay each
+            story.relay.units[0].credit = 1.0  # as if of another relay each
         self.assertLess(len(story.sent()), 20)
 
 
@@ -144,11 +146,12 @@
                 taken.append((story.relay.now, bool(story.sent(number))))
                 if story.sent(number):
                     story.comes(number, "error" if chance.share() < 0.02 else "served")
-                    taken += [(story.relay.now, None)] * (len(story.sent(number)) - 1)   # a further shot
+                    taken += [(story.relay.now, None)] * (len(story.sent(number)) - 1)  # a further shot
             for at, (now, _) in enumerate(taken):
-                window = [sent for when, sent in taken[:at + 1] if when > now - 2 * SECOND]
-                self.assertLessEqual(sum(sent is not False for sent in window),
-                                     1 + cap * sum(sent is not None for sent in window) + 1e-6)
+                window = [sent for when, sent in taken[: at + 1] if when > now - 2 * SECOND]
+                self.assertLessEqual(
+                    sum(sent is not False for sent in window), 1 + cap * sum(sent is not None for sent in window) + 1e-6
+                )
             share = sum(sent is True for _, sent in taken) / sum(sent is not None for _, sent in taken)
             self.assertGreater(share, 0.99 * cap)
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,5 @@
 """New settings in a running relay: checked whole, switched at one point, both ways, and nothing lost or sent twice."""
+
 import unittest
 
 from tealsail import policy
@@ -10,8 +11,16 @@
 from . import test_relay
 from .test_relay import config, told
 
-MOVED = dict(control="timer", layout="beside", step=4 * SECOND, hold_votes=18, back_votes=1, on_votes=0, drain_grace=2500,
-             guarded_stages=1)
+MOVED = dict(
+    control="timer",
+    layout="beside",
+    step=4 * SECOND,
+    hold_votes=18,
+    back_votes=1,
+    on_votes=0,
+    drain_grace=2500,
+    guarded_stages=1,
+)
 STAYED = dict(control="share", layout="in_place", on_votes=1, back_votes=1)
 
 
@@ -26,19 +35,22 @@
 
 class Checked(unittest.TestCase):
     def test_each_wrong_setting_is_named_as_the_platform_has_it(self) -> None:
-        for more, said in (({"domain__control": "clock"}, "domain.control: 'clock' is none of any, share, timer"),
-                           ({"domain__noesNeeded": -1}, "domain.noesNeeded: -1 is not from"),
-                           ({"domain__noesNeeded": 3}, "domain.noesNeeded: 3 of 2 relays"),
-                           ({"domain__free": float("nan")}, "domain.free: nan is not from"),
-                           ({"domain__toAdvance": 0}, "domain.toAdvance: 0 under"),
-                           ({"domain__waves": [0.5, 0.2]}, "domain.waves: a stage is smaller"),
-                           ({"domain__mostShares": [0.5]}, "domain.mostShares: 1 stages"),
-                           ({"domain__mostShares": [0.5, "all"]}, "domain.mostShares: 'all' is not a number"),
-                           ({"domain__guardedStages": 3}, "domain.guardedStages: 3 of 2"),
-                           ({"domain__oneWay": True}, "domain.oneWay: true is not supported"),
-                           ({"limits__maxAttempts": 1.5}, "limits.maxAttempts: is not whole"),
-                           ({"limits__cancel": "yes"}, "limits.cancel: 'yes' is not bool"),
-                           ({"index": 2}, "index: 2 of 2 relays"), ({"requestClasses": []}, "no workloads")):
+        for more, said in (
+            ({"domain__control": "clock"}, "domain.control: 'clock' is none of any, share, timer"),
+            ({"domain__noesNeeded": -1}, "domain.noesNeeded: -1 is not from"),
+            ({"domain__noesNeeded": 3}, "domain.noesNeeded: 3 of 2 relays"),
+            ({"domain__free": float("nan")}, "domain.free: nan is not from"),
+            ({"domain__toAdvance": 0}, "domain.toAdvance: 0 under"),
+            ({"domain__waves": [0.5, 0.2]}, "domain.waves: a stage is smaller"),
+            ({"domain__mostShares": [0.5]}, "domain.mostShares: 1 stages"),
+            ({"domain__mostShares": [0.5, "all"]}, "domain.mostShares: 'all' is not a number"),
+            ({"domain__guardedStages": 3}, "domain.guardedStages: 3 of 2"),
+            ({"domain__oneWay": True}, "domain.oneWay: true is not supported"),
+            ({"limits__maxAttempts": 1.5}, "limits.maxAttempts: is not whole"),
+            ({"limits__cancel": "yes"}, "limits.cancel: 'yes' is not bool"),
+            ({"index": 2}, "index: 2 of 2 relays"),
+            ({"requestClasses": []}, "no workloads"),
+        ):
             with self.subTest(more), self.assertRaisesRegex(start.BadStart, f"settings: {said}"):
                 told(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
@@ -73,9 +85,10 @@
             self.assertEqual(story.relay.judge.voters, 11)
             switch.change(before)
             switch.settle()
-            self.assertEqual((story.relay.facts, story.relay.trial.share, story.relay.judge.voters),
-                             (before, share, policy.JUDGES))
-        self.assertEqual(story.relay.trial.groups["canary"][0], 10)      # no evidence is lost
+            self.assertEqual(
+                (story.relay.facts, story.relay.trial.share, story.relay.judge.voters), (before, share, policy.JUDGES)
+            )
+        self.assertEqual(story.relay.trial.groups["canary"][0], 10)  # no evidence is lost
         self.assertEqual(switch.change(before), [])
 
     def test_what_was_taken_before_is_finished_within_the_stricter(self) -> None:
@@ -94,9 +107,12 @@
     def test_what_needs_a_restart_is_refused_by_name_and_nothing_changes(self) -> None:
         story, switch = self.story()
         before = dict(story.relay.facts)
-        for more, name in ((dict(relays=10), "fleetSize"), (dict(exposure_span=SECOND), "domain.span"),
-                           (dict(workloads=[HARMLESS]), "requestClasses"),
-                           (dict(workloads=[HARMLESS, dict(ONE_SHOT, effect="harmless")]), "requestClasses")):
+        for more, name in (
+            (dict(relays=10), "fleetSize"),
+            (dict(exposure_span=SECOND), "domain.span"),
+            (dict(workloads=[HARMLESS]), "requestClasses"),
+            (dict(workloads=[HARMLESS, dict(ONE_SHOT, effect="harmless")]), "requestClasses"),
+        ):
             with self.assertRaisesRegex(Fixed, f"{name}: needs a restart"):
                 switch.change(self.now(story, drain_grace=1, **more))
         self.assertEqual(story.relay.facts, before)
@@ -106,18 +122,20 @@
     """The same relay as in tests/test_relay.py, in memory, with its stand-ins."""
 
     def moved(self, **more: object) -> dict:
-        return settings(domain__control="timer", domain__stageTime=4000, domain__toAdvance=0, domain__layout="beside", **more)
+        return settings(
+            domain__control="timer", domain__stageTime=4000, domain__toAdvance=0, domain__layout="beside", **more
+        )
 
     def test_a_query_taken_before_the_switch_is_answered_once_after_it(self) -> None:
         client = self.client(asking(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
         self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
-        self.relay.assign(told(config(settings=self.moved())))           # two in a row
+        self.relay.assign(told(config(settings=self.moved())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
         wire.gets(ROW + IDLE)
         self.assertEqual((client.sent(), wire.sent()), (ROW + IDLE, b""))
-        self.relay.assign(told(config()))                                # the way back is the same step
+        self.relay.assign(told(config()))  # the way back is the same step
         self.wait(1)
         self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.fresh), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
@@ -137,4 +155,4 @@
 
 
 for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
-    setattr(OnSockets, name, None)               # its own stories are told there
+    setattr(OnSockets, name, None)  # its own stories are told there
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -1,4 +1,5 @@
 """The world on loopback sockets against real relay processes: short days, and the same machines as the model's."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -10,7 +11,7 @@
 
 from .test_lab import SECOND, day
 
-QUICK = {"bake_ms": 400}                         # short stages: a horizon in proportion
+QUICK = {"bake_ms": 400}  # short stages: a horizon in proportion
 
 
 class Trials(unittest.TestCase):
@@ -42,19 +43,23 @@
         work = {line.number: line.work for line in self.of(lines, Ran)}
         modelled: list = []
         runs.Model(scenario, 5, [modelled.append]).play()
-        self.assertEqual(takes, {line.number: (line.workload, line.customer, line.key)
-                                 for line in self.of(modelled, Take)})
+        self.assertEqual(
+            takes, {line.number: (line.workload, line.customer, line.key) for line in self.of(modelled, Take)}
+        )
         expected = {line.number: line.work for line in self.of(modelled, Ran)}
         self.assertGreater(len(set(work) & set(expected)), 700)
         self.assertTrue(all(work[number] == expected[number] for number in set(work) & set(expected)))
 
     def test_a_bad_build_a_relay_killed_and_back_and_units_that_die_and_fall_silent(self) -> None:
         result, lines, _ = self.play(
-            seconds=12, builds={"errors": 0.4, "offered_s": 5}, clients={"rate": 120, "repeats": 1},
+            seconds=12,
+            builds={"errors": 0.4, "offered_s": 5},
+            clients={"rate": 120, "repeats": 1},
             script="at 1s kill relay 0 for 1s\nfrom 2s for 1s silence 1 unit\nat 3s kill 1 unit for 1s\n"
-                   "from 3s for 2s notes lost 50%\nfrom 4s for 1s platform silent\nat 9s restart relay 1")
+            "from 3s for 2s notes lost 50%\nfrom 4s for 1s platform silent\nat 9s restart relay 1",
+        )
         self.assertIn("back_s.2", result.figures)
-        for relay in (0, 1):                     # killed; restarted in order
+        for relay in (0, 1):  # killed; restarted in order
             self.assertEqual([line.event for line in self.of(lines, Life) if line.relay == relay], ["up", "down", "up"])
         self.assertEqual({line.relay for line in self.of(lines, End) if line.answer == "lost"} - {0}, set())
         again = [line for line in self.of(lines, Take) if line.relay == 0 and line.at > 4 * SECOND]
@@ -64,10 +69,14 @@
 
     def test_real_relays_in_three_zones_one_of_which_is_lost_and_comes_back(self) -> None:
         result, lines, _ = self.play(
-            seconds=12, fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"], "notice_ms": 500}, clients={"rate": 90},
-            builds={"offered_s": 900}, document={"zones": {"wait_ms": 200.0, "step_ms": 300.0}},
-            script="at 3s lose zone b for 3s")
-        self.assertEqual(result.breaches, {})    # the stated limit on spill among them
+            seconds=12,
+            fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"], "notice_ms": 500},
+            clients={"rate": 90},
+            builds={"offered_s": 900},
+            document={"zones": {"wait_ms": 200.0, "step_ms": 300.0}},
+            script="at 3s lose zone b for 3s",
+        )
+        self.assertEqual(result.breaches, {})  # the stated limit on spill among them
         self.assertGreater(result.figures["service.zone.b"], 0.8)
         self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "ac"), 0.95)
         out = result.series["shots.b>a"], result.series["shots.b>c"]
@@ -76,8 +85,9 @@
 
     def test_a_build_that_fails_only_above_some_busyness_and_one_that_turns_bad_with_its_units_age(self) -> None:
         for builds, rate in (({"errors": 0.6, "above": 1.4}, 400), ({"errors": 0.6, "turns_s": [2, 3]}, 120)):
-            result, lines, _ = self.play(seconds=11, builds=builds | {"offered_s": 0.5}, clients={"rate": rate},
-                                         platform=QUICK)
+            result, lines, _ = self.play(
+                seconds=11, builds=builds | {"offered_s": 0.5}, clients={"rate": rate}, platform=QUICK
+            )
             errors = [line.at for line in self.of(lines, Came) if line.outcome == "error"]
             self.assertTrue(errors)
             self.assertIn("back_s.2", result.figures)
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -1,4 +1,5 @@
 """Units' connections in memory: kept, used again, and what may have run."""
+
 import unittest
 
 from twisted.internet.error import ConnectionDone
@@ -20,7 +21,7 @@
         self.stands = True
 
     def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.Came]:
-        self.reactor.advance(REST)         # what has answered a moment ago is not taken again
+        self.reactor.advance(REST)  # what has answered a moment ago is not taken again
         shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
         self.shot, came = shot, []
         shot.done.addCallback(came.append)
@@ -45,8 +46,10 @@
         wire.gets(GREETING, piece=1)
         self.assertEqual(wire.sent(), QUERY)
         wire.gets(ROW + field(b"S", b"stats\0inflight=7,util=0.61\0") + IDLE, piece=1)
-        self.assertEqual((came[0].outcome, messages.whole(came[0].value), came[0].load),
-                         ("served", ROW + IDLE, {"inflight": 7.0, "util": 0.61}))
+        self.assertEqual(
+            (came[0].outcome, messages.whole(came[0].value), came[0].load),
+            ("served", ROW + IDLE, {"inflight": 7.0, "util": 0.61}),
+        )
 
     def proven(self, wire: Wire) -> bytes:
         """What is written to a kept connection once it has shown that it is there."""
@@ -70,7 +73,7 @@
         came = self.shoot()
         first.sent()
         first.drop()
-        self.assertTrue(self.up().sent().endswith(QUERY))         # a new one, once none is kept
+        self.assertTrue(self.up().sent().endswith(QUERY))  # a new one, once none is kept
 
     def test_a_unit_that_does_not_even_answer_nothing_is_out_of_reach(self) -> None:
         wire = self.served()
@@ -79,7 +82,7 @@
         self.assertEqual((came[0].outcome, wire.settle(), self.reactor.dialled(7001)), ("unreachable", True, []))
         wire = self.served()
         came = self.shoot(wait=0.1)
-        self.reactor.advance(0.1)                # no longer waited for before that is known
+        self.reactor.advance(0.1)  # no longer waited for before that is known
         self.reactor.advance(0.2)
         self.assertEqual((came[0].outcome, wire.settle()), ("moot", True))
 
@@ -90,19 +93,27 @@
                 wire.sent()
                 wire.gets(ROW + IDLE + more * (not later))
                 self.assertEqual(came[0].outcome, "served")
-                further = self.shoot()           # while it is asked whether it is there
+                further = self.shoot()  # while it is asked whether it is there
                 if later:
                     self.assertEqual(wire.sent(), EMPTY)
                     wire.gets(more + PROOF if more != PROOF else b"x" * 9)
                 self.assertTrue(wire.settle())
                 self.assertNotIn(QUERY, wire.sent())
                 other = self.up()
-                self.assertEqual((further, other.sent()[-len(QUERY):]), ([], QUERY))
+                self.assertEqual((further, other.sent()[-len(QUERY) :]), ([], QUERY))
                 other.drop()
 
     def test_a_load_report_that_cannot_be_read_spoils_neither_the_answer_nor_the_belief(self) -> None:
-        for report in (b"stats\0util=high\0", b"stats\0util=nan\0", b"stats\0inflight=-1\0", b"stats\0\xff\0",
-                       b"stats", b"a\0b\0c\0", b"stats\0util=1e99\0", b"stats\0\0"):
+        for report in (
+            b"stats\0util=high\0",
+            b"stats\0util=nan\0",
+            b"stats\0inflight=-1\0",
+            b"stats\0\xff\0",
+            b"stats",
+            b"a\0b\0c\0",
+            b"stats\0util=1e99\0",
+            b"stats\0\0",
+        ):
             came, wire = self.shoot(), self.up()
             wire.sent()
             wire.gets(field(b"S", report) + ROW + IDLE)
@@ -122,8 +133,7 @@
 
     def test_outcomes_by_what_came_back(self) -> None:
         wire = self.served()
-        for answer, outcome in ((failure("XX000"), "error"), (failure("53300"), "full"),
-                                (failure("57P03"), "error")):
+        for answer, outcome in ((failure("XX000"), "error"), (failure("53300"), "full"), (failure("57P03"), "error")):
             came = self.shoot()
             self.assertEqual(self.proven(wire), QUERY)
             wire.gets(answer + IDLE)
@@ -154,8 +164,7 @@
         late, silent = self.shoot(), self.reactor.up(7001)
         self.reactor.advance(0.3)
         self.assertTrue(silent.settle())
-        self.assertEqual([each[0].outcome for each in (came, turned, late)],
-                         ["unreachable", "full", "unreachable"])
+        self.assertEqual([each[0].outcome for each in (came, turned, late)], ["unreachable", "full", "unreachable"])
 
     def test_a_pick_that_no_longer_stands_when_the_connection_is_up_is_not_written(self) -> None:
         came, wire = self.shoot(), self.reactor.up(7001)
@@ -174,7 +183,7 @@
         self.assertEqual(came[0].outcome, "timeout")
         came = self.shoot(wait=0.2)
         self.reactor.advance(0.2)
-        self.assertEqual(came[0].outcome, "moot")                # no byte of it was written
+        self.assertEqual(came[0].outcome, "moot")  # no byte of it was written
 
     def test_a_connection_set_up_too_late_for_its_shot_serves_the_next(self) -> None:
         self.shoot(wait=0.1)
@@ -218,11 +227,23 @@
         self.assertEqual(self.shoot(2)[0].outcome, "unreachable")
 
     def test_a_unit_that_talks_nonsense_is_left(self) -> None:
-        for nonsense in (field(b"!", b""), b"D\x7f\0\0\0", field(b"D", b""), field(b"R", b"\0\0\0\3"),
-                         field(b"D", b"\0\1") * 2, field(b"C", b"SELECT 0\0") + IDLE, IDLE, PROOF,
-                         ROW[:33] + field(b"D", b"\0\1\0\0\0\3\x9f\x03"), ROW[33:], b"D\xb2\xd0\x5e\0" + bytes(9000),
-                         field(b"T", b"\0\2content\0" + bytes(18)), field(b"D", b"\0\1\xff\xff\xff\xf0"),
-                         field(b"E", b"C\0\0"), field(b"T", b"\0\1" + b"x" * 40)):
+        for nonsense in (
+            field(b"!", b""),
+            b"D\x7f\0\0\0",
+            field(b"D", b""),
+            field(b"R", b"\0\0\0\3"),
+            field(b"D", b"\0\1") * 2,
+            field(b"C", b"SELECT 0\0") + IDLE,
+            IDLE,
+            PROOF,
+            ROW[:33] + field(b"D", b"\0\1\0\0\0\3\x9f\x03"),
+            ROW[33:],
+            b"D\xb2\xd0\x5e\0" + bytes(9000),
+            field(b"T", b"\0\2content\0" + bytes(18)),
+            field(b"D", b"\0\1\xff\xff\xff\xf0"),
+            field(b"E", b"C\0\0"),
+            field(b"T", b"\0\1" + b"x" * 40),
+        ):
             came, wire = self.shoot(), self.up()
             wire.sent()
             wire.gets(nonsense, piece=len(nonsense) if len(came) else 1)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,5 @@
 """The stand-ins without I/O: a story for each thing that they must do as real ones do."""
+
 import unittest
 
 from hypothesis import given, settings, strategies as st
@@ -22,8 +23,9 @@
     """A unit and its clock; each invocation takes 10 ms of one core."""
 
     def __init__(self, build: Build = Build(1), started: int = 0, works: list = [TEN_MS], **kind) -> None:
-        self.unit = Unit("u1", 1, build, Kind(**{"cores": 1.0, "slots": 4, "room": 2} | kind), 1.0, "a", 0,
-                         started, works, 7)
+        self.unit = Unit(
+            "u1", 1, build, Kind(**{"cores": 1.0, "slots": 4, "room": 2} | kind), 1.0, "a", 0, started, works, 7
+        )
         self.ended: dict[object, tuple[int, str]] = {}
 
     def take(self, now: int, *refs: object) -> "Machine":
@@ -48,7 +50,7 @@
 class Units(unittest.TestCase):
     def test_one_core_is_shared_evenly_by_what_is_in_work(self) -> None:
         machine = Machine().take(0, 1)
-        machine.take(50, 2).until(SECOND)        # 1 has 5 ms left, shared with 2 for 10 ms; then 2 alone for 5
+        machine.take(50, 2).until(SECOND)  # 1 has 5 ms left, shared with 2 for 10 ms; then 2 alone for 5
         self.assertEqual(machine.ended, {1: (150, "served"), 2: (200, "served")})
 
     def test_two_cores_work_on_two_at_full_speed(self) -> None:
@@ -88,7 +90,7 @@
     def test_work_that_nobody_waits_for_stops_only_where_that_is_its_habit(self) -> None:
         for stops, end in ((True, 150), (False, 200)):
             machine = Machine(stops=stops).take(0, 1, 2)
-            machine.unit.stop(50 * 2, 1)         # half done: each has had 5 ms
+            machine.unit.stop(50 * 2, 1)  # half done: each has had 5 ms
             machine.until(SECOND)
             self.assertEqual(machine.ended[2][0], end)
 
@@ -101,7 +103,7 @@
     def test_a_cold_unit_that_is_sent_too_much_falls_over_and_a_warm_one_does_not(self) -> None:
         for started, fell in ((SECOND, True), (0, False)):
             machine = Machine(started=started, fall_multiple=2.0, fall_span=SECOND // 2, slots=500, room=500)
-            for number in range(100):            # 200 ms of work where 150 can be done, twice over
+            for number in range(100):  # 200 ms of work where 150 can be done, twice over
                 machine.take(SECOND + number * 40, number)
             self.assertEqual(machine.unit.fell, fell)
 
@@ -118,7 +120,7 @@
             unit = Unit("u", mark, late, Kind(), 1.0, "a", 0, SECOND, [TEN_MS], 7)
             ages = [age for age in range(0, 13) if late.acts(0, age * SECOND, 0.0, 7, unit.mark)]
             first.append(ages[0])
-            self.assertEqual(ages, list(range(ages[0], 13)))     # for good
+            self.assertEqual(ages, list(range(ages[0], 13)))  # for good
         self.assertTrue(5 <= min(first) < 7 and 9 < max(first) <= 11, first)
 
     def test_a_build_that_fails_one_workload_and_one_whose_answers_are_wrong(self) -> None:
@@ -136,8 +138,11 @@
         machine.until(SECOND)
         self.assertEqual(machine.unit.load(SECOND)["queue"], 0.0)
 
-    @given(st.lists(st.tuples(st.integers(0, 3000), st.integers(0, 999)), min_size=1, max_size=25, unique=True),
-           st.floats(0.5, 4.0), st.integers(1, 8))
+    @given(
+        st.lists(st.tuples(st.integers(0, 3000), st.integers(0, 999)), min_size=1, max_size=25, unique=True),
+        st.floats(0.5, 4.0),
+        st.integers(1, 8),
+    )
     def test_no_work_is_lost_or_made_whatever_the_order(self, asked, cores, slots) -> None:
         machine = Machine(cores=cores, slots=slots, room=100, works=[draws.lognormal(100, 1.0)])
         for at, number in sorted(asked):
@@ -147,8 +152,9 @@
         self.assertEqual(len(machine.ended), len(asked))
         self.assertEqual(machine.unit.jobs, {})
         work, last = sum(work for _, work in machine.unit.taken), max(at for at, _ in machine.ended.values())
-        self.assertGreaterEqual(last - min(at for at, _ in asked) + len(asked) + 1,
-                                work / min(cores, slots, len(asked)) - 1)
+        self.assertGreaterEqual(
+            last - min(at for at, _ in asked) + len(asked) + 1, work / min(cores, slots, len(asked)) - 1
+        )
 
 
 class Draws(unittest.TestCase):
@@ -161,8 +167,9 @@
         self.assertAlmostEqual(again.mean, 300, delta=8)
 
     def test_draws_for_one_purpose_say_nothing_of_another(self) -> None:
-        one, other = ([draws.share(3, purpose, number) for number in range(2000)]
-                      for purpose in (draws.WORK, draws.FATE))
+        one, other = (
+            [draws.share(3, purpose, number) for number in range(2000)] for purpose in (draws.WORK, draws.FATE)
+        )
         mean = [sum(each) / len(each) for each in (one, other)]
         together = sum(a * b for a, b in zip(one, other)) / len(one) - mean[0] * mean[1]
         self.assertLess(abs(together) * 12, 0.08)
@@ -192,8 +199,9 @@
         roster = Roster(0, 0, 1, 7)
         for entry in (self.entry("u1"), self.entry("u2"), self.entry("u1", "gone")):
             roster.change(0, entry)
-        self.assertEqual([[each.name for each in roster.whole(version)] for version in (1, 2, 3)],
-                         [["u1"], ["u1", "u2"], ["u2"]])
+        self.assertEqual(
+            [[each.name for each in roster.whole(version)] for version in (1, 2, 3)], [["u1"], ["u1", "u2"], ["u2"]]
+        )
 
 
 class Platforms(unittest.TestCase):
@@ -223,7 +231,7 @@
             desk.vote(at, 0, 2, 0, "on")
         desk.count(SECOND)
         self.assertEqual(desk.state.stage, 0)
-        desk.vote(7 * SECOND, 1, 2, 0, "on")     # the first has run out
+        desk.vote(7 * SECOND, 1, 2, 0, "on")  # the first has run out
         self.assertEqual(desk.state.stage, 0)
 
     def test_back_from_trial_and_from_the_release_until_nothing_of_it_is_left(self) -> None:
@@ -267,8 +275,14 @@
 
 class Fleets(unittest.TestCase):
     def fleet(self, **layout) -> Fleet:
-        return Fleet(Layout(**{"places": 6, "start": (SECOND, 2 * SECOND)} | layout), Kind(),
-                     {1: Build(1), 2: Build(2)}, [TEN_MS], 1, 7)
+        return Fleet(
+            Layout(**{"places": 6, "start": (SECOND, 2 * SECOND)} | layout),
+            Kind(),
+            {1: Build(1), 2: Build(2)},
+            [TEN_MS],
+            1,
+            7,
+        )
 
     def counts(self, fleet: Fleet) -> dict[int, int]:
         builds = [unit.build.number for unit in fleet.units.values() if not unit.draining and not unit.dead]
@@ -294,7 +308,7 @@
         fleet.wake(2 * SECOND)
         self.assertEqual(self.counts(fleet), {1: 6, 2: 6})
         fleet.back(3 * SECOND, 2, 1)
-        self.assertEqual(self.counts(fleet), {1: 6})             # at once: nothing has to start
+        self.assertEqual(self.counts(fleet), {1: 6})  # at once: nothing has to start
         fleet.launch(9 * SECOND, 2, 1.0)
         fleet.wake(12 * SECOND)
         fleet.release(12 * SECOND, 2)
@@ -318,8 +332,7 @@
         self.assertEqual((again is one, again.started, again.warmth(2 * SECOND) < 1), (False, 2 * SECOND, True))
         fleet.wake(9 * SECOND)
         self.assertNotIn(two.name, fleet.units)
-        self.assertEqual([(each.name, each.state) for each in fleet.changes],
-                         [(one.name, "open"), (two.name, "gone")])
+        self.assertEqual([(each.name, each.state) for each in fleet.changes], [(one.name, "open"), (two.name, "gone")])
 
     def test_faults_hit_units_of_a_zone_or_a_build_and_the_same_ones_each_time(self) -> None:
         fleet = self.fleet(zones=("a", "b"))
@@ -332,9 +345,14 @@
 
 class Crowds(unittest.TestCase):
     def clients(self, **habits) -> Clients:
-        return Clients(Habits(**{"rate": 100.0} | habits),
-                       [Workload("a", "harmless", 0.75, 100, 20_000, 1.0), Workload("b", "one-shot", 0.25, 100, 20_000, 1.0)],
-                       [0.2, 0.8], 4, 60 * SECOND, 7)
+        return Clients(
+            Habits(**{"rate": 100.0} | habits),
+            [Workload("a", "harmless", 0.75, 100, 20_000, 1.0), Workload("b", "one-shot", 0.25, 100, 20_000, 1.0)],
+            [0.2, 0.8],
+            4,
+            60 * SECOND,
+            7,
+        )
 
     def all(self, clients: Clients) -> list:
         found = []
@@ -382,6 +400,7 @@
         """Guards against the first real surge's fault: repeats came at once, and service was better than it can be."""
         from tealsail.lab.loopback.clients import advice
         from tealsail.net.messages import trouble
+
         self.assertEqual([advice(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,5 @@
 """Zones in the chain, on the model's days: lost, cut off, slow, flapping, and back; a story for each."""
+
 import unittest
 from typing import Any
 from unittest import mock
@@ -21,9 +22,15 @@
     """Three zones, two relays and six units each, at two fifths of what they can do."""
 
     def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, Spill, Model]:
-        tree = dict(seconds=30, fleet={"relays": 6, "units": 18, "zones": ["a", "b", "c"]}, clients={"rate": 420},
-                    unit={"report_every_ms": 100, "warm_up_ms": 3000}, network={"near_ms": 0.3, "far_ms": 3.0},
-                    builds={"offered_s": 900}, document={"zones": zones} if zones is not None else {})
+        tree = dict(
+            seconds=30,
+            fleet={"relays": 6, "units": 18, "zones": ["a", "b", "c"]},
+            clients={"rate": 420},
+            unit={"report_every_ms": 100, "warm_up_ms": 3000},
+            network={"near_ms": 0.3, "far_ms": 3.0},
+            builds={"offered_s": 900},
+            document={"zones": zones} if zones is not None else {},
+        )
         for name, value in more.items():
             tree[name] = tree.get(name, {}) | value if isinstance(value, dict) else value
         lines: list = []
@@ -38,8 +45,11 @@
 
     def into(self, lines: list, zone: str, first: float, last: float, own: bool) -> int:
         """Shots at a zone in those seconds, from its own relays or from the others."""
-        return sum(self.zone_of[line.unit] == zone and ("abc"[line.relay % 3] == zone) == own for line in lines
-                   if type(line) is Shot and first * SECOND <= line.at < last * SECOND)
+        return sum(
+            self.zone_of[line.unit] == zone and ("abc"[line.relay % 3] == zone) == own
+            for line in lines
+            if type(line) is Shot and first * SECOND <= line.at < last * SECOND
+        )
 
     def test_nothing_leaves_its_zone_while_all_is_in_order(self) -> None:
         result, lines, _, _ = self.play(seconds=10)
@@ -49,12 +59,12 @@
     def test_a_zone_lost_and_back(self) -> None:
         result, lines, spill, _ = self.play(seconds=45, script="at 10s lose zone b for 12s")
         self.assertEqual(spill.breaches, 0)
-        self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "abc"), 0.97)   # until they have
-        self.assertEqual(self.into(lines, "b", 14, 22, True), 0)     # agreed that b is lost, half of its work may go
+        self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "abc"), 0.97)  # until they have
+        self.assertEqual(self.into(lines, "b", 14, 22, True), 0)  # agreed that b is lost, half of its work may go
         others = [self.into(lines, zone, 14, 20, False) for zone in "ac"]
-        self.assertGreater(min(others), 0.35 * sum(others))      # both neighbours take their part
+        self.assertGreater(min(others), 0.35 * sum(others))  # both neighbours take their part
         back = [self.into(lines, "b", second, second + 2, True) for second in range(22, 44, 2)]
-        self.assertLess(back[1], 0.3 * back[-1])                 # a ramp, and whole at its end
+        self.assertLess(back[1], 0.3 * back[-1])  # a ramp, and whole at its end
         self.assertGreater(back[-1], 230)
         self.assertGreater(min(result.series["service"][40:44]), 0.98)
 
@@ -64,8 +74,11 @@
         self.assertGreater(result.figures["rejected.zone.b"], 0.3)
         self.assertLess(result.figures["rejected.zone.a"], 0.02)
         taken = {(line.relay, line.number): line.at for line in lines if type(line) is Take}
-        waits = [line.at - taken[line.relay, line.number] for line in lines if type(line) is End
-                 and line.answer == "rejected" and line.at > 15 * SECOND]
+        waits = [
+            line.at - taken[line.relay, line.number]
+            for line in lines
+            if type(line) is End and line.answer == "rejected" and line.at > 15 * SECOND
+        ]
         self.assertEqual(max(waits), 0)
 
     def test_two_zones_lost_of_three(self) -> None:
@@ -76,7 +89,8 @@
 
     def test_a_second_zone_that_slows_down_while_it_absorbs_gets_less(self) -> None:
         _, lines, spill, model = self.play(
-            seconds=40, script="at 10s lose zone b\nat 20s slow all units of zone c x 9 for 10s")
+            seconds=40, script="at 10s lose zone b\nat 20s slow all units of zone c x 9 for 10s"
+        )
         self.assertEqual(spill.breaches, 0)
         before, during = self.into(lines, "c", 14, 19, False), self.into(lines, "c", 24, 29, False)
         self.assertLess(during, 0.75 * before)
@@ -88,26 +102,36 @@
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
         seat = model.doors[1].facade.relay.seats[0]
-        self.assertGreater(seat.counts["probes"], 5)             # it looked again, and found the zone back
+        self.assertGreater(seat.counts["probes"], 5)  # it looked again, and found the zone back
         self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
 
     def test_a_zones_relays_that_are_cut_off_from_another_do_not_talk_the_rest_out_of_it(self) -> None:
         """Relays of zone a lose their way to b; then c dies, whose relays have never needed b, and b takes their work."""
         _, lines, spill, _ = self.play(
-            seconds=24, script="from 8s for 16s cut relay 0 from zone b\nfrom 8s for 16s cut relay 3 from zone b\n"
-                               "at 12s lose zone c")
+            seconds=24,
+            script="from 8s for 16s cut relay 0 from zone b\nfrom 8s for 16s cut relay 3 from zone b\n"
+            "at 12s lose zone c",
+        )
         self.assertEqual(spill.breaches, 0)
-        from_c = [self.zone_of[line.unit] for line in lines
-                  if type(line) is Shot and line.relay % 3 == 2 and 14 * SECOND <= line.at < 22 * SECOND]
+        from_c = [
+            self.zone_of[line.unit]
+            for line in lines
+            if type(line) is Shot and line.relay % 3 == 2 and 14 * SECOND <= line.at < 22 * SECOND
+        ]
         self.assertGreater(from_c.count("b"), 0.4 * len(from_c))
 
     def into_the_dead(self, listeners: int) -> int:
         """Zones b and c die, one after the other, while the list is stale: shots of c's relays at dead units of b."""
         with mock.patch("tealsail.choices.zones.LISTENERS", listeners):
-            _, lines, _, _ = self.play(seconds=18, fleet={"relays": 12},
-                                       script="from 9s for 8s list stale\nat 10s lose zone b\nat 13s lose zone c")
-        return sum(type(line) is Shot and line.relay % 3 == 2 and self.zone_of[line.unit] == "b"
-                   and line.at > 13 * SECOND for line in lines)
+            _, lines, _, _ = self.play(
+                seconds=18,
+                fleet={"relays": 12},
+                script="from 9s for 8s list stale\nat 10s lose zone b\nat 13s lose zone c",
+            )
+        return sum(
+            type(line) is Shot and line.relay % 3 == 2 and self.zone_of[line.unit] == "b" and line.at > 13 * SECOND
+            for line in lines
+        )
 
     def test_relays_tell_each_other_of_a_zone_that_is_listed_and_dead(self) -> None:
         told, alone = self.into_the_dead(3), self.into_the_dead(0)
@@ -115,8 +139,9 @@
 
     def test_a_zone_that_flaps_every_five_seconds_waits_longer_each_time(self) -> None:
         script = "\n".join(f"at {at}s lose zone b for 3s" for at in (5, 12, 19, 26))
-        result, lines, spill, model = self.play(seconds=40, script=script, list={"late_ms": [50, 100]},
-                                                fleet={"notice_ms": 300})
+        result, lines, spill, model = self.play(
+            seconds=40, script=script, list={"late_ms": [50, 100]}, fleet={"notice_ms": 300}
+        )
         self.assertEqual(spill.breaches, 0)
         self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.doors), 3)
         self.assertGreater(result.figures["service"], 0.96)
@@ -128,10 +153,13 @@
 
     def test_a_zone_comes_back_half_drained_on_the_earlier_build_in_the_middle_of_a_trial(self) -> None:
         result, lines, spill, _ = self.play(
-            seconds=40, builds={"offered_s": 4}, platform={"shares": [0.34, 0.67, 1.0]},
-            script="at 9s lose zone b for 8s\nat 18s drain 50% of units of zone b")
+            seconds=40,
+            builds={"offered_s": 4},
+            platform={"shares": [0.34, 0.67, 1.0]},
+            script="at 9s lose zone b for 8s\nat 18s drain 50% of units of zone b",
+        )
         self.assertEqual(spill.breaches, 0)
-        self.assertNotIn("back_s.2", result.figures)             # the build is not blamed
+        self.assertNotIn("back_s.2", result.figures)  # the build is not blamed
         self.assertGreater(result.figures["service"], 0.95)
 
     def test_one_relay_with_most_of_the_traffic(self) -> None:
@@ -139,23 +167,39 @@
         self.assertGreater(result.figures["service"], 0.9)
 
     def test_one_shot_work_whose_zone_died_after_it_was_sent_is_forfeited_and_never_sent_again(self) -> None:
-        _, lines, _, _ = self.play(seconds=14, script="at 10s lose zone b")      # the checker holds the rule
+        _, lines, _, _ = self.play(seconds=14, script="at 10s lose zone b")  # the checker holds the rule
         ends = [line for line in lines if type(line) is End and line.answer == "forfeited"]
         self.assertTrue(ends)
 
     def test_the_only_near_units_run_the_build_on_trial_and_the_cap_binds(self) -> None:
         result, lines, _, _ = self.play(
-            seconds=14, fleet={"units": 3}, builds={"offered_s": 2}, clients={"rate": 60}, unit={"cores": 8.0},
-            platform={"shares": [0.34, 1.0], "caps": [0.1, 1.0]})
+            seconds=14,
+            fleet={"units": 3},
+            builds={"offered_s": 2},
+            clients={"rate": 60},
+            unit={"cores": 8.0},
+            platform={"shares": [0.34, 1.0], "caps": [0.1, 1.0]},
+        )
         first = next(line.at for line in lines if type(line) is Stage)
-        self.assertGreater(sum(type(line) is Shot and self.zone_of[line.unit] != "abc"[line.relay % 3]
-                               and line.at > first for line in lines), 20)
+        self.assertGreater(
+            sum(
+                type(line) is Shot and self.zone_of[line.unit] != "abc"[line.relay % 3] and line.at > first
+                for line in lines
+            ),
+            20,
+        )
 
     def far_build(self, seed: int) -> float:
         """A good build whose one unit is 25 ms from most relays, where work takes 20: by how much the judges see its
         median above the baseline's, at their first verdict."""
-        _, lines, _, _ = self.play(seed=seed, seconds=12, builds={"offered_s": 2}, network={"far_ms": 25.0},
-                                   clients={"rate": 400}, platform={"shares": [0.06, 1.0], "caps": [0.1, 1.0]})
+        _, lines, _, _ = self.play(
+            seed=seed,
+            seconds=12,
+            builds={"offered_s": 2},
+            network={"far_ms": 25.0},
+            clients={"rate": 400},
+            platform={"shares": [0.06, 1.0], "caps": [0.1, 1.0]},
+        )
         words = next(line.text for line in lines if type(line) is Log and line.text.startswith("verdict")).split()[7:]
         canary, baseline = (float(words[place].partition("@")[2]) for place in (0, 2))
         return canary / baseline
@@ -171,8 +215,12 @@
 
 class Documents(unittest.TestCase):
     def test_what_does_not_fit_the_platforms_zones_is_one_line(self) -> None:
-        for tree, why in (({"costs": {"a x": 1.0}}, "no zone x; there are a, b, c"), ({"costs": {"a": 1.0}}, "not two zones"),
-                          ({"spill_over": -1}, r"spill_over: expected `float` >= 0"), ({"what": 1}, "unknown field")):
+        for tree, why in (
+            ({"costs": {"a x": 1.0}}, "no zone x; there are a, b, c"),
+            ({"costs": {"a": 1.0}}, "not two zones"),
+            ({"spill_over": -1}, r"spill_over: expected `float` >= 0"),
+            ({"what": 1}, "unknown field"),
+        ):
             with self.assertRaisesRegex(BadDocument, why):
                 document({"zones": tree}).seats({"zones": ["a", "b", "c"], "zone": "a"})
         with self.assertRaisesRegex(BadDocument, "this relay's zone 'z' is none of a, b"):
