--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -28,11 +28,14 @@
 MEAN_SPAN = 1 * SECOND  # over which a mean is taken
 OUT_FADES = SECOND // 4  # by then about two thirds of what is out have changed; the mean stands longer
 DIGEST_LIFE = 5 * SECOND  # after which a digest counts for nothing; it counts fully up to half of it
+SHARED = 8  # relays: where so many others use a unit, a relay moves by half of what a digest says
 STOPPED = 1 * SECOND  # in which nothing ran, though something runs each half second
 SETTLES = SECOND // 5  # after a stop: what waited at the socket comes in this time and is dropped
 UNANSWERED = 3  # reports in a row without a digest: the owner is left out
 MUTE = 2 * SECOND  # for so long
-STANDBY_PART = 4  # a standby is told once where the first owner is told so often
+STANDBY_WAIT = 2 * SECOND  # between reports to a standby
+SOONEST = SECOND // 20  # between reports of a unit to its owner
+CHANGED = SECOND // 2  # an attempt more or less than last told makes a report due as much sooner
 PENDING = 256  # reports whose digest may still come; a power of two
 SPREAD = 0.25  # of a pause, by chance, both ways
 SAYS = 60 * SECOND  # between lines about dropped messages
@@ -70,14 +73,16 @@
     """One unit that this relay uses: its own attempts there, and the newest digest."""
 
     __slots__ = (
-        "number", "out", "mean", "mean_at", "ended", "failed", "used_at", "owners", "told_at", "digest", "digest_at"
+        "number", "out", "mean", "mean_at", "ended", "failed", "used_at", "owners", "told_at", "told_out",
+        "digest", "digest_at",
     )  # fmt: skip
 
     def __init__(self, number: int, now: int) -> None:
         self.number, self.out, self.mean, self.mean_at, self.used_at = number, 0, 0.0, now, now
         self.ended = self.failed = 0  # since the last report that wants a digest
         self.owners: tuple[int, ...] = ()  # the order of owners; worked out off the request's path
-        self.told_at = [now - DIGEST_LIFE, now - DIGEST_LIFE]  # the owner and the standby
+        self.told_at = [now - STANDBY_WAIT, now - STANDBY_WAIT]  # the owner and the standby
+        self.told_out = 0  # attempts that the owner was last told of
         self.digest: Row | None = None
         self.digest_at = 0  # when the report that it answers went out
 
@@ -143,7 +148,11 @@
         followed.failed += failed
 
     def others(self, unit: int, now: int) -> float:
-        """Attempts that all other relays have at the unit, as far as is known: the neutral figure where nothing is."""
+        """What other relays' attempts at the unit weigh beside this relay's own: the neutral figure where nothing is known.
+
+        All who share a digest act on it at once, so each moves by its part of the difference only: else they leave a
+        busy unit together and come to an empty one together.  Guards against a herd by a shared digest.
+        """
         followed = self.followed.get(unit)
         if followed is None or followed.digest is None:
             return self.neutral
@@ -151,7 +160,7 @@
         if age >= DIGEST_LIFE or age < 0:
             return self.neutral
         believed = digest.mean + exp(-age / OUT_FADES) * (digest.out - digest.mean)
-        trust = min(1.0, 2 - 2 * age / DIGEST_LIFE)
+        trust = min(1.0, 2 - 2 * age / DIGEST_LIFE) * SHARED / (SHARED + digest.ended)
         return self.neutral + trust * (believed - self.neutral)
 
     # time
@@ -244,7 +253,11 @@
                 state = self.owners.get(owner)
                 if state and state.next_at > now:
                     continue
-                waited = (now - followed.told_at[place]) // (STANDBY_PART if place else 1)
+                waited = now - followed.told_at[place]
+                if waited < (STANDBY_WAIT if place else SOONEST):
+                    continue
+                if not place:
+                    waited += CHANGED * abs(followed.out - followed.told_out)
                 if waited > best:
                     best, found = waited, (owner, place > 0)
         return found
@@ -273,7 +286,7 @@
             each.told_at[place] = now
             rows.append(Row(each.number, each.out, each.mean, each.ended, each.failed))
             if not is_standby:
-                each.ended = each.failed = 0
+                each.ended, each.failed, each.told_out = 0, 0, each.out
         return rows
 
     def await_digest(self, owner: int, now: int) -> None:
@@ -321,7 +334,7 @@
         if self.digest_tokens < size:
             return self.drop(Dropped.BUDGET)
         self.digest_tokens -= size
-        self.digest_rate += size * 0.5 * SECOND / SWEEP / 2
+        self.digest_rate += size  # halved twice a second: so this is bytes a second
         rows = tuple(self.owner.others(sender, row.unit) for row in report.rows)
         pause = int(self.askers * size * SECOND / OWNER_RATE)
         data = encode(Message(DIGEST, pause, report.sequence, report.epoch, rows))
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -144,12 +144,19 @@
             "even draws": lambda relay: self.chance.pick(self.units),
             "two, seen exactly": lambda relay: self.least_of_two(self.units, lambda unit: len(unit.jobs)),
             "no messages": lambda relay: self.least_of_two(relay.near(), lambda unit: self.own_cost(relay, unit)),
-            "digests": lambda relay: self.least_of_two(relay.near(), lambda unit: self.cost(relay, unit)),
+            "digests": lambda relay: self.least_of_two(self.near(relay), lambda unit: self.cost(relay, unit)),
             "no messages, 16": lambda relay: min(relay.order[:SUBSET], key=lambda unit: self.own_cost(relay, unit)),
             "digests, 16": lambda relay: min(relay.order[:SUBSET], key=lambda unit: self.cost(relay, unit)),
         }
 
     # choices
+    def near(self, relay: RelayStandIn) -> list[Unit]:
+        near = relay.order[: int(relay.few)]
+        if all(relay.of(unit).out or relay.digests.others(unit.mark, self.now) >= 1 for unit in near):
+            relay.few = min(len(relay.order), relay.few + 1)
+            near = relay.order[: int(relay.few)]
+        return near
+
     def least_of_two(self, units: Sequence[Unit], cost: Callable[[Unit], float]) -> Unit:
         if len(units) == 1:
             return units[0]
