--- a/tealsail/choices/digest_messages.py
+++ b/tealsail/choices/digest_messages.py
@@ -21,9 +21,9 @@
 
 
 class Row(NamedTuple):
-    """Of one unit.  In a report: the sender's attempts there now and on average, and how many ended and failed since the
-    last report.  In a digest the same of all other relays, and `ended` is how many of them were counted, `failed` the
-    part of their attempts that failed, in 255ths."""
+    """Of one unit.  In a report: the sender's attempts there now and on average, how many ended and failed since its
+    last report.  In a digest: the same of all other relays, but `ended` is how many relays were counted, and `failed`
+    the part of their attempts that failed, in 255ths."""
 
     unit: int
     out: int
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -1,8 +1,8 @@
 """Load figures without a question on a request's path and without one load tracker: the machine, without I/O.
 
-A relay reports what it has out, unit by unit, to the unit's owners (rendezvous.py); the owner returns a digest of what all
-other relays have there.  Nothing waits for either: the choice takes `others` as it stands, which fades with age to what
-all known units have on average, so that without digests all units are alike again.  What is sent keeps to a budget
+A relay reports what it has out, unit by unit, to the unit's owners (rendezvous.py); the owner returns a digest of what
+all other relays have there.  Nothing waits for either: the choice takes `others` as it stands, which fades with age to
+what all known units have on average, so that without digests all units are alike again.  What is sent keeps to a budget
 whatever the number of units.  Handed the time in tenths of a ms, messages and a seeded draw; it returns what to send.
 """
 
@@ -21,7 +21,7 @@
 OUT_RATE = (BUDGET - JUDGES_PART) // 2  # bytes a second sent; as many come in on average
 OWNER_RATE = 1_000  # bytes a second of OUT_RATE, at the most, for digests
 DATAGRAM = 28  # bytes of IP and UDP heads around each message
-DIGEST_BURST = 1_000  # bytes: digests that may go out at once
+DIGEST_BURST = 560  # bytes: digests that may go out at once
 MOST_USED = 64  # units that a relay follows; those beyond are chosen without digests
 USED_SPAN = 2 * SECOND  # a unit with nothing out for so long is followed no longer
 SWEEP = SECOND // 2  # between looks at what is old
@@ -148,7 +148,7 @@
         followed.failed += failed
 
     def others(self, unit: int, now: int) -> float:
-        """What other relays' attempts at the unit weigh beside this relay's own: the neutral figure where nothing is known.
+        """What other relays' attempts at the unit weigh beside this relay's own: neutral where nothing is known.
 
         All who share a digest act on it at once, so each moves by its part of the difference only: else they leave a
         busy unit together and come to an empty one together.  Guards against a herd by a shared digest.
--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -34,6 +34,7 @@
                 ("losses", model_losses),
                 ("judges", model_judges),
                 ("even", model_even),
+                ("digests", model_digests),
                 ("cost", model_cost),
                 ("fields", model_fields),
             ):
@@ -357,26 +358,44 @@
     many = number(chosen, "--replicas", max(2, FEWEST), MOST)
     with Shown("days") as progress:
         found = baselines.table(scenario, many, number(chosen, "--jobs", 0, 512), progress)
-    table = Table(title=f"{scenario.name}: {many} days each, means ± how well they are known (95%)")
+    show_choosers(f"{scenario.name}: {many} days each", found, baselines.SHOWN, out)
+    save_choosers(chosen, found)
+    return 0
+
+
+def model_digests(chosen: dict[str, Any], out: Console) -> int:
+    from ..lab import digest_days
+
+    scenario = read(chosen["SCENARIO"])
+    many, trouble = number(chosen, "--replicas", max(2, FEWEST), MOST), chosen["--trouble"]
+    with Shown("days") as progress:
+        found = digest_days.table(scenario, many, number(chosen, "--jobs", 0, 512), trouble, progress)
+    title = f"{scenario.name}, trouble with messages: {trouble}: {many} simulated days each"
+    show_choosers(title, found, digest_days.SHOWN, out)
+    save_choosers(chosen, found)
+    return 0
+
+
+def show_choosers(title: str, found: dict[str, dict[str, Bar]], shown: Sequence[str], out: Console) -> None:
+    """A row for each chooser, a column for each figure."""
+    table = Table(title=f"{title}, means ± how well they are known (95%)")
     table.add_column("chooser")
-    for name in baselines.SHOWN:
+    for name in shown:
         table.add_column(name, justify="right")
-    for name, each in found.items():
-        table.add_row(
-            name,
-            *(
-                f"{each[figure].mean:.{1 if '_ms' in figure else 2}f} ±{each[figure].known:.2f}"
-                if figure in each
-                else "-"
-                for figure in baselines.SHOWN
-            ),
-        )
+    for name, bars in found.items():
+        cells = [chooser_cell(bars[figure], figure) if figure in bars else "-" for figure in shown]
+        table.add_row(name, *cells)
     out.print(table)
-    save(
-        chosen["--json"],
-        {name: {figure: bar._asdict() for figure, bar in each.items()} for name, each in found.items()},
-    )
-    return 0
+
+
+def chooser_cell(bar: Bar, figure: str) -> str:
+    places = 0 if "bytes" in figure else 1 if "_ms" in figure else 2
+    return f"{bar.mean:.{places}f} ±{bar.known:.2f}"
+
+
+def save_choosers(chosen: dict[str, Any], found: dict[str, dict[str, Bar]]) -> None:
+    plain = {name: {figure: bar._asdict() for figure, bar in bars.items()} for name, bars in found.items()}
+    save(chosen["--json"], plain)
 
 
 def heard_cells(each: judging.Heard_Fleet) -> tuple[str, ...]:
--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -20,6 +20,7 @@
   tealsail model losses OPTION... [--replicas=N] [--jobs=N] [--json=FILE] [--chart=FILE]
   tealsail model judges [--json=FILE] [--chart=FILE]
   tealsail model even SCENARIO [--replicas=N] [--jobs=N] [--json=FILE]
+  tealsail model digests SCENARIO [--replicas=N] [--jobs=N] [--trouble=KIND] [--json=FILE]
   tealsail model cost [--json=FILE] [--chart=FILE]
   tealsail model fields
   tealsail hunt SCENARIO [--days=N] [--seed=N] [--jobs=N] [--most=LIMITS] [--json=FILE]
@@ -43,6 +44,7 @@
                  last option against each of the others.
   model judges   What a judge of 50 to 10,000 relays hears, what that costs and when it votes; and with mad relays.
   model even     How even the load is under plain ways to choose a unit, and under the program, on the same days.
+  model digests  Load digests against the asked tracker, no messages and backends seen exactly, on the same days.
   model cost     What the model costs for more relays and more units.
   model fields   Every field of a scenario: type, bounds, default.
   hunt           Random faults over a scenario, in virtual time: days that break a rule or a limit, each shrunk to the
@@ -60,6 +62,7 @@
   --at-once=N        Real days side by side: each needs a core or more [default: 1].
   --jobs=N           Processes; 0: one a core [default: 0].
   --days=N           Days of a hunt [default: 40].
+  --trouble=KIND     Of digests' messages: none, lost or cut for 8 s, owners stopped for 5 s [default: none].
   --most=LIMITS      What a hunt lets pass: waste, and herd and idle over even draws [default: waste=0.5,herd=3,idle=6].
   --draws=N          Bootstrap draws of a fit [default: 40].
   --seed=N           One day of that seed instead of the scenario's.
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -1,7 +1,8 @@
 """Load digests against other ways to choose a backend, on the same arrivals, work and backends.
 
 Plain choosers as in baselines.py: no request goes through the program, but the digests are the real machine
-(tealsail/choices/load_digests.py), with its messages late, lost, cut or held up at a stopped owner.  Simulated, all of it.
+(tealsail/choices/load_digests.py), with its messages late, lost, cut or held up at a stopped owner.
+All of it is simulated.
 """
 
 import heapq
@@ -20,7 +21,6 @@
 from ..world.fleet import Fleet
 from ..world.unit import NEVER, Asked, Unit
 from .bars import Bar, bars
-from .fits import drawn
 from .runs import day_seed
 from .scenario import Scenario
 from .traffic import clients_of
@@ -29,10 +29,13 @@
 BEAT = SECOND // 2  # between a relay's beats
 FEW = 4  # units in use, as the program begins (tealsail/policy.py, Choice)
 OFFERED = 8  # units offered to the asked tracker
-SUBSET = 16  # units of a fixed subset
+SUBSET = 32  # units of a fixed subset of each relay
 WAITING = 256  # messages that wait at a stopped owner; more are lost
+BEGINS = 4 * SECOND  # of a trouble
+SPANS = {"none": 0, "lost": 8 * SECOND, "cut": 8 * SECOND, "stopped": 5 * SECOND}
+ASKED = "the asked tracker"
+NAMES = ("even draws", "two, seen exactly", ASKED, "few, no messages", "subset, no messages", "subset, digests")
 SHOWN = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "even_99th", "even_least", "bytes_s", "most_bytes_s")
-GAIN = 0.5  # trial figure: of others' load in a cost
 
 
 class Trouble(NamedTuple):
@@ -43,6 +46,13 @@
     end: int = 0
     stopped: int = 0  # relays whose messages wait
 
+    @classmethod
+    def named(cls, kind: str, relays: int) -> "Trouble":
+        """The standard ones: all messages lost or halves cut for 8 s, or a fifth of the relays stopped for 5 s as owners."""
+        if kind not in SPANS:
+            raise ValueError(f"--trouble={kind}: not one of {', '.join(SPANS)}")
+        return cls(kind, BEGINS, BEGINS + SPANS[kind], relays // 5)
+
     def acts(self, now: int) -> bool:
         return self.start <= now < self.end
 
@@ -56,6 +66,9 @@
         self.out, self.pace = 0, 1.0
 
 
+CALM = Trouble()
+
+
 class RelayStandIn:
     """One relay: its own order of units, what it knows, and its digest machine if it has one."""
 
@@ -95,6 +108,9 @@
             near = self.order[: int(self.few)]
         return near
 
+    def subset(self) -> list[Unit]:
+        return self.order[:SUBSET]
+
     def sent(self, unit: Unit, now: int) -> None:
         self.of(unit).out += 1
         if self.digests:
@@ -123,7 +139,7 @@
 class Day:
     """A day of one chooser."""
 
-    def __init__(self, scenario: Scenario, seed: int, name: str, trouble: Trouble = Trouble()) -> None:
+    def __init__(self, scenario: Scenario, seed: int, name: str, trouble: Trouble = CALM) -> None:
         parts = scenario.parts()
         self.scenario, self.name, self.trouble = scenario, name, trouble
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
@@ -132,7 +148,7 @@
         least, most = scenario.network.notes_ms
         self.note_least, self.note_span = int(least * 10), int((most - least) * 10)
         count = scenario.fleet.relays
-        has_digests = name.startswith("digests")
+        has_digests = name == "subset, digests"
         self.relays = [RelayStandIn(each, self.units, seed, count, has_digests) for each in range(count)]
         self.tracker, self.clients, self.evenness = Tracker(), clients_of(scenario, seed), Evenness()
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -143,20 +159,12 @@
         self.choosers: dict[str, Callable[[RelayStandIn], Unit]] = {
             "even draws": lambda relay: self.chance.pick(self.units),
             "two, seen exactly": lambda relay: self.least_of_two(self.units, lambda unit: len(unit.jobs)),
-            "no messages": lambda relay: self.least_of_two(relay.near(), lambda unit: self.own_cost(relay, unit)),
-            "digests": lambda relay: self.least_of_two(self.near(relay), lambda unit: self.cost(relay, unit)),
-            "no messages, 16": lambda relay: min(relay.order[:SUBSET], key=lambda unit: self.own_cost(relay, unit)),
-            "digests, 16": lambda relay: min(relay.order[:SUBSET], key=lambda unit: self.cost(relay, unit)),
+            "few, no messages": lambda relay: self.least_of_two(relay.near(), lambda unit: self.own_cost(relay, unit)),
+            "subset, no messages": lambda relay: min(relay.subset(), key=lambda unit: self.own_cost(relay, unit)),
+            "subset, digests": lambda relay: min(relay.subset(), key=lambda unit: self.cost(relay, unit)),
         }
 
     # choices
-    def near(self, relay: RelayStandIn) -> list[Unit]:
-        near = relay.order[: int(relay.few)]
-        if all(relay.of(unit).out or relay.digests.others(unit.mark, self.now) >= 1 for unit in near):
-            relay.few = min(len(relay.order), relay.few + 1)
-            near = relay.order[: int(relay.few)]
-        return near
-
     def least_of_two(self, units: Sequence[Unit], cost: Callable[[Unit], float]) -> Unit:
         if len(units) == 1:
             return units[0]
@@ -171,7 +179,7 @@
 
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
         known = relay.of(unit)
-        return (known.out + GAIN * relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
+        return (known.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
 
     # time
     def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
@@ -212,7 +220,7 @@
     def arrive(self, arrival: Any) -> None:
         relay = self.relays[arrival.relay]
         self.began[arrival.relay, arrival.number] = self.now
-        if self.name == "asked tracker":
+        if self.name == ASKED:
             self.later(self.note(), self.ask, relay, arrival)
             return
         self.attempt(relay, arrival, self.choosers[self.name](relay))
@@ -248,7 +256,7 @@
             began = self.began.pop((arrival.relay, arrival.number))
             if outcome == "served":
                 self.served.append(self.now - began + 2 * self.way)
-            if self.name == "asked tracker":
+            if self.name == ASKED:
                 self.later(self.note(), self.told, unit)
         if unit.due < NEVER and unit.due != unit.wake_at:
             unit.wake_at = unit.due
@@ -300,3 +308,23 @@
             found["bytes_s"] = sum(moved) / len(moved) / (self.now / SECOND)
             found["most_bytes_s"] = max(moved) / (self.now / SECOND)
         return found
+
+
+def one(scenario: Scenario, seed: int, name: str, trouble: Trouble) -> dict[str, float]:
+    found = Day(scenario, seed, name, trouble).play()
+    return {figure: found[figure] for figure in SHOWN if figure in found}
+
+
+def table(
+    scenario: Scenario, replicas: int, jobs: int, trouble: str, progress: Callable[[int, int], None]
+) -> dict[str, dict[str, Bar]]:
+    """By chooser and figure; all on the same days."""
+    kind = Trouble.named(trouble, scenario.fleet.relays)
+    work = [(name, day_seed(scenario, replica)) for replica in range(replicas) for name in NAMES]
+    found: dict[str, list[dict[str, float]]] = {name: [] for name in NAMES}
+    with ProcessPoolExecutor(jobs or None) as pool:
+        waiting = [(name, pool.submit(one, scenario, seed, name, kind)) for name, seed in work]
+        for done, (name, future) in enumerate(waiting, 1):
+            found[name].append(future.result())
+            progress(done, len(work))
+    return {name: bars(figures) for name, figures in found.items()}
