--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -18,7 +18,8 @@
 SECOND = 10_000  # tenths of a ms
 BUDGET = 3_000  # bytes a second for control at a relay, out and in, judges' messages among them
 JUDGES_PART = 400  # bytes a second of it, left to the judges' messages
-OUT_RATE = (BUDGET - JUDGES_PART) // 2  # bytes a second sent; as many come in on average
+BURST_PART = 100  # bytes a second of it, left to what a full bucket adds within a few seconds
+OUT_RATE = (BUDGET - JUDGES_PART - BURST_PART) // 2  # bytes a second sent; as many come in on average
 OWNER_RATE = 1_000  # bytes a second of OUT_RATE, at the most, for digests
 DATAGRAM = 28  # bytes of IP and UDP heads around each message
 DIGEST_BURST = 560  # bytes: digests that may go out at once
@@ -29,6 +30,7 @@
 OUT_FADES = SECOND // 4  # by then about two thirds of what is out have changed; the mean stands longer
 DIGEST_LIFE = 5 * SECOND  # after which a digest counts for nothing; it counts fully up to half of it
 SHARED = 8  # relays: where so many others use a unit, a relay moves by half of what a digest says
+NOTHING_DUE = SECOND // 20  # until the next look
 STOPPED = 1 * SECOND  # in which nothing ran, though something runs each half second
 SETTLES = SECOND // 5  # after a stop: what waited at the socket comes in this time and is dropped
 UNANSWERED = 3  # reports in a row without a digest: the owner is left out
@@ -117,8 +119,7 @@
         self.ran, self.settled_at = born, born
         self.send_at = born + int(chance.share() * SWEEP)
         self.sweep_at = born
-        self.digest_tokens, self.tokens_at = float(DIGEST_BURST), born
-        self.digest_rate = 0.0  # bytes a second of late
+        self.tokens, self.digest_tokens, self.tokens_at = 0.0, float(DIGEST_BURST), born  # bytes that may be sent
         self.askers = 1
         self.counts = dict.fromkeys(("reports", "digests", "bytes_out", "bytes_in"), 0)
         self.dropped = dict.fromkeys(Dropped, 0)
@@ -176,10 +177,9 @@
         if now < self.send_at:
             return []
         send = self.report(now)
-        if send is None:
-            self.send_at = max(self.send_at, now + SWEEP // 4)
-            return []
-        return [send]
+        if self.send_at <= now:  # nothing was due
+            self.send_at = now + NOTHING_DUE
+        return [send] if send else []
 
     def notice_stop(self, now: int) -> None:
         """Whoever comes back from a stop trusts nothing that is older than its end, nor what waited meanwhile."""
@@ -197,7 +197,6 @@
         self.owner.forget_old(now)
         senders = self.owner.senders.values()
         self.askers = max(1, sum(sender.wants_digest for sender in senders))
-        self.digest_rate *= 0.5
         for unit, followed in list(self.followed.items()):
             if not followed.out and now - followed.used_at > USED_SPAN:
                 del self.followed[unit]
@@ -223,6 +222,10 @@
     # reports
     def report(self, now: int) -> Send | None:
         """The next report due: the unit and owner told longest ago, and all other units of that owner."""
+        self.refill(now)
+        if self.tokens <= 0:  # digests took it
+            self.send_at = now + int(-self.tokens * SECOND / OUT_RATE) + 1
+            return None
         found = self.most_overdue(now)
         if found is None:
             return None
@@ -238,9 +241,10 @@
         data = encode(message)
         self.counts["reports"] += 1
         self.counts["bytes_out"] += len(data) + DATAGRAM
-        rate = OUT_RATE - min(self.digest_rate, OWNER_RATE)
-        pause = (len(data) + DATAGRAM) * SECOND / rate * (1 - SPREAD + 2 * SPREAD * self.chance.share())
-        self.send_at = max(self.send_at, now - SECOND // 10) + int(pause)
+        self.refill(now)
+        self.tokens -= len(data) + DATAGRAM
+        pause = (len(data) + DATAGRAM) * SECOND / OUT_RATE * (1 - SPREAD + 2 * SPREAD * self.chance.share())
+        self.send_at = now + max(int(pause), int(-self.tokens * SECOND / OUT_RATE) + 1)
         return Send(owner, data)
 
     def most_overdue(self, now: int) -> tuple[int, bool] | None:
@@ -329,12 +333,11 @@
     def answer(self, sender: int, report: Message, now: int) -> list[Send]:
         """The digest that a report gets, where the budget allows it."""
         size = DATAGRAM + len(report.rows) * 12 + 12
-        passed, self.tokens_at = now - self.tokens_at, now
-        self.digest_tokens = min(float(DIGEST_BURST), self.digest_tokens + passed * OWNER_RATE / SECOND)
-        if self.digest_tokens < size:
+        self.refill(now)
+        if self.tokens <= 0 or self.digest_tokens < size:
             return self.drop(Dropped.BUDGET)
+        self.tokens -= size
         self.digest_tokens -= size
-        self.digest_rate += size  # halved twice a second: so this is bytes a second
         rows = tuple(self.owner.others(sender, row.unit) for row in report.rows)
         pause = int(self.askers * size * SECOND / OWNER_RATE)
         data = encode(Message(DIGEST, pause, report.sequence, report.epoch, rows))
@@ -342,6 +345,12 @@
         self.counts["bytes_out"] += len(data) + DATAGRAM
         return [Send(sender, data)]
 
+    def refill(self, now: int) -> None:
+        """What may be sent by now; one message may overdraw it."""
+        passed, self.tokens_at = now - self.tokens_at, now
+        self.tokens = min(float(DIGEST_BURST), self.tokens + passed * OUT_RATE / SECOND)
+        self.digest_tokens = min(float(DIGEST_BURST), self.digest_tokens + passed * OWNER_RATE / SECOND)
+
     def take_digest(self, sender: int, digest: Message, now: int) -> list[Send]:
         """Its age is that of the report that it answers, so one that was held up anywhere is as old as it is."""
         pending = self.pending[digest.sequence % PENDING]
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -48,7 +48,7 @@
 
     @classmethod
     def named(cls, kind: str, relays: int) -> "Trouble":
-        """The standard ones: all messages lost or halves cut for 8 s, or a fifth of the relays stopped for 5 s as owners."""
+        """The standard ones: all messages lost or halves cut for 8 s, or a fifth of the owners stopped for 5 s."""
         if kind not in SPANS:
             raise ValueError(f"--trouble={kind}: not one of {', '.join(SPANS)}")
         return cls(kind, BEGINS, BEGINS + SPANS[kind], relays // 5)
