--- a/tealsail/choices/digest_messages.py
+++ b/tealsail/choices/digest_messages.py
@@ -1,6 +1,6 @@
 """Reports and digests of load as bytes.
 
-A message is a head of 12 bytes and up to 20 rows of 12 bytes.  Its length is a multiple of four, at least 24, which no
+A message is a head of 12 bytes and up to 20 rows of 12 bytes.  Its length is a multiple of four, at least 12, which no
 other message between relays has (tealsail/notes.py, hearsay.py): a relay that does not know the kind passes it over.
 A unit goes by all 56 bits of its number, so that no two of 12,000 share theirs.  The check covers head and rows.
 """
@@ -67,7 +67,7 @@
 
 def is_known(data: bytes) -> bool:
     """Whether its shape and first byte are of this kind of message; it may be spoilt all the same."""
-    return len(data) >= HEAD.size + ROW.size and not len(data) % 4 and REPORT <= data[0] <= DIGEST
+    return len(data) >= HEAD.size and not len(data) % 4 and REPORT <= data[0] <= DIGEST
 
 
 def decode(data: bytes) -> Message | None:
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -305,7 +305,7 @@
         """This relay owns the unit: no datagram."""
         self.owner.take(self.own, message, now)
         if message.kind == REPORT:
-            rows = tuple(self.owner.others(self.own, row.unit) for row in message.rows)
+            rows = self.rows_known(self.own, message, now)
             self.take_digest(self.own, Message(DIGEST, 0, message.sequence, message.epoch, rows), now)
 
     # messages
@@ -338,13 +338,18 @@
             return self.drop(Dropped.BUDGET)
         self.tokens -= size
         self.digest_tokens -= size
-        rows = tuple(self.owner.others(sender, row.unit) for row in report.rows)
+        rows = self.rows_known(sender, report, now)
         pause = int(self.askers * size * SECOND / OWNER_RATE)
         data = encode(Message(DIGEST, pause, report.sequence, report.epoch, rows))
         self.counts["digests"] += 1
         self.counts["bytes_out"] += len(data) + DATAGRAM
         return [Send(sender, data)]
 
+    def rows_known(self, asker: int, report: Message, now: int) -> tuple[Row, ...]:
+        """The rows of a digest, without units of which this owner knows too little."""
+        rows = [self.owner.others(asker, row.unit, now) for row in report.rows]
+        return tuple(row for row in rows if row is not None)
+
     def refill(self, now: int) -> None:
         """What may be sent by now; one message may overdraw it."""
         passed, self.tokens_at = now - self.tokens_at, now
--- a/tealsail/choices/load_owner.py
+++ b/tealsail/choices/load_owner.py
@@ -8,6 +8,8 @@
 from .digest_messages import LOW_16, LOW_32, REPORT, Message, Row
 
 LIFE = 50_000  # tenths of a ms for which a report counts
+LISTENS = 20_000  # tenths of a ms that an owner hears of a unit before it answers for it: until then "no other relay"
+# may only mean that the others have not reported yet; standbys are told at least as often
 MOST_ROWS_KEPT = 8_192  # of all units together: some 2 MB
 MOST_SENDERS = 4_096
 HALF_16, HALF_32 = 0x8000, 0x80000000
@@ -25,9 +27,10 @@
 class UnitLoad:
     """One unit: rows by relay, and their sums."""
 
-    __slots__ = ("by_relay", "out", "mean", "failing")
+    __slots__ = ("by_relay", "out", "mean", "failing", "since")
 
-    def __init__(self) -> None:
+    def __init__(self, now: int) -> None:
+        self.since = now  # when it was first heard of
         self.by_relay: dict[int, Told] = {}
         self.out = 0
         self.mean = 0.0
@@ -90,17 +93,17 @@
         if is_new and self.rows_kept >= MOST_ROWS_KEPT:
             return
         if load is None:
-            load = self.units[row.unit] = UnitLoad()
+            load = self.units[row.unit] = UnitLoad(now)
         self.rows_kept += is_new
         load.put(relay, Told(row.out, row.mean, now))
         if row.ended:
             load.failing += FAILING_STEP * (min(1.0, row.failed / row.ended) - load.failing)
 
-    def others(self, relay: int, unit: int) -> Row:
-        """What all but that relay have at the unit."""
+    def others(self, relay: int, unit: int, now: int) -> Row | None:
+        """What all but that relay have at the unit; None where too little was heard to say so."""
         load = self.units.get(unit)
-        if load is None:
-            return Row(unit, 0, 0.0, 0, 0)
+        if load is None or now - load.since < LISTENS:
+            return None
         mine = load.by_relay.get(relay)
         if mine is None:
             return Row(unit, load.out, max(0.0, load.mean), len(load.by_relay), round(255 * load.failing))
