--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -368,10 +368,15 @@
 
     scenario = read(chosen["SCENARIO"])
     many, trouble = number(chosen, "--replicas", max(2, FEWEST), MOST), chosen["--trouble"]
+    names = digest_days.NAMES if chosen["--choosers"] == "all" else chosen["--choosers"].split(";")
     with Shown("days") as progress:
-        found = digest_days.table(scenario, many, number(chosen, "--jobs", 0, 512), trouble, progress)
+        found, differ = digest_days.table(scenario, many, number(chosen, "--jobs", 0, 512), names, trouble, progress)
     title = f"{scenario.name}, trouble with messages: {trouble}: {many} simulated days each"
     show_choosers(title, found, digest_days.SHOWN, out)
+    for figure in ("waste", "p99_ms", "herd"):
+        if figure in differ:
+            each = differ[figure]
+            out.print(f"digests less no messages, {figure}: {each.mean:+.3f} ({each.low:+.3f} to {each.high:+.3f})")
     save_choosers(chosen, found)
     return 0
 
--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -20,7 +20,8 @@
   tealsail model losses OPTION... [--replicas=N] [--jobs=N] [--json=FILE] [--chart=FILE]
   tealsail model judges [--json=FILE] [--chart=FILE]
   tealsail model even SCENARIO [--replicas=N] [--jobs=N] [--json=FILE]
-  tealsail model digests SCENARIO [--replicas=N] [--jobs=N] [--trouble=KIND] [--json=FILE]
+  tealsail model digests SCENARIO [--replicas=N] [--jobs=N] [--trouble=KIND] [--choosers=LIST]
+                         [--json=FILE]
   tealsail model cost [--json=FILE] [--chart=FILE]
   tealsail model fields
   tealsail hunt SCENARIO [--days=N] [--seed=N] [--jobs=N] [--most=LIMITS] [--json=FILE]
@@ -62,6 +63,7 @@
   --at-once=N        Real days side by side: each needs a core or more [default: 1].
   --jobs=N           Processes; 0: one a core [default: 0].
   --days=N           Days of a hunt [default: 40].
+  --choosers=LIST    Which of them, apart by semicolons [default: all].
   --trouble=KIND     Of digests' messages: none, lost or cut for 8 s, owners stopped for 5 s [default: none].
   --most=LIMITS      What a hunt lets pass: waste, and herd and idle over even draws [default: waste=0.5,herd=3,idle=6].
   --draws=N          Bootstrap draws of a fit [default: 40].
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -20,7 +20,7 @@
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
 from ..world.unit import NEVER, Asked, Unit
-from .bars import Bar, bars
+from .bars import Bar, Difference, bars, differences
 from .runs import day_seed
 from .scenario import Scenario
 from .traffic import clients_of
@@ -35,6 +35,7 @@
 SPANS = {"none": 0, "lost": 8 * SECOND, "cut": 8 * SECOND, "stopped": 5 * SECOND}
 ASKED = "the asked tracker"
 NAMES = ("even draws", "two, seen exactly", ASKED, "few, no messages", "subset, no messages", "subset, digests")
+AGAINST, OURS = NAMES[-2:]
 SHOWN = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "even_99th", "even_least", "bytes_s", "most_bytes_s")
 
 
@@ -316,15 +317,27 @@
 
 
 def table(
-    scenario: Scenario, replicas: int, jobs: int, trouble: str, progress: Callable[[int, int], None]
-) -> dict[str, dict[str, Bar]]:
-    """By chooser and figure; all on the same days."""
+    scenario: Scenario,
+    replicas: int,
+    jobs: int,
+    names: Sequence[str],
+    trouble: str,
+    progress: Callable[[int, int], None],
+) -> tuple[dict[str, dict[str, Bar]], dict[str, Difference]]:
+    """By chooser and figure, and the digests less no messages, day by day; all on the same days.
+    Raises ValueError for a chooser or a trouble that there is not."""
+    unknown = [name for name in names if name not in NAMES]
+    if unknown:
+        raise ValueError(f"--choosers: {unknown[0]!r} is none of {'; '.join(NAMES)}")
     kind = Trouble.named(trouble, scenario.fleet.relays)
-    work = [(name, day_seed(scenario, replica)) for replica in range(replicas) for name in NAMES]
-    found: dict[str, list[dict[str, float]]] = {name: [] for name in NAMES}
+    work = [(name, day_seed(scenario, replica)) for replica in range(replicas) for name in names]
+    found: dict[str, list[dict[str, float]]] = {name: [] for name in names}
     with ProcessPoolExecutor(jobs or None) as pool:
         waiting = [(name, pool.submit(one, scenario, seed, name, kind)) for name, seed in work]
         for done, (name, future) in enumerate(waiting, 1):
             found[name].append(future.result())
             progress(done, len(work))
-    return {name: bars(figures) for name, figures in found.items()}
+    differ = {}
+    if AGAINST in found and OURS in found:
+        differ = differences(found[AGAINST], found[OURS])
+    return {name: bars(figures) for name, figures in found.items()}, differ
