--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -22,6 +22,7 @@
 OUT_RATE = (BUDGET - JUDGES_PART - BURST_PART) // 2  # bytes a second sent; as many come in on average
 OWNER_RATE = 1_000  # bytes a second of OUT_RATE, at the most, for digests
 DATAGRAM = 28  # bytes of IP and UDP heads around each message
+REPORTS_LEAVE = 280  # bytes of the account that reports leave to digests: else owners fall silent
 DIGEST_BURST = 560  # bytes: digests that may go out at once
 MOST_USED = 64  # units that a relay follows; those beyond are chosen without digests
 USED_SPAN = 2 * SECOND  # a unit with nothing out for so long is followed no longer
@@ -223,8 +224,8 @@
     def report(self, now: int) -> Send | None:
         """The next report due: the unit and owner told longest ago, and all other units of that owner."""
         self.refill(now)
-        if self.tokens <= 0:  # digests took it
-            self.send_at = now + int(-self.tokens * SECOND / OUT_RATE) + 1
+        if self.tokens < REPORTS_LEAVE:
+            self.send_at = now + self.wait_for(REPORTS_LEAVE)
             return None
         found = self.most_overdue(now)
         if found is None:
@@ -244,15 +245,14 @@
         self.refill(now)
         self.tokens -= len(data) + DATAGRAM
         pause = (len(data) + DATAGRAM) * SECOND / OUT_RATE * (1 - SPREAD + 2 * SPREAD * self.chance.share())
-        self.send_at = now + max(int(pause), int(-self.tokens * SECOND / OUT_RATE) + 1)
+        self.send_at = now + max(int(pause), self.wait_for(REPORTS_LEAVE))
         return Send(owner, data)
 
     def most_overdue(self, now: int) -> tuple[int, bool] | None:
         """The owner to report to, and whether as a standby."""
         best, found = -1, None
+        self.rank_one()
         for followed in self.followed.values():
-            if not followed.owners:
-                followed.owners = self.rendezvous.ranked(followed.number)
             for place, owner in enumerate(self.owners_of(followed, now)):
                 state = self.owners.get(owner)
                 if state and state.next_at > now:
@@ -266,6 +266,14 @@
                     best, found = waited, (owner, place > 0)
         return found
 
+    def rank_one(self) -> None:
+        """Works out the owners of one unit that has none yet: at 1,300 relays this takes a millisecond or so, and
+        requests wait meanwhile."""
+        for followed in self.followed.values():
+            if not followed.owners:
+                followed.owners = self.rendezvous.ranked(followed.number)
+                return
+
     def owners_of(self, followed: Followed, now: int) -> list[int]:
         """The first in the unit's order that are not left out."""
         heard = [owner for owner in followed.owners if not self.is_muted(owner, now)]
@@ -345,6 +353,10 @@
         self.counts["bytes_out"] += len(data) + DATAGRAM
         return [Send(sender, data)]
 
+    def wait_for(self, tokens: int) -> int:
+        """Tenths of a ms until so many bytes may be sent."""
+        return int((tokens - self.tokens) * SECOND / OUT_RATE) + 1
+
     def rows_known(self, asker: int, report: Message, now: int) -> tuple[Row, ...]:
         """The rows of a digest, without units of which this owner knows too little."""
         rows = [self.owner.others(asker, row.unit, now) for row in report.rows]
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -270,6 +270,29 @@
         self.assertGreater(machine.dropped[Dropped.BUDGET], 0)
         self.assertGreater(pause, 2 * SECOND)
 
+    def test_reports_of_its_own_leave_an_owner_enough_to_answer(self):
+        """Guards against owners that fall silent under their own reports, and are left out for it."""
+        machine = LoadDigests(0, 1_300, 0, Chance(1))
+        for unit in UNITS[:32]:
+            machine.sent(unit, 0)
+        answered = 0
+        for at in range(0, 10 * SECOND, 50):
+            machine.tick(at)
+            if not at % 1_000:  # ten a second, 520 bytes
+                answered += len(
+                    machine.received(1 + at // 1_000 % 50, report(1 + at // 1_000, Row(7, 1, 1.0, 0, 0)), at)
+                )
+        self.assertGreater(answered, 95)
+
+    def test_owners_of_one_unit_at_a_time_are_worked_out(self):
+        """Guards against a timer that keeps requests waiting for 64 units' orders at once."""
+        machine = LoadDigests(0, 1_300, 0, Chance(1))
+        for unit in UNITS[:32]:
+            machine.sent(unit, 0)
+        for count in range(1, 5):
+            machine.report(count * SECOND)
+            self.assertEqual(sum(bool(each.owners) for each in machine.followed.values()), count)
+
     def test_spoilt_foreign_and_old_messages_are_dropped_and_counted(self):
         machine = LoadDigests(0, 3, 0, Chance(1))
         good = report(5, Row(7, 1, 1.0, 0, 0))
