--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -8,8 +8,7 @@
 
 import heapq
 import traceback
-from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import Any, Callable, Iterable, NamedTuple, Union
 
 from .policy import Relay
 from .settings import NOBODY
@@ -37,7 +36,7 @@
     """Final answer: failed, nothing is promised."""
 
 
-Step = Shoot | Reject | Forfeit | None
+Step = Union[Shoot, Reject, Forfeit, None]
 
 
 class Outcome(NamedTuple):
@@ -105,7 +104,7 @@
     age: int
 
 
-News = Outcome | Departed | Units | Standing | Counted | Heard | Flagged
+News = Union[Outcome, Departed, Units, Standing, Counted, Heard, Flagged]
 
 
 class Vote(NamedTuple):
@@ -127,8 +126,7 @@
 
 
 class Wants(NamedTuple):
-    """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was
-    asked)."""
+    """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was asked)."""
 
     votes: list[Vote]
     notes: list[Note]
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -1,6 +1,7 @@
 """The relay that wires clients, units, discovery, the platform and peers to the facade."""
 
 from collections.abc import Callable
+from hashlib import blake2b
 from typing import Any
 
 from loguru import logger
@@ -9,9 +10,9 @@
 
 from .. import settings
 from ..choices.clock import Clock, Stamps, disregard
-from ..choices.endings import LastLooks, door_held
+from ..choices.endings import enough
 from ..choices.flood import Flood, limits
-from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
+from ..choices.pauses import UNTOLD, WITHIN, Pauses, by_fleet, first_question
 from ..choices.switch import Fixed, Switch
 from ..facade import (
     Counted,
@@ -31,9 +32,9 @@
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
 from .counters import Counters
-from .discovery import Discovery, Entry, News, number_of
-from .kept import cancel
+from .discovery import Discovery, Entry, News
 from .kernel import hold, take_in
+from .kept import cancel
 from .peers import Peers, pair
 from .platform import Platform, State
 from .start import Assignment
@@ -48,6 +49,11 @@
 LOOK = 1.0  # seconds between looks at the clocks
 
 
+def number_of(name: str) -> int:
+    """A unit's number for its name in the list; the same in every run."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
+
+
 class Serving:
     """One invocation on its way: a shot as the facade says, its outcome back, until there is an answer."""
 
@@ -205,7 +211,10 @@
         self.door: Any = None  # where clients come in
         self.holding: Any = None  # the timer of a door that is held until the list has come
         self.post: Any = None  # where notes come in
-        self.last_looks: LastLooks | None = None  # at who is left, once it ends
+        self.enough, self.empty = (
+            0,
+            False,
+        )  # when nothing is waited for any longer, once it ends; nobody at the last look
         self.timer: Any = None
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.looking: Any = None  # the timer of the next look at the clocks
@@ -240,14 +249,13 @@
         wait = first_question(
             self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
         )
-        held = door_held(wait)
-        if held is not None:
-            self.holding = self.reactor.callLater(held, self.open)
-            hold(self.door, True)
-        if wait is None:
-            self.discovery.start()
-        else:
-            self.discovery.begin(known.version, wait)
+        if wait is not None:
+            return self.discovery.begin(known.version, wait)
+        # what is asked for at once counts as told from this process's first moment: whoever comes before it waits in the
+        # kernel, for some ms; where nothing comes, or not soon, the old copy has to do
+        self.holding = self.reactor.callLater(UNTOLD, self.open)
+        hold(self.door, True)
+        self.discovery.start()
 
     def open(self) -> None:
         """Clients may come in."""
@@ -288,8 +296,7 @@
                 self.platform.anew()
 
     def assign(self, told: Assignment) -> None:
-        """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes
-        nothing."""
+        """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes nothing."""
         if told.own != self.told.own:
             raise ValueError(f"of another relay: {' '.join(told.own)}")
         try:
@@ -420,26 +427,23 @@
         return self.stopped
 
     def leave(self) -> None:
-        """Idle connections end.  The door stays open until nobody is left, for those whose query crosses such an end
-        and who come again; nobody else does.  Notes still come, since those who are served may need another relay's
-        word."""
+        """Idle connections end.  The door stays open until nobody is left, for those whose query crosses such an end and who
+        come again; nobody else does.  Notes still come, since those who are served may need another relay's word."""
         self.open()
         self.clients.stop_sweeping()
-        deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.last_looks = LastLooks(self.clock(), deadlines)
+        self.enough = enough(self.clock(), [each.get("abandon", 0) for each in self.switch.facts["workloads"]])
         self.finish()
 
     def finish(self) -> None:
-        """A look at who is left, again and again until it is the last: what the kernel has let in is ours."""
-        now = self.clock()
-        late = self.last_looks.late(now)
+        """The end once two looks in a row found nobody: what the kernel has let in is ours."""
+        late, empty = self.clock() > self.enough, self.empty
         if not late:
             take_in(self.door, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
-        over = self.last_looks.over(now, len(self.clients.connections))
+        self.empty = not self.clients.connections
         if late:  # who does not read its answer, or comes again and again, would keep this
             self.clients.cut()  # relay for ever
-        if not over:
+        if not (self.empty and (empty or late)):
             self.reactor.callLater(LAST, self.finish)
             return
         self.door.stopListening()
