--- a/tealsail/adapter/frames.py
+++ b/tealsail/adapter/frames.py
@@ -2,6 +2,7 @@
 
 import sys
 import traceback
+from functools import partial
 from typing import Any, BinaryIO, TextIO
 
 from ..policy import Relay
@@ -217,8 +218,10 @@
     except Exception as problem:
         if came_from_here(problem):
             missing = isinstance(problem, KeyError)
-            raise BadInput(f"{name}: " + (f"no or unknown {problem.args[0]!r}" if missing else str(problem)))
-        wire.guarded(fields.get("relay", "0"), lambda: raise_again(problem))
+            raise BadInput(
+                f"{name}: " + (f"no or unknown {problem.args[0]!r}" if missing else str(problem))
+            ) from problem
+        wire.guarded(fields.get("relay", "0"), partial(raise_again, problem))
 
 
 def came_from_here(problem: BaseException) -> bool:
--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -1,9 +1,9 @@
 """What time it is taken for: even time for all intervals, Unix time only where stamps of others need it.
 
 Even time starts at the wall clock's and then goes on with a steady one, so a step of the wall clock moves no timer, no
-deadline and no evidence.  Steps are noticed and counted, and stamps of others (when a unit has started, in Unix time) are
-turned into even time by the wall clock of the moment when they were first seen.  A gap is a time in which nothing ran:
-a process that was stopped, a machine that slept.
+deadline and no evidence.  Steps are noticed and counted, and stamps of others (when a unit has started, in Unix time)
+are turned into even time by the wall clock of the moment when they were first seen.  A gap is a time in which nothing
+ran: a process that was stopped, a machine that slept.
 """
 
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 
 
 class Clock:
-    """`steady` and `wall` give seconds; called, it gives even time in tenths of a ms.  `woke` is told of a gap, in seconds,
-    before whoever asked for the time goes on."""
+    """`steady` and `wall` give seconds; called, it gives even time in tenths of a ms.  `woke` is told of a gap, in
+    seconds, before whoever asked for the time goes on."""
 
     def __init__(
         self, steady: Callable[[], float], wall: Callable[[], float], woke: Callable[[float], Any] | None = None
@@ -39,8 +39,8 @@
         return self.last
 
     def look(self) -> float:
-        """By how many seconds the wall clock has stepped ahead since the last look (below zero: back), 0 for not; call it
-        about once a second."""
+        """By how many seconds the wall clock has stepped ahead since the last look (below zero: back), 0 for not;
+        call it about once a second."""
         self()
         ahead = self.wall() - self.base / TENTHS - (self.ran - self.zero)
         step, self.ahead = ahead - self.ahead, ahead
@@ -75,8 +75,8 @@
 
 
 def disregard(relay: Any, now: int) -> None:
-    """Nothing ran for a while: what is out now was held up here, and what comes of it says nothing of builds, units or load.
-    `relay` is the module's (tealsail/policy.py); `now` in tenths of a ms."""
+    """Nothing ran for a while: what is out now was held up here, and what comes of it says nothing of builds, units
+    or load. `relay` is the module's (tealsail/policy.py); `now` in tenths of a ms."""
     for invocation in relay.known.values():
         for shot in invocation.shots:
             shot.group = None  # no evidence
--- a/tealsail/choices/flood.py
+++ b/tealsail/choices/flood.py
@@ -1,7 +1,7 @@
 """How many notes of other relays are taken: so many a second of each, and of all together.
 
-A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push out
-what others tell; where all together tell too much, who has told least of late is heard first.
+A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push
+out what others tell; where all together tell too much, who has told least of late is heard first.
 """
 
 from typing import NamedTuple
@@ -27,8 +27,8 @@
 
 
 class Flood:
-    """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for each
-    sender that is known."""
+    """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for
+    each sender that is known."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
--- a/tealsail/choices/hearsay.py
+++ b/tealsail/choices/hearsay.py
@@ -107,8 +107,9 @@
         return found
 
     def troubled(self, own: int, alone: bool) -> dict[int, float]:
-        """By zone, the part of its own relays, of those heard, for which it is in trouble that the list does not show.  In
-        its own zone a relay that has heard another counts itself (`alone`) too; with nobody heard nothing is agreed."""
+        """By zone, the part of its own relays, of those heard, for which it is in trouble that the list does not
+        show.  In its own zone a relay that has heard another counts itself (`alone`) too; with nobody heard nothing
+        is agreed."""
         heard: dict[int, list[bool]] = {}
         for _, word in self.words.values():
             heard.setdefault(word.own, []).append(word.alone)
@@ -117,8 +118,8 @@
         return {zone: sum(each) / len(each) for zone, each in heard.items()}
 
     def evidence(self) -> list[Seen]:
-        """Answers that others had, each relay's once a span and no more than a few, since this was last asked.  Misses are
-        left out: they may be the teller's own trouble."""
+        """Answers that others had, each relay's once a span and no more than a few, since this was last asked.
+        Misses are left out: they may be the teller's own trouble."""
         found = [Seen(seen.zone, *scaled(seen.good, seen.late), 0) for seen in self.news]
         self.news.clear()
         return found
--- a/tealsail/choices/pauses.py
+++ b/tealsail/choices/pauses.py
@@ -1,7 +1,7 @@
 """How long a relay waits before it tries again what all relays of its fleet try.
 
-Guards against a fleet in step: what 40 relays asked for together, and together again after the same pauses, was more than
-the list of units could answer at any one time, so nobody was ever answered.
+Guards against a fleet in step: what 40 relays asked for together, and together again after the same pauses, was more
+than the list of units could answer at any one time, so nobody was ever answered.
 """
 
 from ..parts import Chance
@@ -18,8 +18,8 @@
 class Pauses:
     """Pauses in seconds, each drawn by chance around a bound that doubles until `reset`.
 
-    `first` and `longest` bound the mean in seconds; a try is followed by a pause of 0.1 to 1.9 times the bound, so that two
-    draws part a fleet that began in step.
+    `first` and `longest` bound the mean in seconds; a try is followed by a pause of 0.1 to 1.9 times the bound, so
+    that two draws part a fleet that began in step.
     """
 
     def __init__(
@@ -40,14 +40,16 @@
 
 def by_fleet(chance: Chance, relays: int, within: float) -> Pauses:
     """After having been turned away for too much asked by all: what the fleet asks a second stays the same however many
-    relays it has, but for the limit: a relay has to ask again `within` so many seconds, or counts as told all the same."""
+    relays it has, but for the limit: a relay has to ask again `within` so many seconds, or counts as told all the
+    same."""
     limit = within * PART
     longest = min(max(LONGEST_AGAIN, LONGEST_EACH * relays), limit)
     return Pauses(chance, min(max(AGAIN, EACH * relays), longest), longest, limit)
 
 
 def first_question(chance: Chance, relays: int, within: float, on_request: bool, known: bool) -> float | None:
-    """Seconds until a relay that starts asks for what is new since the list it was told; None: for the whole list, at once.
+    """Seconds until a relay that starts asks for what is new since the list it was told; None: for the whole list, at
+    once.
 
     Where lists are asked for, each question is work for their keeper and all that started together would ask together.
     """
--- a/tealsail/choices/returning.py
+++ b/tealsail/choices/returning.py
@@ -45,8 +45,9 @@
         return int(min(zoning.longest_wait, zoning.wait << min(self.flaps, 20)) * (0.75 + 0.5 * self.luck))
 
     def beat(self, now: int, usual: float = 1 << 30) -> None:
-        """`usual`: shots that the zone is sent in a step when it is whole.  A step needs so many answers in time, or half of
-        what can be had, one at the least: among hundreds of relays each has little, and all of it together is much."""
+        """`usual`: shots that the zone is sent in a step when it is whole.  A step needs so many answers in time, or
+        half of what can be had, one at the least: among hundreds of relays each has little, and all of it together is
+        much."""
         if self.state == WAITING and now >= self.since + self.wait():
             self.turn(RAMP, self.zoning.first, now)
         elif self.state == RAMP:
--- a/tealsail/choices/spill.py
+++ b/tealsail/choices/spill.py
@@ -33,10 +33,10 @@
 def split(
     order: list[Tier], zones: dict[int, View], give: dict[int, float], zoning: Zoning, company: float = 1.0
 ) -> Split:
-    """`give`: 0 to 1 by zone, how far evidence lets work spill there.  `company`: the part of the relays of one's own zone
-    that are in the same trouble; the fewer, the more each may have of what is their zone's together.  The first tier is the nearest that ever had
-    units.  Where all zones fell alike nothing spills: there is nowhere better.  The usual use of a zone is taken to go
-    with its usual weight."""
+    """`give`: 0 to 1 by zone, how far evidence lets work spill there.  `company`: the part of the relays of one's own
+    zone that are in the same trouble; the fewer, the more each may have of what is their zone's together.  The first
+    tier is the nearest that ever had units.  Where all zones fell alike nothing spills: there is nowhere better.  The
+    usual use of a zone is taken to go with its usual weight."""
     part, health = parts({zone: view.able / view.usual if view.usual > 0 else 0.0 for zone, view in zones.items()})
     if not any(part.values()):
         return Split([0.0] * len(order), {})
@@ -99,8 +99,8 @@
         self.good, self.bad = self.good + (not late), self.bad + late
 
     def beat(self, late_part: float) -> None:
-        """Twice a second, on what was seen since the last time that there was enough.  One late answer more than the part
-        allows passes: else a relay with few answers takes chance for a fire (one late of three)."""
+        """Twice a second, on what was seen since the last time that there was enough.  One late answer more than the
+        part allows passes: else a relay with few answers takes chance for a fire (one late of three)."""
         seen = self.good + self.bad
         if seen >= self.FEW and self.bad > late_part * seen + 1:
             self.level = max(self.LEAST, self.level * self.FALL)
--- a/tealsail/choices/switch.py
+++ b/tealsail/choices/switch.py
@@ -1,8 +1,8 @@
 """New settings in a running relay: what may change, and what holds until the last invocation of before is over.
 
-The switch is one point between two events.  What was taken before is finished within the stricter of the two settings where
-a rule differs, and so is what comes meanwhile: a moment of less freedom, for no more than the longest wait of a client.
-The way back is the same step.
+The switch is one point between two events.  What was taken before is finished within the stricter of the two settings
+where a rule differs, and so is what comes meanwhile: a moment of less freedom, for no more than the longest wait of a
+client. The way back is the same step.
 """
 
 from collections.abc import Callable, Iterable
@@ -64,8 +64,8 @@
 
 
 def hold(relay: Relay, fresh: Relay, strict: bool) -> None:
-    """The relay (tealsail/policy.py) holds the facts of `fresh`, which was built with them; if `strict`, the stricter of
-    its own and those."""
+    """The relay (tealsail/policy.py) holds the facts of `fresh`, which was built with them; if `strict`, the stricter
+    of its own and those."""
     before = dict(relay.facts)
     for name in before.keys() - fresh.facts.keys():
         del relay.facts[name]
@@ -80,7 +80,8 @@
 
 
 class Fixed(ValueError):
-    """Settings that differ and need a restart, by name; `foreign`: so much that they are another fleet's or customer's."""
+    """Settings that differ and need a restart, by name; `foreign`: so much that they are another fleet's or
+    customer's."""
 
     def __init__(self, needs: list[str]) -> None:
         super().__init__(f"{', '.join(needs)}: needs a restart")
@@ -103,8 +104,8 @@
         self.at_hand: set[int] = set()
 
     def change(self, facts: dict[str, Any]) -> list[str]:
-        """New settings between two events; returns the names of what differs.  Nothing changes if it raises: Fixed for what
-        needs a restart, or what the module raises that can't be built with them."""
+        """New settings between two events; returns the names of what differs.  Nothing changes if it raises: Fixed
+        for what needs a restart, or what the module raises that can't be built with them."""
         needs = fixed(self.facts, facts)
         if needs:
             raise Fixed(needs)
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -283,8 +283,8 @@
         return fit
 
     def may_spill(self, zone: Zone) -> bool:
-        """The stated limits, of this relay's own figures: a share of all, and a rate over the zone's own use.  One above
-        is let through, so that a relay with little to do can spill at all."""
+        """The stated limits, of this relay's own figures: a share of all, and a rate over the zone's own use.  One
+        above is let through, so that a relay with little to do can spill at all."""
         now = self.relay.now
         taken, gone = self.taken.total(now), sum([ring.total(now) for ring in self.spilled.values()])
         limit = max(self.room.get(zone.place, 0.0), FAR / len(self.order[zone.tier].zones))
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -51,8 +51,8 @@
 
 
 class Reloads:
-    """The configuration's file, read again when that is asked for.  One that can't be used changes nothing; one that is half
-    written is looked at again, for as long as the former addresses may still answer."""
+    """The configuration's file, read again when that is asked for.  One that can't be used changes nothing; one that
+    is half written is looked at again, for as long as the former addresses may still answer."""
 
     def __init__(self, reactor: Any, relay: Relay) -> None:
         self.reactor, self.relay, self.timer = reactor, relay, None
@@ -88,7 +88,8 @@
 
 
 def steady_clock() -> Callable[[], float]:
-    """Seconds of a clock that never steps; one that counts the time in which a machine sleeps where the system has it."""
+    """Seconds of a clock that never steps; one that counts the time in which a machine sleeps where the system has
+    it."""
     try:
         boot = time.CLOCK_BOOTTIME
         time.clock_gettime(boot)
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -8,7 +8,8 @@
 
 import heapq
 import traceback
-from typing import Any, Callable, Iterable, NamedTuple, Union
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
 
 from .policy import Relay
 from .settings import NOBODY
@@ -35,7 +36,7 @@
     """Final answer: failed, nothing is promised."""
 
 
-Step = Union[Shoot, Reject, Forfeit, None]
+Step = Shoot | Reject | Forfeit | None
 
 
 class Outcome(NamedTuple):
@@ -103,7 +104,7 @@
     age: int
 
 
-News = Union[Outcome, Departed, Units, Standing, Counted, Heard, Flagged]
+News = Outcome | Departed | Units | Standing | Counted | Heard | Flagged
 
 
 class Vote(NamedTuple):
@@ -125,7 +126,8 @@
 
 
 class Wants(NamedTuple):
-    """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was asked)."""
+    """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was
+    asked)."""
 
     votes: list[Vote]
     notes: list[Note]
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -1,8 +1,8 @@
 """What could be had: plain ways to choose a unit, on the same arrivals, work and units as the program in the model.
 
-No relay, note or delay is played, only who gets each first try at the moment when it comes; a chooser that sees all units exactly is
-the bound.  The ideas are published (Mitzenmacher, The Power of Two Choices, 1996, and How Useful Is Old Information, 2000); the code is
-our own.
+No relay, note or delay is played, only who gets each first try at the moment when it comes; a chooser that sees all
+units exactly is the bound.  The ideas are published (Mitzenmacher, The Power of Two Choices, 1996, and How Useful Is
+Old Information, 2000); the code is our own.
 """
 
 import heapq
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -1,6 +1,7 @@
 """What a record says of a day: service, answers, latencies and what the roll-out cost, from its lines alone."""
 
 from array import array
+
 import msgspec
 import numpy
 
@@ -11,9 +12,9 @@
 
 
 class Result(msgspec.Struct):
-    """One day in figures.  `series` holds a value for each second of the day: asked, service; where there are zones, for
-    each its service and asked, and `shots.a>b`, from relays of one zone to units of another; `cold`, how close a unit that
-    had just started came to what it may be sent (1)."""
+    """One day in figures.  `series` holds a value for each second of the day: asked, service; where there are zones,
+    for each its service and asked, and `shots.a>b`, from relays of one zone to units of another; `cold`, how close a
+    unit that had just started came to what it may be sent (1)."""
 
     name: str
     seed: int
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -4,10 +4,11 @@
 days it holds what differs between days of one machine, which the shots of a single day can't tell.
 
 Work by workload: the quantiles of what was seen where there is enough of it, else a lognormal by maximum likelihood.
-Where a record has the units' own lines (ran, done), each shot's share of the cores is summed up over its time: its work,
-whatever company it had; where it has a relay's alone, the time of shots that found their unit without any other counts.
-Cold units are left out.  A build's pace is the ratio of its mean to that of the build before, workload by workload.
-The overhead is what the relay and the sockets add: from a client's intended send to the unit, and from the unit to it.
+Where a record has the units' own lines (ran, done), each shot's share of the cores is summed up over its time: its
+work, whatever company it had; where it has a relay's alone, the time of shots that found their unit without any other
+counts. Cold units are left out.  A build's pace is the ratio of its mean to that of the build before, workload by
+workload. The overhead is what the relay and the sockets add: from a client's intended send to the unit, and from the
+unit to it.
 """
 
 from collections import deque
@@ -192,7 +193,8 @@
 
 
 def fit(paths: Path | str | list[Path | str], draws: int = 20, seed: int = 1) -> Fit:
-    """From a record or several of the same fleet.  Raises as `seen_in`, and ValueError where they don't belong together."""
+    """From a record or several of the same fleet.  Raises as `seen_in`, and ValueError where they don't belong
+    together."""
     paths = paths if isinstance(paths, list) else [paths]
     days = [seen_in(path) for path in paths]
     chance = numpy.random.default_rng(seed)
@@ -211,7 +213,7 @@
         likely = len(values) < ENOUGH
         again = [resampled(values_of([seen], place, base) or by_day, chance) for seen in chosen]
         note = (
-            f"few shots: wide; a lognormal by maximum likelihood"
+            "few shots: wide; a lognormal by maximum likelihood"
             if likely and len(values) < FEW
             else "a lognormal by maximum likelihood"
             if likely
--- a/tealsail/lab/hunt.py
+++ b/tealsail/lab/hunt.py
@@ -1,8 +1,8 @@
-"""A hunt: random schedules of faults over a scenario in the model, judged by the rules and by how even the load was; a day
-that fails is shrunk to the fewest lines of script that still make it fail.
+"""A hunt: random schedules of faults over a scenario in the model, judged by the rules and by how even the load was;
+a day that fails is shrunk to the fewest lines of script that still make it fail.
 
-A schedule is text in the script's language, so what is found is played by `model run` and by `trial` alike.  Hypothesis is
-not used for the shrinking: a day takes seconds, and lines are dropped one after another just as well.
+A schedule is text in the script's language, so what is found is played by `model run` and by `trial` alike.
+Hypothesis is not used for the shrinking: a day takes seconds, and lines are dropped one after another just as well.
 """
 
 import os
--- a/tealsail/lab/imports.py
+++ b/tealsail/lab/imports.py
@@ -1,8 +1,9 @@
 """Records made from other traces: CSV for now."""
 
 import csv
+from collections.abc import Iterator
 from pathlib import Path
-from typing import Iterator, NamedTuple
+from typing import NamedTuple
 
 from ..record.files import Writer
 from ..record.lines import VERSION, Head, Take
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -1,7 +1,7 @@
 """One judge of a large fleet: what it hears, what that costs, and when it votes; honest relays and mad ones.
 
-The judge is the facade that real relays use; of the others only what they tell is played: outcomes drawn for each, told in
-the form, at the times and to the number of receivers that the module has them tell.
+The judge is the facade that real relays use; of the others only what they tell is played: outcomes drawn for each,
+told in the form, at the times and to the number of receivers that the module has them tell.
 """
 
 import time
@@ -57,8 +57,8 @@
             self.counts[:, first + BUCKET] += many - failed
 
     def notes(self, relay: int, beat: int, thin: int, matched: bool = True, rows: bool = True) -> list[bytes]:
-        """What a relay tells at that beat, as the module has it (tealsail/policy.py, Judge.tell).  Not `matched`: as it was,
-        when only failures of the canary were told each half second; not `rows`: as it was, cell by cell."""
+        """What a relay tells at that beat, as the module has it (tealsail/policy.py, Judge.tell).  Not `matched`: as
+        it was, when only failures of the canary were told each half second; not `rows`: as it was, cell by cell."""
         counts, told = self.counts[relay], self.told[relay]
         pressing = counts[FAILED] > told[FAILED] or matched and counts[ROW + FAILED] > told[ROW + FAILED]
         if not ((beat // 2 + relay) % thin == 0 and (beat % 2 or pressing)):
@@ -93,12 +93,13 @@
     lost: tuple[float, float] = (1e9, 1e9),
     earlier: float = 0.0,
 ) -> Heard_Fleet:
-    """`rate`: outcomes a second of canary and of baseline at each relay; `mad` relays tell `lies` notes a second that the
-    canary fails, each of another start.  `together`: all relays started in the same half second, so they tell in the same.
-    `lasting`: the build has been released, its units all fail a little as the judge itself sees them, and the day ends with a
-    vote back only; else with any vote.  `turns`: from that second on the canary fails with that share.  `restart`: at that second the
-    judge starts anew and knows nothing of what was told; `lost`: between these seconds no note comes; `earlier`: that part of the
-    relays tells as relays of before do, while a fleet is rolled."""
+    """`rate`: outcomes a second of canary and of baseline at each relay; `mad` relays tell `lies` notes a second that
+    the canary fails, each of another start.  `together`: all relays started in the same half second, so they tell in
+    the same. `lasting`: the build has been released, its units all fail a little as the judge itself sees them, and
+    the day ends with a vote back only; else with any vote.  `turns`: from that second on the canary fails with that
+    share.  `restart`: at that second the judge starts anew and knows nothing of what was told; `lost`: between these
+    seconds no note comes; `earlier`: that part of the relays tells as relays of before do, while a fleet is
+    rolled."""
     now, index = START, judge_of(relays)
     facts = scenario(relays, UNITS).facts(index)
 
--- a/tealsail/lab/losses.py
+++ b/tealsail/lab/losses.py
@@ -11,7 +11,7 @@
 from .bars import Bar, Difference, bars, differences
 from .figures import SECOND, Result
 from .runs import Progress, days
-from .scenario import Scenario, over, convert
+from .scenario import Scenario, convert, over
 
 WITHIN, SMOOTH = 0.02, 3  # of the undisturbed day's service; seconds
 STAYS = 3  # seconds in which it must stay there
@@ -36,9 +36,9 @@
 def figures(hit: Result, calm: Result, at: int, lost: set[str]) -> dict[str, float]:
     """`at`: the second of the first fault; `lost`: zones that it takes.
 
-    recover_s: until service is within WITHIN of the undisturbed day's and stays for STAYS seconds; out_s: all seconds from
-    the fault on in which it is not; cost: payoff given away from the fault on, over payoff asked; overshoot: the most
-    that a zone that is not lost was sent in WINDOW seconds, over its mean on the undisturbed day.
+    recover_s: until service is within WITHIN of the undisturbed day's and stays for STAYS seconds; out_s: all seconds
+    from the fault on in which it is not; cost: payoff given away from the fault on, over payoff asked; overshoot: the
+    most that a zone that is not lost was sent in WINDOW seconds, over its mean on the undisturbed day.
     """
     most = min(len(hit.series["service"]), len(calm.series["service"]))
     with_it, without = (smooth(each.series["service"])[:most] for each in (hit, calm))
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -158,8 +158,8 @@
 
 
 class TrialTable(Strict):
-    """Of trials alone.  `beside` is another checkout of the program (the landing before, say), run by this part of the relays
-    at the start; `switch` in the script moves relays from one to the other."""
+    """Of trials alone.  `beside` is another checkout of the program (the landing before, say), run by this part of
+    the relays at the start; `switch` in the script moves relays from one to the other."""
 
     beside: str = ""
     beside_part: Share = 0.0
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -1,6 +1,6 @@
 """Recorded traffic as a day's clients: the first tries of a record, at their recorded times."""
 
-from typing import Iterator
+from collections.abc import Iterator
 
 from ..record.files import Notes, read
 from ..record.lines import Head, Take, Unreadable
--- a/tealsail/lab/trials.py
+++ b/tealsail/lab/trials.py
@@ -34,8 +34,8 @@
     progress: Callable[[int, int], None] | None = None,
     on_time: bool = True,
 ) -> tuple[Result, list[Breach]]:
-    """Real relays on loopback for the length of the scenario.  Raises Void where the trial itself broke, or ran late unless
-    that does not matter (`on_time`): the rules hold on a busy machine too, figures don't."""
+    """Real relays on loopback for the length of the scenario.  Raises Void where the trial itself broke, or ran late
+    unless that does not matter (`on_time`): the rules hold on a busy machine too, figures don't."""
     with tempfile.TemporaryDirectory() as folder:
         kept = Path(logs) if logs else Path(folder)
         kept.mkdir(parents=True, exist_ok=True)
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -5,7 +5,8 @@
 """
 
 import heapq
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from ..choices.clock import GAP, TENTHS, disregard
 from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
@@ -78,7 +79,8 @@
         )
 
     def waits(self, first: int, call: Callable[..., None], *what: Any) -> bool:
-        """Whether its process does not run: then the event waits for it; its timers (`first` 0) go before its sockets."""
+        """Whether its process does not run: then the event waits for it; its timers (`first` 0) go before its
+        sockets."""
         if self.stopped < 0:
             return False
         self.backlog.append((first, call, what))
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -1,7 +1,8 @@
 """Discovery: the list of units and its changes, over HTTP/1.1 with a parser of our own."""
 
 import json
-from typing import Any, Callable, NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from loguru import logger
 from twisted.internet.error import ConnectionDone
@@ -12,8 +13,9 @@
 from .kept import Ended, Kept
 
 LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 8 * 1024 * 1024
-# seconds: a watch's wait, ours beyond it, and a plain call's.  What a silent watch misses counts as told 2 s after its wait:
-# by then another answer must have come, so half of that is waited for and half is left for the next connection.
+# seconds: a watch's wait, ours beyond it, and a plain call's.  What a silent watch misses counts as told 2 s after
+# its wait: by then another answer must have come, so half of that is waited for and half is left for the next
+# connection.
 WATCH, SLACK, FIRST_WAIT = 20.0, 1.0, 4.0
 PART, WHOLE = 1.0, 3.0  # seconds for the next piece of a reply that has begun; for all of it
 STATES = ("ready", "draining", "gone")
--- a/tealsail/net/messages.py
+++ b/tealsail/net/messages.py
@@ -2,7 +2,8 @@
 back, each once."""
 
 import struct
-from typing import Iterator, NamedTuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 LONGEST = 256 * 1024  # a value of 64 KiB in hex, a statement round it, and room
 LONGEST_OPENING = 10_000
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -1,6 +1,6 @@
 """Other relays: notes as UDP datagrams."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from twisted.internet.protocol import DatagramProtocol
 
--- a/tealsail/net/start.py
+++ b/tealsail/net/start.py
@@ -7,8 +7,7 @@
 from .. import settings
 from ..setup.facts import BadFacts, check
 from .discovery import News, Unreadable, address, read_news
-from .platform import State, read_state
-from .platform import Unreadable as UnreadableState
+from .platform import State, Unreadable as UnreadableState, read_state
 
 
 class BadStart(Exception):
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -1,6 +1,7 @@
 """Units: their connections, kept and used again one shot at a time, and what comes back over them."""
 
-from typing import Any, Callable, NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from loguru import logger
 from twisted.internet.defer import Deferred
@@ -42,7 +43,7 @@
     def __init__(self, pool: "Pool") -> None:
         self.pool, self.counters = pool, pool.counters
         self.splitter = messages.Splitter(typed=True)
-        self.ready: Deferred["Connection"] = Deferred()  # set up; fails with the reason as its text
+        self.ready: Deferred[Connection] = Deferred()  # set up; fails with the reason as its text
         self.shot: Shot | None = None
         self.check: Shot | None = None  # waits for the answer to an empty query
         self.settled = self.told = self.written = self.proven = False
--- a/tealsail/notes.py
+++ b/tealsail/notes.py
@@ -34,8 +34,8 @@
 
 
 def new_cells(counts: list[int], told: list[int], row: int) -> list[tuple[int, int]]:
-    """Cells and counts of the rows that differ from what was told, as a whole: after lost notes what was served must not
-    be told without what failed."""
+    """Cells and counts of the rows that differ from what was told, as a whole: after lost notes what was served must
+    not be told without what failed."""
     return [
         (cell, counts[cell])
         for first in range(0, len(counts), row)
@@ -85,8 +85,8 @@
     """Cumulative counts of many senders and their sums: of two of one start the larger is the newer.
 
     Bounded by senders and cells, whatever restarts there are: of a sender the two starts heard of last are kept, since
-    notes of the one before may still be on their way.  What older ones counted stays in the sums, and by sender in one; their marks are kept
-    for a while, so that a note that was doubled does not count again.
+    notes of the one before may still be on their way.  What older ones counted stays in the sums, and by sender in
+    one; their marks are kept for a while, so that a note that was doubled does not count again.
     """
 
     def __init__(self, size: int, kinds: Sequence[Sequence[int]] = ()) -> None:
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -142,10 +142,10 @@
 
 
 def beyond(canary: list[list[int]], others: list[list[int]]) -> float:
-    """By how much the canary's failures, all rows', exceed their even share of all, on the scale of standard deviations:
-    the signed root of the likelihood ratio, which keeps to it where failures are few (five for half of one expected are
-    3.7, and not 6.4: by chance one in some thousands, of looks that are many).  Source: Barndorff-Nielsen and Cox,
-    Inference and Asymptotics, 1994."""
+    """By how much the canary's failures, all rows', exceed their even share of all, on the scale of standard
+    deviations: the signed root of the likelihood ratio, which keeps to it where failures are few (five for half of
+    one expected are 3.7, and not 6.4: by chance one in some thousands, of looks that are many).  Source:
+    Barndorff-Nielsen and Cox, Inference and Asymptotics, 1994."""
     (n, bad), (m, rest) = ([sum(row[at] for row in group) for at in (0, 1)] for group in (canary, others))
     even = (bad + rest) * (n + bad) / (n + bad + m + rest or 1)
     if not 0 < even < bad + rest:
@@ -171,8 +171,8 @@
 
 
 class Windows:
-    """By how much a pool grew of late, looked at each beat: in its latest twelve beats, in as many as `brief` and in the
-    latest minute, of which a pool is kept every ten beats."""
+    """By how much a pool grew of late, looked at each beat: in its latest twelve beats, in as many as `brief` and in
+    the latest minute, of which a pool is kept every ten beats."""
 
     SIZE = 12
 
@@ -218,7 +218,8 @@
 
 
 def in_rows(ordered: list[Unit], on_trial: Callable[[int], bool]) -> tuple[list[Unit], list[Unit]]:
-    """The units of earlier builds and those on trial, in order.  By build first: there are few, of thousands of units."""
+    """The units of earlier builds and those on trial, in order.  By build first: there are few, of thousands of
+    units."""
     rows: dict[int, list[Unit]] = {}
     for unit in ordered:
         rows.setdefault(unit.build, []).append(unit)
--- a/tealsail/record/files.py
+++ b/tealsail/record/files.py
@@ -3,8 +3,9 @@
 import gzip
 import io
 import zlib
+from collections.abc import Iterator
 from pathlib import Path
-from typing import Any, BinaryIO, Iterator
+from typing import Any, BinaryIO
 
 from .lines import VERSION, Any_Line, Close, Head, Line, Unreadable, decode, encode
 
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -4,7 +4,7 @@
 times (`at` and others) are whole tenths of a millisecond of one clock; a record's own zero is in its head.
 """
 
-from typing import Any, Union
+from typing import Any
 
 import msgspec
 
@@ -178,7 +178,9 @@
     late: int = 0
 
 
-Any_Line = Union[Head, Take, Shot, Met, Came, End, Ran, Done, Unit, Told, News, Vote, Stage, Life, Fault, Log, Close]
+Any_Line = (
+    Head | Take | Shot | Met | Came | End | Ran | Done | Unit | Told | News | Vote | Stage | Life | Fault | Log | Close
+)
 ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(Any_Line)
 
 
--- a/tealsail/record/recorder.py
+++ b/tealsail/record/recorder.py
@@ -6,9 +6,9 @@
 
 import queue
 import threading
+from collections.abc import Callable
 from hashlib import blake2b
 from pathlib import Path
-from typing import Callable
 
 from .files import Writer
 from .lines import Head, Line
@@ -20,7 +20,8 @@
 class Recorder:
     """Takes lines from the reactor's thread, with `note`; `close` waits until what is queued is written.
 
-    `add` is the relay's counter (name, amount): record.lines and record.dropped.  Raises OSError if the file can't be opened.
+    `add` is the relay's counter (name, amount): record.lines and record.dropped.  Raises OSError if the file can't be
+    opened.
     """
 
     def __init__(
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -1,8 +1,9 @@
 """The operators' settings under the module's names: one table for both forms they come in, the bench wire's
 path=value pairs and a real relay's nested JSON.  Names and units are translated; nothing is decided here."""
 
+from collections.abc import Iterator
 from math import ceil, floor
-from typing import Any, Iterator
+from typing import Any
 
 EFFECTS = {"read_like": "harmless", "idempotency_key": "stamped", "non_idempotent": "one-shot"}
 
--- a/tealsail/setup/facts.py
+++ b/tealsail/setup/facts.py
@@ -1,4 +1,5 @@
-"""Checks the platform's settings as a whole, before a relay takes any of them: types, bounds, and each against the others.
+"""Checks the platform's settings as a whole, before a relay takes any of them: types, bounds, and each against the
+others.
 
 What is absent keeps its default (tealsail/policy.py).  A line names the field as the platform does.
 """
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -2,12 +2,13 @@
 
 Whoever drives it calls `wake` at `due` and then takes up what it left: `lines` for the record, `touched` units whose
 `said` and `due` may have changed, `rounds` (a version of the list to tell relays of), `moved` (the platform's state has
-changed, or is to be told anew) and `relays` (what is done to processes of relays).  Who acts for the fleet (`the keeper`)
-is asked of `roles` when a line of the script is carried out: the driver reads it from what relays log.
+changed, or is to be told anew) and `relays` (what is done to processes of relays).  Who acts for the fleet (`the
+keeper`) is asked of `roles` when a line of the script is carried out: the driver reads it from what relays log.
 """
 
 import heapq
-from typing import Any, Callable, NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from ..record.lines import Fault as FaultLine, Stage, Vote
 from .builds import Build
@@ -20,7 +21,6 @@
 from .roster import Roster
 from .unit import NEVER, Kind, Unit
 
-
 OTHER = 1_000_000  # draws of a line's second party, apart from its first's
 TURN = 400  # tenths of a ms: of a relay that has a share of a core
 
@@ -46,9 +46,9 @@
 
 
 class Order(NamedTuple):
-    """To be done to a relay's process: down (killed), up, restart, stop (nothing of it runs), on (it runs again), rate (its
-    clocks run so many times as fast), step (its wall clock steps by so many seconds), switch (restart, from the other
-    checkout)."""
+    """To be done to a relay's process: down (killed), up, restart, stop (nothing of it runs), on (it runs again),
+    rate (its clocks run so many times as fast), step (its wall clock steps by so many seconds), switch (restart, from
+    the other checkout)."""
 
     relay: int
     what: str
@@ -197,7 +197,8 @@
                     self.befall(now, fault, relay)
 
     def chosen(self, who: str, many: int, part: float, zone: str, salt: int) -> list[int]:
-        """Relays that a fault hits: one by its number, by what it does for the fleet, so many, or that part of a zone's."""
+        """Relays that a fault hits: one by its number, by what it does for the fleet, so many, or that part of a
+        zone's."""
         if who.isdigit():
             return [int(who)]
         if who:
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -1,4 +1,5 @@
-"""How even the load was over the fleet, from a record and nothing else; it shares no code with the decisions it looks at.
+"""How even the load was over the fleet, from a record and nothing else; it shares no code with the decisions it looks
+at.
 
 - evenness: shots by unit over 5 s, the 99th of a hundred and the least over the median;
 - waste: the share of shots that came to a unit with all cores busy while a sound unit of its build stood empty;
@@ -7,7 +8,8 @@
 - handshakes a second at one unit, the most;
 - who acted for the fleet, by the word of most relays.
 
-Beside each stands what independent even draws would have given: every shot drawn anew among the units that were open to it.
+Beside each stands what independent even draws would have given: every shot drawn anew among the units that were open
+to it.
 """
 
 from collections import Counter, defaultdict
@@ -200,7 +202,8 @@
             self.count(line.at)
 
     def life(self, line: Life) -> None:
-        """With a relay that ends its shots end; the model has no line for each of them, and units seemed busy for good."""
+        """With a relay that ends its shots end; the model has no line for each of them, and units seemed busy for
+        good."""
         if line.event == "down":
             for key in [key for key in self.at if key[0] == line.relay]:
                 self.ended(key)
--- a/tealsail/world/faults.py
+++ b/tealsail/world/faults.py
@@ -7,8 +7,9 @@
     """One line of a script.  Times are tenths of a ms; `span` 0: for good (or at once).
 
     `many` units or relays, or that `part` of them; of a `zone` ('': any) and a `build` (-1: any); `who` is a relay's
-    number, what it does for the fleet (`keeper`, `judge`) or a customer's name; `times` is a factor (slow, surge, clock), a
-    share (fail, notes, hold) or seconds (step); `whom`: what relays are cut from; `far`: how late or old notes are.
+    number, what it does for the fleet (`keeper`, `judge`) or a customer's name; `times` is a factor (slow, surge,
+    clock), a share (fail, notes, hold) or seconds (step); `whom`: what relays are cut from; `far`: how late or old
+    notes are.
     """
 
     at: int
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -5,7 +5,8 @@
 """
 
 import heapq
-from typing import Any, Callable, NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from ..record.lines import Unit as UnitLine
 from . import draws
--- a/tealsail/world/keeper.py
+++ b/tealsail/world/keeper.py
@@ -4,8 +4,8 @@
 
 
 class Keeper:
-    """A stand-in that holds so few questions at a time and works them off one by one, those as well that nobody waits for
-    any longer; a whole list is more work than what is new.  Times are seconds."""
+    """A stand-in that holds so few questions at a time and works them off one by one, those as well that nobody waits
+    for any longer; a whole list is more work than what is new.  Times are seconds."""
 
     HOLDS, WHOLE, NEW, PATIENCE = 8, 0.45, 0.1, 2.0  # questions; for each; until an asker is told: no answer
 
--- a/tealsail/world/network.py
+++ b/tealsail/world/network.py
@@ -1,4 +1,5 @@
-"""The network between relays and units and between relays: delays, cuts, and notes that are lost, late, doubled or old."""
+"""The network between relays and units and between relays: delays, cuts, and notes that are lost, late, doubled or
+old."""
 
 from typing import Any, NamedTuple
 
@@ -18,8 +19,8 @@
 
 
 class Trouble(NamedTuple):
-    """What befalls a part of all notes until a time: lost, late (by `far`), doubled, reordered (late by up to `far`, each
-    by chance) or replayed (a copy again after `far`)."""
+    """What befalls a part of all notes until a time: lost, late (by `far`), doubled, reordered (late by up to `far`,
+    each by chance) or replayed (a copy again after `far`)."""
 
     kind: str
     until: int
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -4,9 +4,11 @@
 2. twice: no second copy while one is out; what may have run goes out again only as its workload allows.
 3. drains: nothing goes to a unit later than the grace after this relay was told that it drains or is gone.
 4. cold: no unit that has just started is sent more than so many times what it can do.
-5. exposure: in any span a relay's shots at a build on trial stay within the free ones and the cap's share of what it took.
+5. exposure: in any span a relay's shots at a build on trial stay within the free ones and the cap's share of what it
+   took.
 
-A relay's process that is stopped from outside keeps nothing in time: what it has to do within a time, it has that much longer.
+A relay's process that is stopped from outside keeps nothing in time: what it has to do within a time, it has that
+much longer.
 """
 
 from collections import deque
--- a/tealsail/world/spill.py
+++ b/tealsail/world/spill.py
@@ -1,6 +1,7 @@
 """The checker of the stated limit on spill between zones, over a record and nothing else.
 
-All relays together may send to a zone, from other zones, at most so much on top of what the zone's own relays usually send it.
+All relays together may send to a zone, from other zones, at most so much on top of what the zone's own relays usually
+send it.
 """
 
 from collections import deque
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -125,7 +125,7 @@
         is 70%, so half of the lost zone's work fits: the sum must settle near that, with no great swings."""
         gives, load = [Give() for _ in range(200)], []
         views = {0: View(10.0, 0.0, 0.0), 1: View(10.0, 10.0, 10.0), 2: View(10.0, 10.0, 10.0)}
-        for beat in range(200):
+        for _ in range(200):
             spilled = sum(
                 split(self.ORDER[:2], views, dict.fromkeys(views, give.level), RULES).keep[1] for give in gives
             ) / len(gives)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -26,7 +26,8 @@
     def test_relays_are_named_by_number_part_zone_and_what_they_do(self) -> None:
         found = read_script(
             "at 1s pause the keeper for 5s\nat 2s kill 20% of relays of zone a\nat 3s restart 2 relays\n"
-            "from 4s for 8s cut relay 3 from the list\nfrom 5s for 8s cut all relays of zone a from the others one way\n"
+            "from 4s for 8s cut relay 3 from the list\n"
+            "from 5s for 8s cut all relays of zone a from the others one way\n"
             "from 6s for 1s cut 4 relays from 3 relays of zone b\nfrom 7s for 1s notes replayed after 5s 30%\n"
             "at 8s step clocks of the judges by -3600s\nfrom 9s for 2s hold all relays to 20%"
         )
@@ -222,7 +223,8 @@
         self.assertEqual(self.look(rows((0, 100, "u0"), (10, 100, "u0")), cores=2.0).figures()["waste"], 0.0)
 
     def test_with_a_relay_that_dies_its_shots_leave_their_units(self) -> None:
-        """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the trial."""
+        """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the
+        trial."""
         lines = [
             Ran(0, 3, 1, 0, "u0", 100),
             Ran(5, 4, 2, 0, "u0", 100),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -274,7 +274,8 @@
         self.assertEqual(story.relay.judge.order, order)
 
     def test_one_relays_word_stands_only_where_the_others_could_not_have_seen_the_same(self) -> None:
-        """In order: nobody else sees it; it has nearly all of the traffic; all see it; lies that hide what others see."""
+        """In order: nobody else sees it; it has nearly all of the traffic; all see it; lies that hide what others
+        see."""
         sixty, fails = dict(served=60), (dict(served=50, failed=10), dict(served=60))
         for canary, baseline, honest, votes in (
             (dict(failed=40, served=20), sixty, (sixty, sixty), ON),
@@ -297,13 +298,14 @@
         story.trial()
         judge = story.relay.judge
         judges = judge.order[:2]  # place 10 votes and is no judge, 39 does not
-        for judge.place, sender, said, votes in (
+        for place, sender, said, votes in (
             (10, judge.order[-1], BACK, []),
             (39, judges[0], ON, []),
             (10, judges[0], ON, ON),
             (10, judges[1], BACK, ON + BACK),
             (10, judges[0], ON, ON + BACK),
         ):
+            judge.place = place
             story.relay.on_told(sender, verdict_note(2, 0, *said))
             story.beat()
             story.relay.on_vote_answer("ok")
@@ -330,7 +332,8 @@
         self.assertEqual(lengths, [4, 4, 4, 8, 8])  # the judges and the next in line
 
     def test_thousands_of_relays_tell_in_turns_and_judges_at_each_time(self) -> None:
-        """10,000 relays that each tell each second cost a judge a fifth of a core; an eighth of them tells, all in turn."""
+        """10,000 relays that each tell each second cost a judge a fifth of a core; an eighth of them tells, all in
+        turn."""
         for relays, index, judges, times in (
             (999, 5, False, 16),
             (2500, 5, False, 5),
@@ -391,7 +394,7 @@
             judge.verdict, judge.order = policy.ON, [0, *judge.order]
             story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
             story.relay.trial.groups["baseline"][0] = 300
-            for beat in range(14):
+            for _ in range(14):
                 story.relay.trial.groups["canary"][0] += 80
                 story.beat()
             story.relay.trial.groups["canary"][1] += 10  # 4 and 1.5% of 960 are above it, of 320 below
@@ -588,8 +591,8 @@
         self.assertEqual(keeper.host.of("tell")[-1], (7, answer_note(1, 0)))
 
     def test_a_unit_that_fails_a_fifth_keeps_its_shots_and_one_that_fails_most_does_not(self) -> None:
-        """Work was led away from the first units of a build that turned bad: half the failures were seen, and it went back
-        0.5 to 0.7 s later (simulated), often only after the next build was offered."""
+        """Work was led away from the first units of a build that turned bad: half the failures were seen, and it went
+        back 0.5 to 0.7 s later (simulated), often only after the next build was offered."""
         for every, kept in ((5, True), (1, False)):
             story = Story(relays=9, index=self.story().relay.guide.order[0])
             named = []
@@ -604,8 +607,8 @@
             self.assertEqual(named[200:].count(0) > 25, kept)
 
     def test_a_shot_that_was_told_of_is_not_counted_as_named_too(self) -> None:
-        """For a tenth of a second each shot counted twice, and its unit as busy after it had ended: at 70% of use a third
-        of all shots came to a busy unit while another stood empty (simulated: 0.35 to 0.23)."""
+        """For a tenth of a second each shot counted twice, and its unit as busy after it had ended: at 70% of use a
+        third of all shots came to a busy unit while another stood empty (simulated: 0.35 to 0.23)."""
         story = Story(relays=9, index=self.story().relay.guide.order[0])
 
         def named(number: int, sender: int) -> int:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -158,7 +158,7 @@
         marks = []
         for seed in (1, 1, 2):
             mark = hashlib.sha256()
-            Model(convert(day(seconds=6)), seed, [lambda line: mark.update(encode(line))]).play()
+            Model(convert(day(seconds=6)), seed, [lambda line, mark=mark: mark.update(encode(line))]).play()
             marks.append(mark.hexdigest())
         self.assertEqual((marks[0] == marks[1], marks[0] == marks[2]), (True, False))
 
@@ -169,7 +169,8 @@
         self.assertEqual(len(self.of(lines, Take)), len(self.of(lines, End)))
 
     def test_a_good_build_brought_in_while_all_units_jam_is_not_sent_back(self) -> None:
-        """Three places in five at once: the new build was blamed for it (8 of 9 days, units 1.5 to 2.2 times slower)."""
+        """Three places in five at once: the new build was blamed for it (8 of 9 days, units 1.5 to 2.2 times
+        slower)."""
         for seed in (1, 2):
             result, _ = self.play(
                 seed,
@@ -182,7 +183,8 @@
             self.assertEqual(result.figures["released.2"], 1.0)
 
     def test_twenty_eight_of_forty_relays_come_back_at_once_without_a_storm(self) -> None:
-        """Most in a tenth of a second, over the whole fleet: three votes, and 60 handshakes of 28 relays without any."""
+        """Most in a tenth of a second, over the whole fleet: three votes, and 60 handshakes of 28 relays without
+        any."""
         lines, connects, connect = [], Counter(), Unit.connect
         model = Model(
             convert(
@@ -405,8 +407,8 @@
         self.assertEqual((found["service"].high, found["back_s.2"].many), (1.0, 2))
 
     def test_days_of_two_kinds_lie_in_bars_that_ask_for_no_shape(self) -> None:
-        """A build goes back after 8 s or after 40: a normal bar of few days reaches below zero, that of 39 does not, and
-        one more day lies outside about one time in twenty."""
+        """A build goes back after 8 s or after 40: a normal bar of few days reaches below zero, that of 39 does not,
+        and one more day lies outside about one time in twenty."""
         chance = random.Random(1)
 
         def back() -> float:
@@ -445,7 +447,8 @@
             self.assertAlmostEqual(build.errors, 0.004, delta=0.004)
 
     def test_what_differs_between_days_is_in_the_bars_of_a_fit_from_several(self) -> None:
-        """Two days on which the same work took a tenth more or less: either alone is sure of itself, and one is wrong."""
+        """Two days on which the same work took a tenth more or less: either alone is sure of itself, and one is
+        wrong."""
         with tempfile.TemporaryDirectory() as folder:
             days = [
                 self.record(
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -149,8 +149,8 @@
     """One judge of a large fleet, with what the others tell played as the module has them tell it."""
 
     def test_a_good_build_of_a_busy_fleet_is_not_sent_back_by_who_tells_first(self) -> None:
-        """Relays that started together tell in the same half seconds; in those between only relays whose canary had failed
-        told, so a judge heard of 0.3% failures as of a third."""
+        """Relays that started together tell in the same half seconds; in those between only relays whose canary had
+        failed told, so a judge heard of 0.3% failures as of a third."""
         for relays, rate in ((400, 20.0), (1_000, 20.0), (10_000, 4.0)):
             before, now = (
                 heard(relays, rate, 0.003, thinned=False, matched=matched, seconds=8, together=True)
@@ -159,8 +159,9 @@
             self.assertEqual((before.vote, now.vote), ("back", "on"), (relays, rate))
 
     def test_a_good_build_whose_units_all_fail_a_little_stays_and_one_that_turns_bad_goes(self) -> None:
-        """Each half second a judge asks whether failures are beyond chance: at one fixed level chance alone passes within
-        minutes (each of 32 such builds within ten).  The level rises with the looks, and few failures weigh as few."""
+        """Each half second a judge asks whether failures are beyond chance: at one fixed level chance alone passes
+        within minutes (each of 32 such builds within ten).  The level rises with the looks, and few failures weigh as
+        few."""
         back = [heard(5, 40.0, 0.003, seed, lasting=True, seconds=300).vote for seed in range(6)].count("back")
         self.assertLessEqual(back, 1)
         for seed in range(3):
@@ -181,8 +182,8 @@
         self.assertEqual((beyond([[10, 0]], [[10, 0]]), beyond([[0, 0]], [[10, 3]])), (0.0, 0.0))
 
     def test_a_bad_build_does_not_pass_when_messages_come_again_or_its_judge_starts_anew(self) -> None:
-        """Only cells that had changed were told, so after a loss what was served came at once, and what had failed up to
-        four seconds later: time enough for a vote on."""
+        """Only cells that had changed were told, so after a loss what was served came at once, and what had failed up
+        to four seconds later: time enough for a vote on."""
         for how in ({"lost": (0.0, 8.0)}, {"lost": (1.0, 9.0)}, {"restart": 4.0}, {"restart": 0.5}):
             for seed in range(4):
                 found = heard(50, 4.0, 0.05, seed, **how)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -87,7 +87,8 @@
 
     def test_relays_are_cut_from_each_other_one_way_and_both_from_the_list_and_from_the_platform(self) -> None:
         _, lines = self.play(
-            "from 1s for 5s cut 2 relays from the list\nfrom 1s for 3s cut all relays of zone b from the others one way\n"
+            "from 1s for 5s cut 2 relays from the list\n"
+            "from 1s for 3s cut all relays of zone b from the others one way\n"
             "from 2s for 3s cut 3 relays from the platform\nfrom 4s for 1s cut neighbours\nat 2s kill 2 units",
             fleet=FLEET | {"notice_ms": 200.0},
         )
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -48,7 +48,8 @@
                 "-B",
                 "-c",
                 "import sys, tealsail.command.serve, tealsail.command.main; print([name for name in "
-                "('msgspec', 'numpy', 'lark', 'tealsail.record', 'tealsail.world', 'tealsail.lab') if name in sys.modules])",
+                "('msgspec', 'numpy', 'lark', 'tealsail.record', 'tealsail.world', 'tealsail.lab') "
+                "if name in sys.modules])",
             ],
             capture_output=True,
             text=True,
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -7,8 +7,8 @@
 from tealsail.net import start
 from tealsail.setup.facts import BadFacts, check
 
-from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
 from . import test_relay
+from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
 from .test_relay import config, told
 
 MOVED = dict(
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -22,7 +22,7 @@
 class Machine:
     """A unit and its clock; each invocation takes 10 ms of one core."""
 
-    def __init__(self, build: Build = Build(1), started: int = 0, works: list = [TEN_MS], **kind) -> None:
+    def __init__(self, build: Build = Build(1), started: int = 0, works: tuple = (TEN_MS,), **kind) -> None:
         self.unit = Unit(
             "u1", 1, build, Kind(**{"cores": 1.0, "slots": 4, "room": 2} | kind), 1.0, "a", 0, started, works, 7
         )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -106,7 +106,8 @@
         self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
 
     def test_a_zones_relays_that_are_cut_off_from_another_do_not_talk_the_rest_out_of_it(self) -> None:
-        """Relays of zone a lose their way to b; then c dies, whose relays have never needed b, and b takes their work."""
+        """Relays of zone a lose their way to b; then c dies, whose relays have never needed b, and b takes their
+        work."""
         _, lines, spill, _ = self.play(
             seconds=24,
             script="from 8s for 16s cut relay 0 from zone b\nfrom 8s for 16s cut relay 3 from zone b\n"
