--- a/tealsail/choices/endings.py
+++ b/tealsail/choices/endings.py
@@ -1,8 +1,12 @@
-"""When a relay, a client's connection and a kept connection to a unit may end or be used again: what may still be on its way."""
+"""When a relay's door opens, and when a relay, a client's connection and a kept connection to a unit may end or be used
+again: what may still be on its way."""
 
 from collections.abc import Sequence
 
-ENOUGH = 30_000  # tenths of a ms behind the door's close, or the longest deadline if that is later
+from .pauses import UNTOLD
+
+ENOUGH = 30_000  # tenths of a ms behind the end of idle connections, or the longest deadline if that is later
+LOOKS_WITH_NOBODY = 2  # in a row, then nobody is left: one who crossed an end of ours may be on the way between two
 UNUSED = 3_000  # within which one that was just welcomed asks, or connections may be idle in a crowd
 REST = 0.02  # seconds: nothing that belongs to an answer comes later than that behind it
 LOOK, SOONEST = 1.0, 0.01  # seconds, most and least, between looks at unused connections to units
@@ -11,10 +15,34 @@
 
 
 def enough(now: int, deadlines: Sequence[int]) -> int:
-    """The time, in tenths of a ms, after which a relay that ends waits for no client that does not read or end its half."""
+    """The time, in tenths of a ms, after which a relay that ends waits for nobody who does not read or end its half."""
     return now + max(ENOUGH, *deadlines)
 
 
+class LastLooks:
+    """Looks of a relay that ends at who is left among its clients; `deadlines` in tenths of a ms, as all times here."""
+
+    def __init__(self, now: int, deadlines: Sequence[int]) -> None:
+        self.until = enough(now, deadlines)
+        self.with_nobody = 0  # looks in a row
+
+    def late(self, now: int) -> bool:
+        """Whether nobody is waited for any longer."""
+        return now > self.until
+
+    def over(self, now: int, clients: int) -> bool:
+        """Whether this look, which found so many, is the last."""
+        self.with_nobody = 0 if clients else self.with_nobody + 1
+        return self.with_nobody >= (1 if self.late(now) else LOOKS_WITH_NOBODY)
+
+
+def door_held(question: float | None) -> float | None:
+    """Seconds for which a new process holds its door at most, where it asks for the list after `question` seconds, or
+    at once (None).  What is asked for at once counts as told from the process's first moment, so whoever comes before
+    it waits in the kernel, for some ms; where nothing comes, or not soon, the old copy has to do.  None: not at all."""
+    return UNTOLD if question is None else None
+
+
 def leaves_off(new: bool, idle: int, half: bool) -> bool:
     """Whether an idle connection of a relay that ends may end: not over half a query, nor while one that was only just
     welcomed, `idle` tenths of a ms ago, is about to ask."""
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -14,7 +14,7 @@
 from . import messages, statements
 from .counters import Counters
 from .kept import cancel
-from .kernel import unread
+from .kernel import end_half, unread
 from .messages import Value
 
 READ_AHEAD, EACH = 64 * 1024, 256  # bytes held of one connection, then reading rests; for each
@@ -252,8 +252,9 @@
             self.clients.reading_out += 1
             self.reading_out = True
             self.transport.resumeProducing()
-            self.transport.loseWriteConnection()
+            end_half(self.transport)
         else:
+            end_half(self.transport)
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
--- a/tealsail/net/kernel.py
+++ b/tealsail/net/kernel.py
@@ -1,4 +1,4 @@
-"""What the kernel holds already and the loop has not read: asked before a close that would throw it away."""
+"""What the kernel holds already and the loop has not read: a look at it, and an end in the same call as the look."""
 
 import socket
 from collections.abc import Callable
@@ -14,6 +14,18 @@
         return False
 
 
+def end_half(transport: Any) -> None:
+    """End our half of a connection behind what was written, in this call unless the kernel has no room for that.
+
+    The loop alone would do so a turn later, tens of ms where it is busy, and what comes meanwhile would cross the end
+    though nothing was there at the look just before.
+    """
+    transport.loseWriteConnection()
+    write = getattr(transport, "doWrite", None)  # connections in memory have no kernel behind them
+    if write:
+        write()
+
+
 def hold(port: Any, held: bool) -> None:
     """Whether who comes waits in the kernel; there is room for as many as the port was made for."""
     turn = getattr(port, "stopReading" if held else "startReading", None)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -10,9 +10,9 @@
 
 from .. import settings
 from ..choices.clock import Clock, Stamps, disregard
-from ..choices.endings import enough
+from ..choices.endings import LastLooks, door_held
 from ..choices.flood import Flood, limits
-from ..choices.pauses import UNTOLD, WITHIN, Pauses, by_fleet, first_question
+from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
 from ..choices.switch import Fixed, Switch
 from ..facade import (
     Counted,
@@ -211,10 +211,7 @@
         self.door: Any = None  # where clients come in
         self.holding: Any = None  # the timer of a door that is held until the list has come
         self.post: Any = None  # where notes come in
-        self.enough, self.empty = (
-            0,
-            False,
-        )  # when nothing is waited for any longer, once it ends; nobody at the last look
+        self.last_looks: LastLooks | None = None  # at who is left, once it ends
         self.timer: Any = None
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.looking: Any = None  # the timer of the next look at the clocks
@@ -249,13 +246,14 @@
         wait = first_question(
             self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
         )
-        if wait is not None:
-            return self.discovery.begin(known.version, wait)
-        # what is asked for at once counts as told from this process's first moment: whoever comes before it waits in the
-        # kernel, for some ms; where nothing comes, or not soon, the old copy has to do
-        self.holding = self.reactor.callLater(UNTOLD, self.open)
-        hold(self.door, True)
-        self.discovery.start()
+        held = door_held(wait)
+        if held is not None:
+            self.holding = self.reactor.callLater(held, self.open)
+            hold(self.door, True)
+        if wait is None:
+            self.discovery.start()
+        else:
+            self.discovery.begin(known.version, wait)
 
     def open(self) -> None:
         """Clients may come in."""
@@ -431,19 +429,21 @@
         come again; nobody else does.  Notes still come, since those who are served may need another relay's word."""
         self.open()
         self.clients.stop_sweeping()
-        self.enough = enough(self.clock(), [each.get("abandon", 0) for each in self.switch.facts["workloads"]])
+        deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
+        self.last_looks = LastLooks(self.clock(), deadlines)
         self.finish()
 
     def finish(self) -> None:
-        """The end once two looks in a row found nobody: what the kernel has let in is ours."""
-        late, empty = self.clock() > self.enough, self.empty
+        """A look at who is left, again and again until it is the last: what the kernel has let in is ours."""
+        now = self.clock()
+        late = self.last_looks.late(now)
         if not late:
             take_in(self.door, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
-        self.empty = not self.clients.connections
+        over = self.last_looks.over(now, len(self.clients.connections))
         if late:  # who does not read its answer, or comes again and again, would keep this
             self.clients.cut()  # relay for ever
-        if not (self.empty and (empty or late)):
+        if not over:
             self.reactor.callLater(LAST, self.finish)
             return
         self.door.stopListening()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -385,6 +385,48 @@
     def test_a_query_in_the_kernel_makes_no_room(self) -> None:
         self.ended_over("no_room")
 
+    def behind_the_look(self, code: str) -> None:
+        """A query right behind the look at its idle connection, before the loop turns again: its client, in order, asks
+        where no end shows, and on a new connection else."""
+        clients = self.started().clients
+        client = self.connect()
+        here = next(iter(clients.connections))
+        here.asked, here.idle_since = code != "mute", clients.clock() - 25_000
+        if code == "closing":
+            self.leaving()
+            self.later(0.002)
+        elif code == "no_room":
+            clients.most = 1
+            clients.enter(type(here)(clients))
+        else:
+            clients.most = 16 if code == "mute" else 1
+            clients.sweep()
+        clients.most = 16
+        if select.select([client], [], [], 0)[0]:
+            self.assertEqual(client.recv(1, socket.MSG_DONTWAIT), b"", "an end in order")
+            client.close()
+            client = socket.create_connection(("127.0.0.1", self.port))
+            self.addCleanup(client.close)
+            client.sendall(OPENING)
+        client.sendall(asking(wait=3000))
+        self.shot().sendall(ROW + IDLE)
+        self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
+        self.assertEqual(clients.counters.counts[f"client.ended.{code}"], 1)
+
+    def test_a_query_behind_the_look_when_idle_connections_end_is_served(self) -> None:
+        """Guards, as the next three, against an end that comes a turn of the loop behind the look at the connection:
+        what was asked meanwhile, on a connection that looked open, was dropped or reset."""
+        self.behind_the_look("closing")
+
+    def test_a_query_behind_the_look_is_not_crowded_out(self) -> None:
+        self.behind_the_look("crowded")
+
+    def test_a_query_behind_the_look_at_a_mute_connection_is_served(self) -> None:
+        self.behind_the_look("mute")
+
+    def test_a_query_behind_the_look_for_room_is_served(self) -> None:
+        self.behind_the_look("no_room")
+
     def test_a_last_word_is_not_overtaken_by_a_reset(self) -> None:
         """Guards against an end with something unread, which is a reset and may destroy what was written before it."""
         self.started()
