--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -1,6 +1,7 @@
 """Clients: their connections, what comes over them, and the answers in the order of the queries."""
 
 from collections import deque
+from dataclasses import dataclass
 from typing import Any, Callable, NamedTuple, Union
 
 from twisted.internet.defer import Deferred
@@ -11,6 +12,7 @@
 from zope.interface import implementer
 
 from ..choices.endings import UNUSED, leaves_off
+from ..choices.pipelining import may_begin
 from . import messages, statements
 from .counters import Counters
 from .kept import cancel
@@ -65,24 +67,35 @@
     note: str = ""
 
 
+@dataclass(slots=True)
+class Turn:
+    """A place in the order of the answers: what was asked first is written back first."""
+
+    held: int  # bytes of the query, as long as another is before it
+    request: Deferred[Answer] | None = None
+    answer: bytes | None = None  # None: not known yet
+
+
 def size(what: Asked | bytes | Ending) -> int:
     return EACH + (len(what.text) if isinstance(what, Asked) else 0)
 
 
 @implementer(IHalfCloseableProtocol)
 class Client(Protocol):
-    """One connection.  What comes is answered one after the other; `waiting` is the invocation at hand."""
+    """One connection.  Requests written one behind another are under way together, as far as `may_begin` allows; their
+    answers keep the order of the queries.  The first of `turns` is always one whose answer is not known yet."""
 
     def __init__(self, clients: "Clients") -> None:
         self.clients, self.counters = clients, clients.counters
         self.splitter = messages.Splitter(typed=False)
         self.queue: deque[Asked | bytes | Ending] = deque()  # bytes: an answer that is known already
-        self.waiting: Deferred[Answer] | None = None
+        self.turns: deque[Turn] = deque()  # begun and not written back; emptied by the answers or the end
+        self.answer_bytes = 0  # of known answers in `turns`
         self.welcome = True  # False: there is no room for it
         self.again = clients.closing  # it came when this relay was ending already
         self.reading_out, self.cutting = False, None  # our half has ended; the timer of the other's end
         self.skipping = self.working = self.clogged = self.deaf = self.resting = False
-        self.held = 0  # bytes of the queue
+        self.held = 0  # bytes of the queue, and of the queries in `turns` behind the first
         self.idle_since = clients.clock()
         self.queries, self.asked = 0, False  # waiting in the queue; whether one was ever whole
         self.half_since: int | None = None  # half of a message has come, and the last whole one is so old
@@ -162,28 +175,44 @@
             self.transport.pauseProducing()
 
     def next(self) -> None:
-        """The queue's first, and on, as long as each is answered at once and the answers are read."""
+        """The queue's first, and on, as long as more may be under way and the answers are read."""
         if self.working:
             return
         self.working = True
-        while self.queue and not self.waiting and not self.code and not self.clogged:
+        while self.queue and not self.code and not self.clogged and self.may_go_on():
             first = self.queue.popleft()
-            self.held -= size(first)
-            if self.resting and self.held < READ_AHEAD // 2:
-                self.resting = False
-                self.transport.resumeProducing()
-            match first:
-                case Asked(text, at):
-                    self.queries -= 1
-                    self.answer(text, at)
-                case Ending(code, last, note):
-                    self.end(code, last, note)
-                case known:
-                    self.write(known)
+            if isinstance(first, Ending):
+                self.end(first.code, first.last, first.note)
+                break
+            self.begin(first)
         self.working = False
         if self.clients.closing:
             self.leave_off()
 
+    def may_go_on(self) -> bool:
+        """Whether the queue's first may be begun; an end has its turn behind the last answer."""
+        if isinstance(self.queue[0], Ending):
+            return not self.turns
+        return may_begin(len(self.turns), self.answer_bytes, self.clients.answer_bytes)
+
+    def begin(self, first: Asked | bytes) -> None:
+        turn = Turn(size(first))
+        self.turns.append(turn)
+        if len(self.turns) == 1:
+            self.release(turn)
+        if isinstance(first, bytes):
+            return self.settle(turn, first)
+        self.queries -= 1
+        self.answer(first, turn)
+
+    def release(self, turn: Turn) -> None:
+        """Its query is the first now, and no longer counts as held."""
+        self.held -= turn.held
+        turn.held = 0
+        if self.resting and self.held < READ_AHEAD // 2:
+            self.resting = False
+            self.transport.resumeProducing()
+
     def leave_off(self) -> None:
         """This relay is ending: the end of an idle connection, not over a query in the kernel, which is ours already."""
         now = self.clients.clock()
@@ -191,28 +220,50 @@
         if self.free() and (mute or leaves_off(not self.asked, now - self.idle_since, bool(self.half_since))):
             self.end("mute" if mute else "closing")
 
-    def answer(self, text: bytes, at: int) -> None:
+    def answer(self, asked: Asked, turn: Turn) -> None:
+        text = asked.text
         if not text.strip(b" ;\n\t"):
             self.counters.add("clients.empty")
-            if self.again:  # a front that asks whether this relay is ready: not any more
-                return self.end("closing")
-            return self.write(messages.EMPTY)
+            return self.answer_empty(turn)
         if statements.IDLE.fullmatch(text):
-            return self.write(messages.SET_DONE)
+            return self.settle(turn, messages.SET_DONE)
         try:
-            self.waiting = self.clients.take(statements.read(text), at)
+            turn.request = self.clients.take(statements.read(text), asked.at)
         except statements.Unclear as problem:
             self.counters.add("clients.unclear")
-            return self.write(messages.trouble(FORM, str(problem)) + messages.READY)
+            return self.settle(turn, messages.trouble(FORM, str(problem)) + messages.READY)
         self.counters.add("clients.taken")
-        self.waiting.addCallbacks(self.answered, lambda reason: None)  # cancelled: nobody to answer
+        turn.request.addCallbacks(self.answered, lambda reason: None, callbackArgs=(turn,))  # cancelled: nobody there
 
-    def answered(self, answer: Answer) -> None:
-        self.waiting, self.idle_since = None, self.clients.clock()
+    def answer_empty(self, turn: Turn) -> None:
+        if not self.again:
+            return self.settle(turn, messages.EMPTY)
+        self.queue.clear()  # a front that asks whether this relay is ready: not any more
+        self.hold(Ending("closing"))
+        self.settle(turn, b"")
+
+    def answered(self, answer: Answer, turn: Turn) -> None:
+        self.idle_since = self.clients.clock()
         self.counters.add(f"clients.{type(answer).__name__.lower()}")
-        self.write(encoded(answer))
+        self.settle(turn, encoded(answer))
         self.next()
 
+    def settle(self, turn: Turn, answer: bytes) -> None:
+        """The answer is known: it is written once those before it are."""
+        turn.request, turn.answer = None, answer
+        self.count_answer(len(answer))
+        while self.turns and self.turns[0].answer is not None:
+            known = self.turns.popleft().answer
+            self.count_answer(-len(known))
+            self.write(known)
+            if self.turns:
+                self.release(self.turns[0])
+
+    def count_answer(self, more: int) -> None:
+        """Bytes of answers that wait for an earlier one, here and in all connections."""
+        self.answer_bytes += more
+        self.clients.answer_bytes += more
+
     def write(self, data: bytes) -> None:
         self.transport.write(data)
 
@@ -227,8 +278,13 @@
     def stopProducing(self) -> None:
         """The connection has ended."""
 
+    @property
+    def waiting(self) -> bool:
+        """Whether a request of it is under way."""
+        return bool(self.turns)
+
     def idle(self) -> bool:
-        return not self.waiting and not self.queue and not self.code
+        return not self.turns and not self.queue and not self.code
 
     def mute(self, now: int) -> bool:
         """Nothing whole has come for too long: no opening, no query ever, or half of a message."""
@@ -274,12 +330,14 @@
         self.clients.reading_out -= self.reading_out
         cancel(self.cutting)
         self.queue.clear()
-        waiting, self.waiting = self.waiting, None
-        code = self.code or ("left" if waiting else "closed" if reason.check(ConnectionDone) else "broken")
-        self.code = code
-        if waiting:
+        self.code = code = self.code or (
+            "left" if self.turns else "closed" if reason.check(ConnectionDone) else "broken"
+        )
+        for request in [turn.request for turn in self.turns if turn.request]:
             self.counters.add("clients.left")
-            waiting.cancel()
+            request.cancel()
+        self.turns.clear()
+        self.count_answer(-self.answer_bytes)
         self.counters.ended("client", code, peer(self.transport), self.note)
 
 
@@ -304,6 +362,7 @@
         self.reactor, self.take, self.clock, self.counters, self.most = reactor, take, clock, counters, most
         self.connections: dict[Client, None] = {}
         self.closing = False
+        self.answer_bytes = 0  # of all connections' answers that wait for an earlier one
         self.reading_out = 0  # connections whose other half is waited for
         self.sweeping = reactor.callLater(SWEEP, self.sweep)
 
