--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -1,6 +1,7 @@
 """Discovery: the list of units and its changes, over HTTP/1.1 with a parser of our own."""
 
 import json
+from hashlib import blake2b
 from typing import Any, Callable, NamedTuple
 
 from loguru import logger
@@ -51,6 +52,11 @@
     entries: list[Entry]
 
 
+def number_of(name: str) -> int:
+    """A unit's number for its name in the list; the same in every run."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
+
+
 def read_news(tree: Any) -> News:
     """From JSON; `known` in a relay's configuration has the same form."""
     try:
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -1,6 +1,7 @@
 """What a relay does, as lines of its record (tealsail/record/); only where the operator's document asks for one."""
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, Protocol
 
 from loguru import logger
 
@@ -8,25 +9,34 @@
 from ..record.lines import VERSION, Came, End, Head, News, Shot, Take, Told
 from ..record.recorder import Recorder
 from .clients import Answer, Forfeited, Rejected
+from .discovery import Entry, number_of
 
 if TYPE_CHECKING:
-    from .discovery import Entry
+    from ..facade import Facade
+    from .counters import Counters
     from .platform import State
-    from .relay import Relay
+    from .start import Assignment
     from .statements import Statement
 
 MB = 1 << 20
 STATES = {"ready": "open"}  # other states keep their names
 
 
+class Recorded(Protocol):
+    """What a record reads of the relay that it is kept for."""
+
+    told: "Assignment"
+    counters: "Counters"
+    facade: "Facade"
+    clock: Callable[[], int]  # tenths of a millisecond
+
+
 class Record:
     """One relay's record: its own number throughout, times from its start."""
 
-    def __init__(self, relay: "Relay", wanted: Any) -> None:
-        from .relay import number_of
-
+    def __init__(self, relay: Recorded, wanted: Any) -> None:
         facts = relay.told.facts
-        self.relay, self.zero, self.number_of = relay, relay.clock(), number_of
+        self.relay, self.zero = relay, relay.clock()
         self.own = int(facts.get("index", 0))
         self.names: dict[int, tuple[str, int]] = {}  # unit -> its name and build
         head = Head(
@@ -75,9 +85,9 @@
         )
         self.recorder.note(End(self.now(), self.own, number, word))
 
-    def listed(self, entries: list["Entry"]) -> None:
+    def listed(self, entries: list[Entry]) -> None:
         for entry in entries:
-            number = self.number_of(entry.id)
+            number = number_of(entry.id)
             if entry.state == "gone":
                 self.names.pop(number, None)
             else:
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -1,7 +1,6 @@
 """The relay that wires clients, units, discovery, the platform and peers to the facade."""
 
 from collections.abc import Callable
-from hashlib import blake2b
 from typing import Any
 
 from loguru import logger
@@ -32,7 +31,7 @@
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
 from .counters import Counters
-from .discovery import Discovery, Entry, News
+from .discovery import Discovery, Entry, News, number_of
 from .kernel import hold, take_in
 from .kept import cancel
 from .peers import Peers, pair
@@ -49,11 +48,6 @@
 LOOK = 1.0  # seconds between looks at the clocks
 
 
-def number_of(name: str) -> int:
-    """A unit's number for its name in the list; the same in every run."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
-
-
 class Serving:
     """One invocation on its way: a shot as the facade says, its outcome back, until there is an answer."""
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,10 +1,12 @@
 """The operator's document, and the record that a relay writes of itself without being in its own way."""
 
+import ast
 import subprocess
 import sys
 import tempfile
 import threading
 import unittest
+from graphlib import TopologicalSorter
 from pathlib import Path
 
 from tealsail.net.counters import Counters
@@ -17,6 +19,7 @@
 from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure
 from .test_relay import UNIT, config, told
 
+NET = Path(__file__).parent.parent / "tealsail" / "net"
 HEAD = Head(0, VERSION, "relay", "n0", 0, {})
 
 
@@ -57,6 +60,21 @@
         self.assertEqual(said.stdout.strip(), "[]", said.stderr)
 
 
+class Imports(unittest.TestCase):
+    def imported(self, path: Path) -> set[str]:
+        """Modules of its own package that a module names, also inside functions and for type hints alone."""
+        nodes = [node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)]
+        return {
+            name for node in nodes if node.level == 1 for name in [node.module, *(each.name for each in node.names)]
+        }
+
+    def test_no_two_modules_of_the_network_import_each_other(self) -> None:
+        modules = {path.stem: path for path in NET.glob("*.py")}
+        graph = {name: self.imported(path) & modules.keys() for name, path in modules.items()}
+        self.assertIn("recording", graph["relay"])
+        TopologicalSorter(graph).prepare()  # raises CycleError
+
+
 class Records(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
