--- a/tealsail/lab/loopback/agents.py
+++ b/tealsail/lab/loopback/agents.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from ...record.lines import News, Told
-from ...world.desk import State
 from ...world.day import Day
+from ...world.desk import State
 from ...world.roster import Entry
 from .addresses import caller
 from .scene import Scene
--- a/tealsail/lab/loopback/troupe.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -41,11 +41,11 @@
     return "\n".join(lines) + "\n"
 
 
-class Running(ProcessProtocol):
+class RelayProcess(ProcessProtocol):
     """One relay process; its log goes to a file."""
 
-    def __init__(self, troupe: "Troupe", relay: int, log: Path) -> None:
-        self.troupe, self.relay = troupe, relay
+    def __init__(self, fleet: "ProcessFleet", relay: int, log: Path) -> None:
+        self.fleet, self.relay = fleet, relay
         self.log, self.written, self.rest = open(log, "ab"), 0, b""
         self.wanted = True  # False: it has been told to end
         self.ready = self.again = self.stopped = False  # it answers; it is to start anew once it has ended; SIGSTOP
@@ -62,9 +62,9 @@
             self.said(line)
 
     def said(self, line: bytes) -> None:
-        scene = self.troupe.scene
+        scene = self.fleet.scene
         if LIVE in line:
-            self.troupe.try_out(self)
+            self.fleet.try_out(self)
         for mark in TOLD_OF:
             if mark in line:
                 text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
@@ -81,26 +81,26 @@
         self.log.close()
         self.ready = False
         if self.wanted:
-            self.troupe.scene.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
-        self.troupe.ended(self)
+            self.fleet.scene.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
+        self.fleet.ended(self)
 
 
-class Tryer(Protocol):
+class ReadinessProbe(Protocol):
     """Asks a relay that has just begun to listen; it is ready once it answers."""
 
-    def __init__(self, troupe: "Troupe", running: Running) -> None:
-        self.troupe, self.running = troupe, running
+    def __init__(self, fleet: "ProcessFleet", running: RelayProcess) -> None:
+        self.fleet, self.running = fleet, running
 
     def connectionMade(self) -> None:
         self.transport.write(messages.startup(b"backend", b"store") + messages.query(b""))
 
     def dataReceived(self, data: bytes) -> None:
         if messages.EMPTY in data and not self.running.ready:
-            self.troupe.came_up(self.running)
+            self.fleet.came_up(self.running)
             self.transport.loseConnection()
 
 
-class Troupe:
+class ProcessFleet:
     """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when none is
     left; `numbers` gives a unit's number by its name."""
 
@@ -121,7 +121,7 @@
             changed,
             gone,
         )
-        self.running: dict[int, tuple[Running, Any]] = {}
+        self.running: dict[int, tuple[RelayProcess, Any]] = {}
         self.downs: dict[int, list[int]] = {}  # relay -> when it was killed
         self.over = False
         table = scene.scenario.trial
@@ -155,7 +155,7 @@
         scene = self.scene
         path = self.folder / f"relay-{relay}.json"
         path.write_text(json.dumps(self.told(relay)))
-        running = Running(self, relay, self.folder / f"relay-{relay}.log")
+        running = RelayProcess(self, relay, self.folder / f"relay-{relay}.log")
         document = []
         if scene.scenario.document:
             (self.folder / "tealsail.toml").write_text(toml(scene.scenario.document))
@@ -201,15 +201,15 @@
             "settings": scene.scenario.relay_settings(relay),
         }
 
-    def try_out(self, running: Running) -> None:
+    def try_out(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and not running.ready and not self.over:
             place, reactor = self.scene.addresses.relay(running.relay), self.scene.reactor
-            connectProtocol(TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), Tryer(self, running)).addErrback(
-                lambda _: None
-            )
+            connectProtocol(
+                TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), ReadinessProbe(self, running)
+            ).addErrback(lambda _: None)
             reactor.callLater(1.0, self.try_out, running)
 
-    def came_up(self, running: Running) -> None:
+    def came_up(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.wanted:
             running.ready = running.lived = True  # else it was killed while its first answer was on the way
             self.scene.tell(Life(self.scene.now(), running.relay, "up"))
@@ -255,12 +255,12 @@
         self.changed()
         process.signalProcess("KILL")
 
-    def down(self, running: Running) -> None:
+    def down(self, running: RelayProcess) -> None:
         """One that had not come up yet is not told of."""
         if running.lived:
             self.scene.tell(Life(self.scene.now(), running.relay, "down"))
 
-    def restart(self, running: Running, process: Any) -> None:
+    def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
         if running.wanted:
             running.wanted, running.again = False, True
@@ -270,13 +270,13 @@
             self.scene.reactor.callLater(LINGER, self.unready, running)
             self.scene.reactor.callLater(FORCE, self.force, running, process)
 
-    def wake(self, running: Running, process: Any) -> None:
+    def wake(self, running: RelayProcess, process: Any) -> None:
         """One that is stopped can't end."""
         if running.stopped:
             running.stopped = False
             os.kill(process.pid, signal.SIGCONT)
 
-    def unready(self, running: Running) -> None:
+    def unready(self, running: RelayProcess) -> None:
         """The front sends it no new connections."""
         running.ready = False
         self.changed()
@@ -301,12 +301,12 @@
             except ProcessExitedAlready:
                 continue
 
-    def force(self, running: Running, process: Any) -> None:
+    def force(self, running: RelayProcess, process: Any) -> None:
         if not running.log.closed:
             self.scene.wrong(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
 
-    def ended(self, running: Running) -> None:
+    def ended(self, running: RelayProcess) -> None:
         for relay, (each, _) in list(self.running.items()):
             if each is running:
                 del self.running[relay]
--- a/tealsail/lab/loopback/theatre.py
+++ b/tealsail/lab/loopback/theatre.py
@@ -25,8 +25,8 @@
 from .addresses import LIST, PLATFORM, Taken
 from .agents import PING, ListDesk, PlatformDesk
 from .crew import Apart, Here, widen
+from .process_fleet import ProcessFleet
 from .scene import Scene, steady
-from .troupe import Troupe
 from .words import Answered, Begin, Close, Fell, Net, Over, Relays, Stand, Stop, Word, Wrong
 
 READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
@@ -57,8 +57,8 @@
         self.scene = Scene(reactor, scenario, seed, self.taken.port, self.lines.append, self.wrong, self.heard)
         self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
         self.numbers: dict[str, int] = {}
-        self.troupe = Troupe(self.scene, self.day, folder, self.number, self.relays_changed, self.all_gone)
-        self.day.roles = self.troupe.acting
+        self.processes = ProcessFleet(self.scene, self.day, folder, self.number, self.relays_changed, self.all_gone)
+        self.day.roles = self.processes.acting
         self.list = ListDesk(self.scene, self.day, self.number)
         self.platform = PlatformDesk(self.scene, self.day, self.vote)
         self.crew: dict[str, list[Any]] = {}
@@ -96,7 +96,7 @@
             ]
         self.took_up()
         for relay in range(self.relays):
-            self.troupe.start(relay)
+            self.processes.start(relay)
         self.reactor.callLater(READY + EACH * self.relays, self.unready)
 
     def unready(self) -> None:
@@ -107,8 +107,8 @@
     def relays_changed(self) -> None:
         if self.over:
             return
-        self.tell("clients", Relays(self.troupe.ready(), self.troupe.ending()))
-        if not self.scene.begun and len(self.troupe.ready()) == self.relays:
+        self.tell("clients", Relays(self.processes.ready(), self.processes.ending()))
+        if not self.scene.begun and len(self.processes.ready()) == self.relays:
             zero = self.reactor.seconds() + LEAD / 10_000
             self.scene.begin(zero)
             for part in self.crew:
@@ -151,8 +151,8 @@
     def finish(self) -> None:
         if not self.over:
             self.over = True
-            self.costs = self.troupe.costs()
-            self.troupe.end()
+            self.costs = self.processes.costs()
+            self.processes.end()
             self.reactor.callLater(END, self.done)
 
     def all_gone(self) -> None:
@@ -238,7 +238,7 @@
             day.moved = False
             self.platform.news()
         for order in left.relays:
-            self.troupe.carry_out(order)
+            self.processes.carry_out(order)
         if scene.begun and not self.over:
             self.plan()
 
@@ -270,7 +270,7 @@
             f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
             for over in self.overs
             for relay, at in over.lost_alive
-            if not any(abs(at - down) < NEAR for down in self.troupe.downs.get(relay, ()))
+            if not any(abs(at - down) < NEAR for down in self.processes.downs.get(relay, ()))
         ]
 
 
@@ -311,7 +311,7 @@
     theatre = Theatre(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
     reactor.callWhenRunning(theatre.start)
     reactor.run()
-    theatre.troupe.abandon()
+    theatre.processes.abandon()
     theatre.taken.free()
     result, judged, void = judge(theatre, told["record"])
     sys.stdout.buffer.write(
