--- a/tealsail/lab/loopback/theatre.py
+++ b/tealsail/lab/loopback/trial.py
@@ -45,7 +45,7 @@
     return {"units": 1 + relays // 200, "clients": 1 + relays // 200, "notes": 1}
 
 
-class Theatre:
+class Trial:
     """Drives a day's machines with a reactor; `problems`: what relays did that no rule has a name for."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int, folder: Path) -> None:
@@ -274,13 +274,13 @@
         ]
 
 
-def judge(theatre: Theatre, path: str) -> tuple[Result, Judged, bool]:
+def judge(trial: Trial, path: str) -> tuple[Result, Judged, bool]:
     """Figures and broken rules from the record, which goes to `path` if there is one; and whether the trial is void."""
-    late, late_part = theatre.late()
-    judged = Judged(theatre.scenario.plain(), SLACK)
+    late, late_part = trial.late()
+    judged = Judged(trial.scenario.plain(), SLACK)
     writer = Writer(path) if path else None
-    resent, taken = {tuple(each) for over in theatre.overs for each in over.resent}, set()
-    for line in theatre.record():
+    resent, taken = {tuple(each) for over in trial.overs for each in over.resent}, set()
+    for line in trial.record():
         judged(line)
         if isinstance(line, Shot) and (line.relay, line.number) in resent:
             taken.add((line.relay, line.number))  # it had read it after all, and never answered
@@ -289,16 +289,16 @@
     if writer:
         writer.close(late)
     result = judged.result(late)
-    lost = theatre.lost_alive() + [
+    lost = trial.lost_alive() + [
         f"relay {relay} had sent {number} on and ended without an answer" for relay, number in sorted(taken)
     ]
     if lost:
         result.breaches["lost"] = result.breaches.get("lost", 0) + len(lost)
-        theatre.problems += lost[:10]
-    if theatre.problems:
-        result.breaches["problems"] = len(theatre.problems)
+        trial.problems += lost[:10]
+    if trial.problems:
+        result.breaches["problems"] = len(trial.problems)
     own = time.process_time()
-    result.figures.update(theatre.costs, stand_ins_cpu=own + sum(over.cpu for over in theatre.overs))
+    result.figures.update(trial.costs, stand_ins_cpu=own + sum(over.cpu for over in trial.overs))
     return result, judged, late_part > LATE_PART
 
 
@@ -308,18 +308,18 @@
 
     told = json.load(sys.stdin)
     widen()
-    theatre = Theatre(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
-    reactor.callWhenRunning(theatre.start)
+    trial = Trial(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
+    reactor.callWhenRunning(trial.start)
     reactor.run()
-    theatre.processes.abandon()
-    theatre.taken.free()
-    result, judged, void = judge(theatre, told["record"])
+    trial.processes.abandon()
+    trial.taken.free()
+    result, judged, void = judge(trial, told["record"])
     sys.stdout.buffer.write(
         msgspec.json.encode(
             {
                 "result": result,
                 "breaches": [list(each) for each in judged.breaches],
-                "problems": theatre.problems,
+                "problems": trial.problems,
                 "void": void,
             }
         )
--- a/tealsail/lab/trials.py
+++ b/tealsail/lab/trials.py
@@ -46,7 +46,7 @@
             "record": str(Path(record).absolute()) if record else "",
         }
         process = subprocess.Popen(
-            [sys.executable, "-B", "-m", "tealsail.lab.loopback.theatre"],
+            [sys.executable, "-B", "-m", "tealsail.lab.loopback.trial"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -176,7 +176,7 @@
                 "record": "",
             }
             director = subprocess.Popen(
-                [sys.executable, "-B", "-m", "tealsail.lab.loopback.theatre"],
+                [sys.executable, "-B", "-m", "tealsail.lab.loopback.trial"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
