--- a/tealsail/lab/loopback/crew.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -31,7 +31,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, most))
 
 
-class Here:
+class LocalMember:
     """A part in the director's process; its lines go straight to the record."""
 
     def __init__(self, scene: Scene, part: str) -> None:
@@ -45,14 +45,14 @@
             self.part.heard(word)
 
 
-class Apart(ProcessProtocol):
+class ProcessMember(ProcessProtocol):
     """A part in a process of its own, which is told and says words as lines, and keeps its lines of the record in a file."""
 
     def __init__(self, scene: Scene, part: str, place: int, many: int, folder: Path) -> None:
         self.scene, self.name, self.held, self.ended = scene, f"{part}-{place}", b"", False
         self.record, self.errors = folder / f"{self.name}.record", b""
         self.process = scene.reactor.spawnProcess(
-            self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.crew"], None
+            self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.process_group"], None
         )
         self.tell(Cast(part, place, many, scene.scenario.plain(), scene.seed, scene.addresses.port, str(self.record)))
 
@@ -77,7 +77,7 @@
             self.scene.say(Over({}, [], 0.0))
 
 
-class Member:
+class MemberProcess:
     """One part in its own process, from its first word to the last."""
 
     def __init__(self, reactor: Any) -> None:
@@ -117,9 +117,9 @@
     from twisted.internet.stdio import StandardIO
 
     widen()
-    member = Member(steady(reactor))
+    member = MemberProcess(steady(reactor))
 
-    class Ear(Protocol):
+    class CoordinatorInput(Protocol):
         def connectionMade(self) -> None:
             member.out = self.transport
 
@@ -131,7 +131,7 @@
             if reactor.running:
                 reactor.stop()
 
-    StandardIO(Ear())
+    StandardIO(CoordinatorInput())
     reactor.run()
 
 
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -1,7 +1,7 @@
 """One trial: real relay processes, and the world behind sockets round them, in real time; `python -m` it.
 
 This is the director: it drives the day, keeps the list and the platform, and does to relays what the script says.  Units,
-clients and notes are parts (crew.py): in this process for a few relays, in processes of their own for many.
+clients and notes are parts (process_group.py): in this process for a few relays, in processes of their own for many.
 """
 
 import heapq
@@ -24,8 +24,8 @@
 from ..traffic import clients_of
 from .addresses import LIST, PLATFORM, Taken
 from .agents import PING, ListDesk, PlatformDesk
-from .crew import Apart, Here, widen
 from .process_fleet import ProcessFleet
+from .process_group import LocalMember, ProcessMember, widen
 from .scene import Scene, steady
 from .words import Answered, Begin, Close, Fell, Net, Over, Relays, Stand, Stop, Word, Wrong
 
@@ -61,7 +61,7 @@
         self.day.roles = self.processes.acting
         self.list = ListDesk(self.scene, self.day, self.number)
         self.platform = PlatformDesk(self.scene, self.day, self.vote)
-        self.crew: dict[str, list[Any]] = {}
+        self.members: dict[str, list[Any]] = {}
         self.stands: dict[str, Stand] = {}  # what units' parts were last told of each
         self.net: list[Any] = []  # and of the network
         self.waiting = 0  # parts whose clients have no answer yet, or that have not ended
@@ -79,7 +79,7 @@
         return self.numbers.setdefault(name, len(self.numbers))
 
     def tell(self, part: str, word: Word) -> None:
-        for each in self.crew[part]:
+        for each in self.members[part]:
             each.tell(word)
 
     # the course of a trial
@@ -91,8 +91,8 @@
         self.reactor.listenTCP(port + LIST, self.list, 512)
         self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
         for part, many in parts_for(self.relays).items():
-            self.crew[part] = [Apart(scene, part, place, many, self.folder) for place in range(many)] or [
-                Here(scene, part)
+            self.members[part] = [ProcessMember(scene, part, place, many, self.folder) for place in range(many)] or [
+                LocalMember(scene, part)
             ]
         self.took_up()
         for relay in range(self.relays):
@@ -111,7 +111,7 @@
         if not self.scene.begun and len(self.processes.ready()) == self.relays:
             zero = self.reactor.seconds() + LEAD / 10_000
             self.scene.begin(zero)
-            for part in self.crew:
+            for part in self.members:
                 self.tell(part, Begin(zero))
             self.wake()
             self.ping()
@@ -124,7 +124,7 @@
 
     def closing(self) -> None:
         """The last arrival has been: on until all is answered."""
-        self.waiting, self.closed = len(self.crew["clients"]), True
+        self.waiting, self.closed = len(self.members["clients"]), True
         self.tell("clients", Close())
         self.reactor.callLater(GRACE, self.finish)
 
@@ -145,7 +145,7 @@
                 self.wrong(text)
             case Over():
                 self.overs.append(word)
-                if len(self.overs) == sum(len(each) for each in self.crew.values()):
+                if len(self.overs) == sum(len(each) for each in self.members.values()):
                     self.done()
 
     def finish(self) -> None:
@@ -157,7 +157,7 @@
 
     def all_gone(self) -> None:
         """No relay is left: the parts end."""
-        for part in self.crew:
+        for part in self.members:
             self.tell(part, Stop())
 
     def done(self) -> None:
@@ -204,7 +204,7 @@
 
     def tell_units(self) -> None:
         """What has changed of units since their parts were last told, and of the network."""
-        units, many = self.day.fleet.units, len(self.crew["units"])
+        units, many = self.day.fleet.units, len(self.members["units"])
         for name, before in list(self.stands.items()):
             if name not in units and not before.dead:
                 self.change(msgspec.structs.replace(before, dead=True), many)
@@ -220,7 +220,7 @@
 
     def change(self, stand: Stand, many: int) -> None:
         self.stands[stand.name] = stand
-        self.crew["units"][stand.number % many].tell(stand)
+        self.members["units"][stand.number % many].tell(stand)
 
     def took_up(self) -> None:
         """Carries out what the day left to do."""
@@ -245,7 +245,7 @@
     # what came of it
     def record(self) -> Iterator[Line]:
         """The lines of all parts in the order of their times."""
-        files = [each.record for parts in self.crew.values() for each in parts if isinstance(each, Apart)]
+        files = [each.record for parts in self.members.values() for each in parts if isinstance(each, ProcessMember)]
         streams = [(line for line in read(path) if not isinstance(line, (Head, Closed))) for path in sorted(files)]
         return heapq.merge(self.lines, *streams, key=lambda line: line.at)
 
