--- a/tealsail/lab/loopback/agents.py
+++ b/tealsail/lab/loopback/agents.py
@@ -17,7 +17,7 @@
 from ...world.desk import State
 from ...world.roster import Entry
 from .addresses import caller
-from .scene import Scene
+from .trial_setup import TrialSetup
 
 LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
 LONGEST_WAIT = 60.0  # seconds of a watch
@@ -30,7 +30,7 @@
 
 
 def listing(
-    scene: Scene, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
+    setup: TrialSetup, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
 ) -> dict[str, Any]:
     """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
     return {
@@ -39,12 +39,12 @@
         "instances": [
             {
                 "instanceId": each.name,
-                "hostPort": str(scene.addresses.unit(relay, numbers(each.name))),
+                "hostPort": str(setup.addresses.unit(relay, numbers(each.name))),
                 "zone": each.zone,
                 "cell": each.cell,
                 "lifecycle": STATES[each.state],
                 "weight": each.weight,
-                "startedAtMs": scene.unix_ms(each.started) if each.started else 0,
+                "startedAtMs": setup.unix_ms(each.started) if each.started else 0,
                 "build": each.build,
             }
             for each in entries
@@ -52,13 +52,13 @@
     }
 
 
-def standing(scene: Scene, state: State) -> dict[str, Any]:
+def standing(setup: TrialSetup, state: State) -> dict[str, Any]:
     return {
         "Revision": state.build,
         "Wave": state.stage,
         "State": PHASES[state.phase],
         "MaxShare": state.cap,
-        "AgeMs": max(0, (scene.now() - state.since) // 10),
+        "AgeMs": max(0, (setup.now() - state.since) // 10),
     }
 
 
@@ -72,7 +72,7 @@
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
-        if not 0 <= self.relay < self.desk.scene.relays:
+        if not 0 <= self.relay < self.desk.setup.relays:
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.desk.wires[self] = None
@@ -80,7 +80,7 @@
 
     def reached(self) -> bool:
         """Whether the relay is not cut off from here."""
-        if not self.muted and not self.desk.day.network.has(self.desk.scene.now(), self.relay, self.service):
+        if not self.muted and not self.desk.day.network.has(self.desk.setup.now(), self.relay, self.service):
             self.muted = True
             self.transport.pauseProducing()
         return not self.muted
@@ -95,8 +95,8 @@
     noisy = False
     wire: type[Wire] = Wire
 
-    def __init__(self, scene: Scene, day: Day) -> None:
-        self.scene, self.day = scene, day
+    def __init__(self, setup: TrialSetup, day: Day) -> None:
+        self.setup, self.day = setup, day
         self.wires: dict[Any, None] = {}
 
     def buildProtocol(self, address: Any) -> Any:
@@ -107,7 +107,7 @@
         for wire in [
             wire
             for wire in self.wires
-            if wire.muted and self.day.network.has(self.scene.now(), wire.relay, wire.service)
+            if wire.muted and self.day.network.has(self.setup.now(), wire.relay, wire.service)
         ]:
             wire.transport.abortConnection()
 
@@ -132,12 +132,12 @@
             head, _, self.held = self.held.partition(b"\r\n\r\n")
             match = ASKED.match(head + b"\r\n")
             if not match:
-                self.desk.scene.wrong(f"a call to the list that can't be read: {head[:60]!r}")
+                self.desk.setup.wrong(f"a call to the list that can't be read: {head[:60]!r}")
                 return self.transport.abortConnection()
             self.asked(match)
 
     def asked(self, match: re.Match) -> None:
-        scene, roster = self.desk.scene, self.desk.day.roster
+        setup, roster = self.desk.setup, self.desk.day.roster
         if match[1] is None:
             return self.answer(roster.told[self.relay], True, roster.whole(roster.told[self.relay]))
         after = int(match[1])
@@ -145,7 +145,7 @@
             return self.changed(after)
         wait = min(LONGEST_WAIT, int(match[2]) / 1000)
         self.after = after
-        self.waiting = scene.reactor.callLater(wait, self.changed, after)
+        self.waiting = setup.reactor.callLater(wait, self.changed, after)
 
     def changed(self, after: int) -> None:
         """Answers a watch with what there is, perhaps nothing."""
@@ -158,10 +158,10 @@
         self.answer(version, False, list(last.values()))
 
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
-        scene, desk, relay = self.desk.scene, self.desk, self.relay
+        setup, desk, relay = self.desk.setup, self.desk, self.relay
         for entry in entries:
-            scene.tell(Told(scene.now(), relay, entry.name, entry.build, entry.state, entry.started))
-        body = json.dumps(listing(scene, desk.numbers, relay, version, whole, entries)).encode()
+            setup.tell(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
+        body = json.dumps(listing(setup, desk.numbers, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
@@ -181,13 +181,13 @@
 
     wire = ListWire
 
-    def __init__(self, scene: Scene, day: Day, numbers: Callable[[str], int]) -> None:
-        super().__init__(scene, day)
+    def __init__(self, setup: TrialSetup, day: Day, numbers: Callable[[str], int]) -> None:
+        super().__init__(setup, day)
         self.numbers = numbers
 
     def news(self, relay: int, version: int) -> None:
         """That relay's agent has been sent the list up to that version."""
-        now, roster = self.scene.now(), self.day.roster
+        now, roster = self.setup.now(), self.day.roster
         if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
             return  # told once it moves again, or is reached
         _, entries = roster.news(relay, version)
@@ -213,12 +213,12 @@
                 call = json.loads(line)
                 self.called(call["id"], call["method"], call.get("params") or {})
             except (ValueError, LookupError, TypeError, AttributeError) as problem:
-                self.desk.scene.wrong(f"a call to the platform that can't be read: {problem}")
+                self.desk.setup.wrong(f"a call to the platform that can't be read: {problem}")
                 return self.transport.abortConnection()
 
     def called(self, number: int, method: str, params: dict[str, Any]) -> None:
-        scene, day = self.desk.scene, self.desk.day
-        if scene.now() < day.desk.silent_until:
+        setup, day = self.desk.setup, self.desk.day
+        if setup.now() < day.desk.silent_until:
             return
         if method == "subscribe":
             self.subscribed = True
@@ -228,16 +228,16 @@
             return self.say({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
         answer = self.desk.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
         if answer == "ok":
-            self.say({"id": number, "result": standing(scene, day.desk.state)})
+            self.say({"id": number, "result": standing(setup, day.desk.state)})
         elif answer != "nothing":
             self.say({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
 
     def stood(self) -> None:
         if not self.reached():
             return
-        scene, state = self.desk.scene, self.desk.day.desk.state
-        scene.tell(News(scene.now(), self.relay, state.build, state.stage, state.phase, state.cap))
-        self.say({"method": "stage", "params": standing(scene, state)})
+        setup, state = self.desk.setup, self.desk.day.desk.state
+        setup.tell(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
+        self.say({"method": "stage", "params": standing(setup, state)})
 
     def say(self, tree: dict[str, Any]) -> None:
         if self.reached():
@@ -249,12 +249,12 @@
 
     wire = PlatformWire
 
-    def __init__(self, scene: Scene, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
-        super().__init__(scene, day)
+    def __init__(self, setup: TrialSetup, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
+        super().__init__(setup, day)
         self.vote = vote
 
     def heard(self) -> list[PlatformWire]:
-        quiet = self.scene.now() < self.day.desk.silent_until
+        quiet = self.setup.now() < self.day.desk.silent_until
         return [] if quiet else [wire for wire in self.wires if wire.subscribed]
 
     def news(self) -> None:
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -13,7 +13,7 @@
 from ...world.clients import Arrival
 from ...world.day import Day
 from ..traffic import clients_of
-from .scene import Scene
+from .trial_setup import TrialSetup
 from .words import Answered, Begin, Close, Over, Relays
 
 JOIN = 2.0  # seconds to connect in
@@ -61,10 +61,10 @@
 
     def ask(self, arrival: Arrival) -> None:
         """May be called before the greeting has come: the query goes right behind the startup."""
-        crowd, scene = self.crowd, self.crowd.scene
-        now = scene.now()
+        crowd, setup = self.crowd, self.crowd.setup
+        now = setup.now()
         self.arrival, self.answer, self.come_back = arrival, "", 0
-        scene.tell(
+        setup.tell(
             Take(
                 now,
                 self.relay,
@@ -79,11 +79,11 @@
         )
         crowd.late[max(0, now - arrival.at)] += 1
         wait = max(1, (arrival.give_up - now) // 10)
-        each = scene.scenario.workload[arrival.workload]
+        each = setup.scenario.workload[arrival.workload]
         self.transport.write(
-            messages.query(statement(arrival, each.name, each.effect, scene.whose[arrival.customer], wait))
+            messages.query(statement(arrival, each.name, each.effect, setup.whose[arrival.customer], wait))
         )
-        self.timer = scene.reactor.callLater(scene.wait(arrival.give_up + PATIENCE), self.leave)
+        self.timer = setup.reactor.callLater(setup.wait(arrival.give_up + PATIENCE), self.leave)
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
@@ -93,7 +93,7 @@
                     self.come_back = advice(body)
                 self.came(messages.from_unit(kind, body))
         except messages.Unreadable as problem:
-            self.crowd.scene.wrong(f"a relay answered what can't be read: {problem}")
+            self.crowd.setup.wrong(f"a relay answered what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -136,11 +136,11 @@
     """The clients of a part of the relays.  Connections are kept by relay, the one used last first; when all are busy one
     more is opened."""
 
-    def __init__(self, scene: Scene, place: int, many: int) -> None:
-        self.scene, self.place, self.many = scene, place, many
+    def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
+        self.setup, self.place, self.many = setup, place, many
         # all arrivals are drawn in each part, as in the model, surges among them, and the others' passed over
-        self.clients = Day(scene.scenario.parts(), scene.seed, clients_of(scene.scenario, scene.seed)).clients
-        self.idle: list[list[Asking]] = [[] for _ in range(scene.relays)]
+        self.clients = Day(setup.scenario.parts(), setup.seed, clients_of(setup.scenario, setup.seed)).clients
+        self.idle: list[list[Asking]] = [[] for _ in range(setup.relays)]
         self.ready: set[int] = set()
         self.last: list[int] = []  # those that were ending when last told
         self.ending: dict[int, int] = {}  # relay that was told to end -> when it still ran
@@ -153,10 +153,10 @@
     def heard(self, word: Any) -> None:
         match word:
             case Begin(zero):
-                self.scene.begin(zero)
+                self.setup.begin(zero)
                 self.next()
             case Relays(ready, ending):
-                now = self.scene.now()
+                now = self.setup.now()
                 self.ending = {relay: at for relay, at in self.ending.items() if now - at < MOMENT} | dict.fromkeys(
                     self.last, now
                 )
@@ -168,21 +168,21 @@
 
     def ends(self, relay: int) -> bool:
         """Whether it was told to end: it runs yet, or ran a moment ago, when the ends of its connections may be on their way."""
-        return self.scene.now() - self.ending.get(relay, -NEVER) < MOMENT
+        return self.setup.now() - self.ending.get(relay, -NEVER) < MOMENT
 
     def look(self) -> None:
         if self.closing and not self.open:
             self.closing = False
-            self.scene.say(Answered())
+            self.setup.say(Answered())
 
     def next(self) -> None:
         due = self.clients.due
         if due is not None:
-            self.scene.reactor.callLater(self.scene.wait(due), self.arrive)
+            self.setup.reactor.callLater(self.setup.wait(due), self.arrive)
 
     def arrive(self) -> None:
         """All that are due by now; what is late counts from its intended time all the same."""
-        clients, now = self.clients, self.scene.now()
+        clients, now = self.clients, self.setup.now()
         while clients.due is not None and clients.due <= now:
             arrival = clients.next()
             if arrival.relay % self.many == self.place:
@@ -191,35 +191,35 @@
 
     def serve(self, arrival: Arrival, step: int = 0) -> None:
         """The front gives it to its relay, or to the next one that is up, from `step` places on."""
-        scene = self.scene
+        setup = self.setup
         self.open += 1
-        while step < scene.relays and (arrival.relay + step) % scene.relays not in self.ready:
+        while step < setup.relays and (arrival.relay + step) % setup.relays not in self.ready:
             step += 1
-        relay = (arrival.relay + step) % scene.relays
-        if step >= scene.relays:
+        relay = (arrival.relay + step) % setup.relays
+        if step >= setup.relays:
             return self.unserved(relay, arrival)
         idle = self.idle[relay]
         while idle:
             asking = idle.pop()
             if asking.transport.connected:
                 return asking.ask(arrival)
-        place = scene.addresses.relay(relay)
+        place = setup.addresses.relay(relay)
         asking = Asking(self, relay)
-        joined = connectProtocol(TCP4ClientEndpoint(scene.reactor, place.host, place.port, JOIN), asking)
+        joined = connectProtocol(TCP4ClientEndpoint(setup.reactor, place.host, place.port, JOIN), asking)
         joined.addCallbacks(lambda _: asking.ask(arrival), lambda _: self.refused(relay, arrival, step + 1))
 
     def refused(self, relay: int, arrival: Arrival, step: int) -> None:
         """The next one, then; one that is up and takes no connection is told of."""
         if relay in self.ready and not self.ends(relay):
-            self.lost_alive.append((relay, self.scene.now()))
+            self.lost_alive.append((relay, self.setup.now()))
         self.open -= 1
         self.serve(arrival, step)
 
     def unserved(self, relay: int, arrival: Arrival) -> None:
         """No relay could be reached: the try counts as asked for, and no relay has lost it."""
-        self.scene.tell(
+        self.setup.tell(
             Take(
-                self.scene.now(),
+                self.setup.now(),
                 relay,
                 arrival.number,
                 arrival.intended,
@@ -234,28 +234,28 @@
 
     def crossed(self, asking: Asking) -> None:
         """Sent once more, over a new connection; the first relay has not taken it."""
-        scene, arrival = self.scene, asking.arrival
+        setup, arrival = self.setup, asking.arrival
         asking.arrival = None
         if asking.timer and asking.timer.active():
             asking.timer.cancel()
-        scene.tell(End(scene.now(), asking.relay, arrival.number, "lost"))
+        setup.tell(End(setup.now(), asking.relay, arrival.number, "lost"))
         self.resent.append((asking.relay, arrival.number))
         self.open -= 1
-        self.serve(arrival, (asking.relay - arrival.relay) % scene.relays + 1)  # not by the one that ends
+        self.serve(arrival, (asking.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
 
     def free(self, asking: Asking) -> None:
         self.idle[asking.relay].append(asking)
 
     def ended(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
-        scene = self.scene
-        scene.tell(End(scene.now(), relay, arrival.number, answer))
+        setup = self.setup
+        setup.tell(End(setup.now(), relay, arrival.number, answer))
         if answer == "lost" and relay in self.ready:
-            self.lost_alive.append((relay, scene.now()))
+            self.lost_alive.append((relay, setup.now()))
         self.open -= 1
-        again = self.clients.answered(scene.now(), arrival, answer, come_back)
+        again = self.clients.answered(setup.now(), arrival, answer, come_back)
         if again:
             self.open += 1
-            scene.reactor.callLater(scene.wait(again.at), self.again, again)
+            setup.reactor.callLater(setup.wait(again.at), self.again, again)
         self.look()
 
     def again(self, arrival: Arrival) -> None:
--- a/tealsail/lab/loopback/notes.py
+++ b/tealsail/lab/loopback/notes.py
@@ -11,7 +11,7 @@
 
 from ...world.network import Network
 from . import addresses
-from .scene import Scene
+from .trial_setup import TrialSetup
 from .words import Begin, Net, Over
 
 IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
@@ -25,24 +25,24 @@
 class Post:
     """Carries notes, late or not at all, as the network has it."""
 
-    def __init__(self, scene: Scene, place: int, many: int) -> None:
-        self.scene = scene
-        self.network = Network(scene.scenario.paths(), scene.scenario.relay_zones(), scene.seed)
+    def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
+        self.setup = setup
+        self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         self.socket.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
         for buffer in (socket.SO_RCVBUF, socket.SO_SNDBUF):
             self.socket.setsockopt(socket.SOL_SOCKET, buffer, BUFFER)
-        self.socket.bind(("", scene.addresses.port + addresses.NOTES))
+        self.socket.bind(("", setup.addresses.port + addresses.NOTES))
         self.waiting: list[tuple[float, int, int, int, bytes]] = []
         self.count = self.carried = self.dropped = 0
         self.timer: Any = None
-        scene.reactor.addReader(self)
+        setup.reactor.addReader(self)
 
     def heard(self, word: Any) -> None:
         match word:
             case Begin(zero):
-                self.scene.begin(zero)
+                self.setup.begin(zero)
             case Net(plain):
                 self.network.take_over(plain)
 
@@ -72,21 +72,21 @@
                 ),
                 (-1, -1),
             )
-            if not 0 <= sender < self.scene.relays:
+            if not 0 <= sender < self.setup.relays:
                 continue
             if len(data) > LONGEST:
-                self.scene.wrong(f"relay {sender} sent a note of more than {LONGEST} bytes")
+                self.setup.wrong(f"relay {sender} sent a note of more than {LONGEST} bytes")
             elif to == addresses.EVERYONE:
-                for other in range(self.scene.relays):
+                for other in range(self.setup.relays):
                     if other != sender:
                         self.carry(sender, other, data)
-            elif 0 <= to < self.scene.relays:
+            elif 0 <= to < self.setup.relays:
                 self.carry(sender, to, data)
 
     def carry(self, sender: int, to: int, data: bytes) -> None:
-        seconds = self.scene.reactor.seconds()
+        seconds = self.setup.reactor.seconds()
         self.carried += 1
-        for wait in self.network.note(self.scene.now(), sender, to):
+        for wait in self.network.note(self.setup.now(), sender, to):
             if len(self.waiting) >= WAITING:
                 self.dropped += 1
                 continue
@@ -96,15 +96,15 @@
 
     def plan(self) -> None:
         if self.waiting and not (self.timer and self.timer.active()):
-            self.timer = self.scene.reactor.callLater(
-                max(0.0, self.waiting[0][0] - self.scene.reactor.seconds()), self.deliver
+            self.timer = self.setup.reactor.callLater(
+                max(0.0, self.waiting[0][0] - self.setup.reactor.seconds()), self.deliver
             )
 
     def deliver(self) -> None:
-        now = self.scene.reactor.seconds() + 0.0005  # what is due within half a ms goes with it
+        now = self.setup.reactor.seconds() + 0.0005  # what is due within half a ms goes with it
         while self.waiting and self.waiting[0][0] <= now:
             _, _, sender, to, data = heapq.heappop(self.waiting)
-            known, place = self.scene.addresses.peer(to, sender), self.scene.addresses.relay(to)
+            known, place = self.setup.addresses.peer(to, sender), self.setup.addresses.relay(to)
             info = INFO.pack(0, socket.inet_aton(known.host), bytes(4))
             try:
                 self.socket.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, (place.host, place.port))
@@ -114,5 +114,5 @@
 
     def over(self) -> Over:
         if self.dropped > self.carried // 100:
-            self.scene.wrong(f"{self.dropped} of {self.carried} notes found no room on their way")
+            self.setup.wrong(f"{self.dropped} of {self.carried} notes found no room on their way")
         return Over({}, [], 0.0)
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -20,8 +20,8 @@
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
 from .agents import listing, standing
-from .scene import Scene
 from .shifted import SHAPE
+from .trial_setup import TrialSetup
 
 LINGER = 0.4  # seconds after SIGTERM in which new connections still come
 FORCE = 8.0  # seconds after it in which a relay has to end
@@ -62,26 +62,26 @@
             self.said(line)
 
     def said(self, line: bytes) -> None:
-        scene = self.fleet.scene
+        setup = self.fleet.setup
         if LIVE in line:
             self.fleet.try_out(self)
         for mark in TOLD_OF:
             if mark in line:
                 text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
-                scene.tell(Log(scene.now(), self.relay, text))
+                setup.tell(Log(setup.now(), self.relay, text))
                 if mark == b"duties ":
                     self.duties = {
                         name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
                         for name, _, value in (word.partition("=") for word in text.split()[1:])
                     }
         if b" ERROR " in line or b"module: fault" in line:
-            scene.wrong(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
+            setup.wrong(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
 
     def processEnded(self, reason: Failure) -> None:
         self.log.close()
         self.ready = False
         if self.wanted:
-            self.fleet.scene.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
+            self.fleet.setup.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
         self.fleet.ended(self)
 
 
@@ -106,15 +106,15 @@
 
     def __init__(
         self,
-        scene: Scene,
+        setup: TrialSetup,
         day: Day,
         folder: Path,
         numbers: Callable[[str], int],
         changed: Callable[[], None],
         gone: Callable[[], None],
     ) -> None:
-        self.scene, self.day, self.folder, self.numbers, self.changed, self.gone = (
-            scene,
+        self.setup, self.day, self.folder, self.numbers, self.changed, self.gone = (
+            setup,
             day,
             folder,
             numbers,
@@ -124,9 +124,9 @@
         self.running: dict[int, tuple[RelayProcess, Any]] = {}
         self.downs: dict[int, list[int]] = {}  # relay -> when it was killed
         self.over = False
-        table = scene.scenario.trial
+        table = setup.scenario.trial
         self.beside = Path(table.beside) if table.beside else HOME
-        self.others = set(range(round(table.beside_part * scene.relays)))  # relays of the other checkout
+        self.others = set(range(round(table.beside_part * setup.relays)))  # relays of the other checkout
         self.moved = any(fault.kind in ("step clocks", "run clocks") for fault in day.parts.faults)
 
     def up(self, relay: int) -> bool:
@@ -152,13 +152,13 @@
         return self.folder / f"relay-{relay}.clock"
 
     def start(self, relay: int) -> None:
-        scene = self.scene
+        setup = self.setup
         path = self.folder / f"relay-{relay}.json"
         path.write_text(json.dumps(self.told(relay)))
         running = RelayProcess(self, relay, self.folder / f"relay-{relay}.log")
         document = []
-        if scene.scenario.document:
-            (self.folder / "tealsail.toml").write_text(toml(scene.scenario.document))
+        if setup.scenario.document:
+            (self.folder / "tealsail.toml").write_text(toml(setup.scenario.document))
             document = [f"--document={self.folder / 'tealsail.toml'}"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
         program = ["-m", "tealsail"]
@@ -166,7 +166,7 @@
             self.move_clock(relay)
             program = [str(Path(__file__).with_name("shifted.py")), str(self.clock(relay))]
         home = self.beside if relay in self.others else HOME
-        process = scene.reactor.spawnProcess(
+        process = setup.reactor.spawnProcess(
             running,
             sys.executable,
             [sys.executable, "-B", *program, "serve", *document],
@@ -177,13 +177,13 @@
         self.running[relay] = running, process
 
     def told(self, relay: int) -> dict[str, Any]:
-        scene, addresses = self.scene, self.scene.addresses
+        setup, addresses = self.setup, self.setup.addresses
         roster, state = self.day.roster, self.day.desk.state
         entries = roster.whole(roster.told[relay])
-        now = scene.now()
+        now = setup.now()
         for entry in entries:
-            scene.tell(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
-        scene.tell(News(now, relay, state.build, state.stage, state.phase, state.cap))
+            setup.tell(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
+        setup.tell(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
             "name": f"n{relay}",
@@ -193,17 +193,17 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": str(own),
             "peers": [
-                str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(scene.relays)
+                str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(setup.relays)
             ],
             "peers_all": str(addresses.everyone(relay)),
-            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(scene, state)},
-            "known": listing(scene, self.numbers, relay, roster.told[relay], True, entries),
-            "settings": scene.scenario.relay_settings(relay),
+            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(setup, state)},
+            "known": listing(setup, self.numbers, relay, roster.told[relay], True, entries),
+            "settings": setup.scenario.relay_settings(relay),
         }
 
     def try_out(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and not running.ready and not self.over:
-            place, reactor = self.scene.addresses.relay(running.relay), self.scene.reactor
+            place, reactor = self.setup.addresses.relay(running.relay), self.setup.reactor
             connectProtocol(
                 TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), ReadinessProbe(self, running)
             ).addErrback(lambda _: None)
@@ -212,7 +212,7 @@
     def came_up(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.wanted:
             running.ready = running.lived = True  # else it was killed while its first answer was on the way
-            self.scene.tell(Life(self.scene.now(), running.relay, "up"))
+            self.setup.tell(Life(self.setup.now(), running.relay, "up"))
             self.changed()
 
     # what the script does
@@ -231,7 +231,7 @@
             case "stop" | "on" if running and running.stopped != (order.what == "stop"):
                 running.stopped = order.what == "stop"
                 os.kill(process.pid, signal.SIGSTOP if running.stopped else signal.SIGCONT)
-                self.scene.tell(Life(self.scene.now(), order.relay, "stopped" if running.stopped else "on"))
+                self.setup.tell(Life(self.setup.now(), order.relay, "stopped" if running.stopped else "on"))
             case "rate":
                 self.move_clock(order.relay, rate=order.amount)
             case "step":
@@ -250,7 +250,7 @@
     def kill(self, relay: int) -> None:
         running, process = self.running.pop(relay)
         running.wanted = running.ready = False
-        self.downs.setdefault(relay, []).append(self.scene.now())
+        self.downs.setdefault(relay, []).append(self.setup.now())
         self.down(running)
         self.changed()
         process.signalProcess("KILL")
@@ -258,7 +258,7 @@
     def down(self, running: RelayProcess) -> None:
         """One that had not come up yet is not told of."""
         if running.lived:
-            self.scene.tell(Life(self.scene.now(), running.relay, "down"))
+            self.setup.tell(Life(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
@@ -267,8 +267,8 @@
             self.changed()
             self.wake(running, process)
             process.signalProcess("TERM")
-            self.scene.reactor.callLater(LINGER, self.unready, running)
-            self.scene.reactor.callLater(FORCE, self.force, running, process)
+            self.setup.reactor.callLater(LINGER, self.unready, running)
+            self.setup.reactor.callLater(FORCE, self.force, running, process)
 
     def wake(self, running: RelayProcess, process: Any) -> None:
         """One that is stopped can't end."""
@@ -288,7 +288,7 @@
             running.wanted = False
             self.wake(running, process)
             process.signalProcess("TERM")
-            self.scene.reactor.callLater(FORCE, self.force, running, process)
+            self.setup.reactor.callLater(FORCE, self.force, running, process)
         self.changed()
         if not self.running:
             self.gone()
@@ -303,7 +303,7 @@
 
     def force(self, running: RelayProcess, process: Any) -> None:
         if not running.log.closed:
-            self.scene.wrong(f"relay {running.relay} did not end when told to")
+            self.setup.wrong(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
 
     def ended(self, running: RelayProcess) -> None:
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -15,7 +15,7 @@
 from ..scenario import convert
 from .clients import Crowd
 from .notes import Post
-from .scene import Scene, steady
+from .trial_setup import TrialSetup, steady
 from .units import Stalls
 from .words import Cast, Over, Stop, Word, Wrong, decode, encode
 
@@ -34,13 +34,13 @@
 class LocalMember:
     """A part in the director's process; its lines go straight to the record."""
 
-    def __init__(self, scene: Scene, part: str) -> None:
-        self.part, self.name = PARTS[part](scene, 0, 1), part
-        self.scene = scene
+    def __init__(self, setup: TrialSetup, part: str) -> None:
+        self.part, self.name = PARTS[part](setup, 0, 1), part
+        self.setup = setup
 
     def tell(self, word: Word) -> None:
         if isinstance(word, Stop):
-            self.scene.reactor.callLater(0, self.scene.say, self.part.over())
+            self.setup.reactor.callLater(0, self.setup.say, self.part.over())
         else:
             self.part.heard(word)
 
@@ -48,13 +48,13 @@
 class ProcessMember(ProcessProtocol):
     """A part in a process of its own, which is told and says words as lines, and keeps its lines of the record in a file."""
 
-    def __init__(self, scene: Scene, part: str, place: int, many: int, folder: Path) -> None:
-        self.scene, self.name, self.held, self.ended = scene, f"{part}-{place}", b"", False
+    def __init__(self, setup: TrialSetup, part: str, place: int, many: int, folder: Path) -> None:
+        self.setup, self.name, self.held, self.ended = setup, f"{part}-{place}", b"", False
         self.record, self.errors = folder / f"{self.name}.record", b""
-        self.process = scene.reactor.spawnProcess(
+        self.process = setup.reactor.spawnProcess(
             self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.process_group"], None
         )
-        self.tell(Cast(part, place, many, scene.scenario.plain(), scene.seed, scene.addresses.port, str(self.record)))
+        self.tell(Cast(part, place, many, setup.scenario.plain(), setup.seed, setup.addresses.port, str(self.record)))
 
     def tell(self, word: Word) -> None:
         if not self.ended:
@@ -63,7 +63,7 @@
     def outReceived(self, data: bytes) -> None:
         *lines, self.held = (self.held + data).split(b"\n")
         for line in lines:
-            self.scene.say(decode(line))
+            self.setup.say(decode(line))
 
     def errReceived(self, data: bytes) -> None:
         self.errors = (self.errors + data)[-4_000:]
@@ -71,10 +71,10 @@
     def processEnded(self, reason: Failure) -> None:
         self.ended = True
         if self.errors or reason.value.exitCode:
-            self.scene.wrong(
+            self.setup.wrong(
                 f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
             )
-            self.scene.say(Over({}, [], 0.0))
+            self.setup.say(Over({}, [], 0.0))
 
 
 class MemberProcess:
@@ -97,8 +97,10 @@
                 self.writer = Writer(record)
                 day = convert(scenario)
                 self.writer(Head(0, VERSION, "trial", day.name, seed, {}))
-                scene = Scene(self.reactor, day, seed, port, self.writer, lambda text: self.say(Wrong(text)), self.say)
-                self.part = PARTS[part](scene, place, many)
+                setup = TrialSetup(
+                    self.reactor, day, seed, port, self.writer, lambda text: self.say(Wrong(text)), self.say
+                )
+                self.part = PARTS[part](setup, place, many)
             case Stop():
                 over = self.part.over()
                 self.writer.close()
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -26,7 +26,7 @@
 from .agents import PING, ListDesk, PlatformDesk
 from .process_fleet import ProcessFleet
 from .process_group import LocalMember, ProcessMember, widen
-from .scene import Scene, steady
+from .trial_setup import TrialSetup, steady
 from .words import Answered, Begin, Close, Fell, Net, Over, Relays, Stand, Stop, Word, Wrong
 
 READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
@@ -54,13 +54,13 @@
         self.taken = Taken(self.relays)
         self.lines: list[Line] = []
         self.problems: list[str] = []
-        self.scene = Scene(reactor, scenario, seed, self.taken.port, self.lines.append, self.wrong, self.heard)
+        self.setup = TrialSetup(reactor, scenario, seed, self.taken.port, self.lines.append, self.wrong, self.heard)
         self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
         self.numbers: dict[str, int] = {}
-        self.processes = ProcessFleet(self.scene, self.day, folder, self.number, self.relays_changed, self.all_gone)
+        self.processes = ProcessFleet(self.setup, self.day, folder, self.number, self.relays_changed, self.all_gone)
         self.day.roles = self.processes.acting
-        self.list = ListDesk(self.scene, self.day, self.number)
-        self.platform = PlatformDesk(self.scene, self.day, self.vote)
+        self.list = ListDesk(self.setup, self.day, self.number)
+        self.platform = PlatformDesk(self.setup, self.day, self.vote)
         self.members: dict[str, list[Any]] = {}
         self.stands: dict[str, Stand] = {}  # what units' parts were last told of each
         self.net: list[Any] = []  # and of the network
@@ -84,15 +84,15 @@
 
     # the course of a trial
     def start(self) -> None:
-        scene, port = self.scene, self.taken.port
-        scene.tell(
+        setup, port = self.setup, self.taken.port
+        setup.tell(
             Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
         )
         self.reactor.listenTCP(port + LIST, self.list, 512)
         self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
         for part, many in parts_for(self.relays).items():
-            self.members[part] = [ProcessMember(scene, part, place, many, self.folder) for place in range(many)] or [
-                LocalMember(scene, part)
+            self.members[part] = [ProcessMember(setup, part, place, many, self.folder) for place in range(many)] or [
+                LocalMember(setup, part)
             ]
         self.took_up()
         for relay in range(self.relays):
@@ -100,7 +100,7 @@
         self.reactor.callLater(READY + EACH * self.relays, self.unready)
 
     def unready(self) -> None:
-        if not self.scene.begun and not self.over:
+        if not self.setup.begun and not self.over:
             self.wrong(f"{self.relays - len(self.troupe.ready())} relays were not ready in time")
             self.finish()
 
@@ -108,9 +108,9 @@
         if self.over:
             return
         self.tell("clients", Relays(self.processes.ready(), self.processes.ending()))
-        if not self.scene.begun and len(self.processes.ready()) == self.relays:
+        if not self.setup.begun and len(self.processes.ready()) == self.relays:
             zero = self.reactor.seconds() + LEAD / 10_000
-            self.scene.begin(zero)
+            self.setup.begin(zero)
             for part in self.members:
                 self.tell(part, Begin(zero))
             self.wake()
@@ -139,7 +139,7 @@
                 unit = self.day.fleet.units.get(name)
                 if unit and not unit.dead:
                     unit.fell = unit.told_fallen = True
-                    self.day.fallen(self.scene.now(), unit)
+                    self.day.fallen(self.setup.now(), unit)
                     self.took_up()
             case Wrong(text):
                 self.wrong(text)
@@ -168,20 +168,20 @@
     def wake(self) -> None:
         if self.over:
             return
-        if self.scene.now() >= self.day.due:
-            self.day.wake(self.scene.now())
+        if self.setup.now() >= self.day.due:
+            self.day.wake(self.setup.now())
             self.took_up()
         else:
             self.plan()
 
     def plan(self) -> None:
-        wait = min(self.scene.wait(self.day.due), 1.0)
+        wait = min(self.setup.wait(self.day.due), 1.0)
         if self.timer and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(wait, self.wake)
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> str:
-        answer = self.day.vote(self.scene.now(), relay, build, stage, verdict)
+        answer = self.day.vote(self.setup.now(), relay, build, stage, verdict)
         self.reactor.callLater(0, self.took_up)
         return answer
 
@@ -224,22 +224,22 @@
 
     def took_up(self) -> None:
         """Carries out what the day left to do."""
-        day, scene = self.day, self.scene
+        day, setup = self.day, self.setup
         left = day.left()
         for line in left.lines:
-            scene.tell(line)
+            setup.tell(line)
         self.tell_units()
         for desk in (self.list, self.platform):
             desk.mend()
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
                 self.reactor.callLater(lag / 10_000, self.list.news, relay, version)
-        if day.moved and scene.now() >= day.desk.silent_until:
+        if day.moved and setup.now() >= day.desk.silent_until:
             day.moved = False
             self.platform.news()
         for order in left.relays:
             self.processes.carry_out(order)
-        if scene.begun and not self.over:
+        if setup.begun and not self.over:
             self.plan()
 
     # what came of it
--- a/tealsail/lab/loopback/scene.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -9,7 +9,7 @@
 from .addresses import Addresses
 
 
-class Scene:
+class TrialSetup:
     """`tell` takes lines of the record, `wrong` what a relay did that no rule has a name for, `say` words to the director
     (words.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as seconds of their reactors."""
 
--- a/tealsail/lab/loopback/units.py
+++ b/tealsail/lab/loopback/units.py
@@ -12,7 +12,7 @@
 from ...world.network import Network
 from ...world.unit import NEVER, Asked, Unit
 from .addresses import UNITS, caller
-from .scene import Scene
+from .trial_setup import TrialSetup
 from .words import Begin, Fell, Net, Over, Stand
 
 BACKLOG = 512  # connections that wait to be taken
@@ -82,7 +82,7 @@
                     self.splitter.typed = True
                     self.write(messages.WELCOME)
         except (messages.Unreadable, statements.Unclear) as problem:
-            self.seat.stalls.scene.wrong(f"a relay wrote what can't be read: {problem}")
+            self.seat.stalls.setup.wrong(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -91,7 +91,7 @@
                 self.write(messages.EMPTY)
             case messages.Query(text):
                 if self.held:
-                    return self.seat.stalls.scene.wrong("a relay wrote a second query to a connection at work")
+                    return self.seat.stalls.setup.wrong("a relay wrote a second query to a connection at work")
                 self.asked(statements.read(text))
             case messages.Terminate():
                 self.transport.loseConnection()
@@ -103,7 +103,7 @@
         self.held = Held(self, number, place)
         unit = seat.unit
         seat.tell(Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10)))
-        unit.take(now, Asked(self.held, number % TRY, stalls.scene.workloads[statement.workload]))
+        unit.take(now, Asked(self.held, number % TRY, stalls.setup.workloads[statement.workload]))
         stalls.touch(seat)
 
     def answer(self, outcome: str, load: dict[str, float] | None) -> None:
@@ -140,7 +140,7 @@
 
     def __init__(self, stalls: "Stalls", unit: Unit, number: int) -> None:
         self.stalls, self.unit, self.number = stalls, unit, number
-        self.now, self.tell = stalls.scene.now, stalls.scene.tell
+        self.now, self.tell = stalls.setup.now, stalls.setup.tell
         self.wires: dict[Wire, None] = {}
         self.port: Any = None
         self.timer: Any = None
@@ -152,8 +152,8 @@
         return self.stalls.network.reaches(self.now(), relay, self.unit.name, self.unit.zone)
 
     def open(self) -> None:
-        scene = self.stalls.scene
-        self.port = scene.reactor.listenTCP(scene.addresses.port + UNITS + self.number, self, BACKLOG)
+        setup = self.stalls.setup
+        self.port = setup.reactor.listenTCP(setup.addresses.port + UNITS + self.number, self, BACKLOG)
 
     def close(self) -> None:
         """Its process has ended: connections are reset and new ones refused."""
@@ -169,13 +169,13 @@
 class Stalls:
     """A part of a trial's units: opens those that run, closes those that have ended, wakes those at work."""
 
-    def __init__(self, scene: Scene, place: int, many: int) -> None:
-        self.scene, self.of = scene, (place, many)
+    def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
+        self.setup, self.of = setup, (place, many)
         self.seats: dict[str, Seat] = {}
         self.places: dict[int, int] = {}  # invocation -> shots of it that came to this part
-        self.network = Network(scene.scenario.paths(), scene.scenario.relay_zones(), scene.seed)
-        self.kind, self.works = scene.scenario.kind(), scene.scenario.works()
-        self.builds = scene.scenario.builds_by_number()
+        self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
+        self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
+        self.builds = setup.scenario.builds_by_number()
 
     def place(self, number: int) -> int:
         """A place for a shot, apart from those that other parts give: the wire has none."""
@@ -185,19 +185,19 @@
     def heard(self, word: Any) -> None:
         match word:
             case Begin(zero):
-                self.scene.begin(zero)
+                self.setup.begin(zero)
             case Stand():
                 self.stand(word)
             case Net(plain):
                 self.network.take_over(plain)
                 self.mend()
                 for relay_until in sorted({until for each in (*plain[0], *plain[3]) for until in each[-1:]}):
-                    if self.scene.now() < relay_until < NEVER:
-                        self.scene.reactor.callLater(self.scene.wait(relay_until) + 0.001, self.mend)
+                    if self.setup.now() < relay_until < NEVER:
+                        self.setup.reactor.callLater(self.setup.wait(relay_until) + 0.001, self.mend)
 
     def stand(self, word: Stand) -> None:
         """A unit comes up, goes, or changes."""
-        seat, now = self.seats.get(word.name), self.scene.now()
+        seat, now = self.seats.get(word.name), self.setup.now()
         if seat and (word.dead or (seat.unit.mark, seat.unit.started) != (word.mark, word.started)):
             del self.seats[word.name]
             seat.unit.die(now)
@@ -217,7 +217,7 @@
                 word.cell,
                 word.started,
                 self.works,
-                self.scene.seed,
+                self.setup.seed,
             )
             seat = self.seats[word.name] = Seat(self, unit, word.number)
             seat.open()
@@ -239,34 +239,34 @@
 
     def touch(self, seat: Seat) -> None:
         """Takes up what a unit said, and when it wants to be woken."""
-        scene, unit = self.scene, seat.unit
-        now = scene.now()
+        setup, unit = self.setup, seat.unit
+        now = setup.now()
         taken, unit.taken = unit.taken, []
         for held, work in taken:
-            scene.tell(Ran(now, held.wire.relay, held.number, held.place, unit.name, work))
+            setup.tell(Ran(now, held.wire.relay, held.number, held.place, unit.name, work))
         said, unit.said = unit.said, []
         for held, outcome in said:
             if held.over:
                 continue
             held.over = True
             relay = held.wire.relay
-            scene.tell(Done(now, relay, held.number, held.place, unit.name, outcome))
-            scene.tell(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
+            setup.tell(Done(now, relay, held.number, held.place, unit.name, outcome))
+            setup.tell(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
             held.wire.answer(outcome, unit.load(now) if unit.kind.report_every else None)
         if unit.fell and not unit.told_fallen:
             unit.told_fallen = True
-            scene.say(Fell(unit.name))
+            setup.say(Fell(unit.name))
         due, timer = unit.due, seat.timer
         if due < NEVER and not unit.dead:
             if timer and timer.active():
-                timer.reset(scene.wait(due))
+                timer.reset(setup.wait(due))
             else:
-                seat.timer = scene.reactor.callLater(scene.wait(due), self.wake, seat)
+                seat.timer = setup.reactor.callLater(setup.wait(due), self.wake, seat)
         elif timer and timer.active():
             timer.cancel()
 
     def wake(self, seat: Seat) -> None:
-        seat.unit.wake(self.scene.now())
+        seat.unit.wake(self.setup.now())
         self.touch(seat)
 
     def over(self) -> Over:
