--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -13,8 +13,8 @@
 from ...world.clients import Arrival
 from ...world.day import Day
 from ..traffic import clients_of
+from .process_messages import AllAnswered, ArrivalsOver, DayBegin, FinalReport, RelayStates
 from .trial_setup import TrialSetup
-from .words import Answered, Begin, Close, Over, Relays
 
 JOIN = 2.0  # seconds to connect in
 MOMENT, NEVER = 10_000, 1 << 60  # tenths of a ms
@@ -150,19 +150,19 @@
         self.resent: list[tuple[int, int]] = []  # relay and number of what it had not read when it ended
         self.closing = False
 
-    def heard(self, word: Any) -> None:
-        match word:
-            case Begin(zero):
+    def heard(self, message: Any) -> None:
+        match message:
+            case DayBegin(zero):
                 self.setup.begin(zero)
                 self.next()
-            case Relays(ready, ending):
+            case RelayStates(ready, ending):
                 now = self.setup.now()
                 self.ending = {relay: at for relay, at in self.ending.items() if now - at < MOMENT} | dict.fromkeys(
                     self.last, now
                 )
                 self.ready, self.last = set(ready), ending
                 self.ending |= dict.fromkeys(ending, NEVER)
-            case Close():
+            case ArrivalsOver():
                 self.closing = True
                 self.look()
 
@@ -173,7 +173,7 @@
     def look(self) -> None:
         if self.closing and not self.open:
             self.closing = False
-            self.setup.say(Answered())
+            self.setup.say(AllAnswered())
 
     def next(self) -> None:
         due = self.clients.due
@@ -262,5 +262,5 @@
         self.open -= 1
         self.serve(arrival)
 
-    def over(self) -> Over:
-        return Over(dict(self.late), self.lost_alive, 0.0, self.resent)
+    def over(self) -> FinalReport:
+        return FinalReport(dict(self.late), self.lost_alive, 0.0, self.resent)
--- a/tealsail/lab/loopback/notes.py
+++ b/tealsail/lab/loopback/notes.py
@@ -11,8 +11,8 @@
 
 from ...world.network import Network
 from . import addresses
+from .process_messages import DayBegin, FinalReport, NetworkState
 from .trial_setup import TrialSetup
-from .words import Begin, Net, Over
 
 IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
 INFO = struct.Struct("=i4s4s")  # struct in_pktinfo: interface, local address, address sent to
@@ -39,11 +39,11 @@
         self.timer: Any = None
         setup.reactor.addReader(self)
 
-    def heard(self, word: Any) -> None:
-        match word:
-            case Begin(zero):
+    def heard(self, message: Any) -> None:
+        match message:
+            case DayBegin(zero):
                 self.setup.begin(zero)
-            case Net(plain):
+            case NetworkState(plain):
                 self.network.take_over(plain)
 
     # for the reactor
@@ -112,7 +112,7 @@
                 self.dropped += 1
         self.plan()
 
-    def over(self) -> Over:
+    def over(self) -> FinalReport:
         if self.dropped > self.carried // 100:
             self.setup.wrong(f"{self.dropped} of {self.carried} notes found no room on their way")
-        return Over({}, [], 0.0)
+        return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -15,9 +15,9 @@
 from ..scenario import convert
 from .clients import Crowd
 from .notes import Post
+from .process_messages import FinalReport, Message, RoleAssignment, Stop, Violation, decode, encode
 from .trial_setup import TrialSetup, steady
 from .units import Stalls
-from .words import Cast, Over, Stop, Word, Wrong, decode, encode
 
 PARTS = {"units": Stalls, "clients": Crowd, "notes": Post}
 LONGEST = 64 * 1024 * 1024  # bytes of a word
@@ -38,11 +38,11 @@
         self.part, self.name = PARTS[part](setup, 0, 1), part
         self.setup = setup
 
-    def tell(self, word: Word) -> None:
-        if isinstance(word, Stop):
+    def tell(self, message: Message) -> None:
+        if isinstance(message, Stop):
             self.setup.reactor.callLater(0, self.setup.say, self.part.over())
         else:
-            self.part.heard(word)
+            self.part.heard(message)
 
 
 class ProcessMember(ProcessProtocol):
@@ -54,11 +54,15 @@
         self.process = setup.reactor.spawnProcess(
             self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.process_group"], None
         )
-        self.tell(Cast(part, place, many, setup.scenario.plain(), setup.seed, setup.addresses.port, str(self.record)))
+        self.tell(
+            RoleAssignment(
+                part, place, many, setup.scenario.plain(), setup.seed, setup.addresses.port, str(self.record)
+            )
+        )
 
-    def tell(self, word: Word) -> None:
+    def tell(self, message: Message) -> None:
         if not self.ended:
-            self.transport.write(encode(word))
+            self.transport.write(encode(message))
 
     def outReceived(self, data: bytes) -> None:
         *lines, self.held = (self.held + data).split(b"\n")
@@ -74,7 +78,7 @@
             self.setup.wrong(
                 f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
             )
-            self.setup.say(Over({}, [], 0.0))
+            self.setup.say(FinalReport({}, [], 0.0))
 
 
 class MemberProcess:
@@ -91,14 +95,14 @@
         for line in lines:
             self.heard(decode(line))
 
-    def heard(self, word: Any) -> None:
-        match word:
-            case Cast(part, place, many, scenario, seed, port, record):
+    def heard(self, message: Any) -> None:
+        match message:
+            case RoleAssignment(part, place, many, scenario, seed, port, record):
                 self.writer = Writer(record)
                 day = convert(scenario)
                 self.writer(Head(0, VERSION, "trial", day.name, seed, {}))
                 setup = TrialSetup(
-                    self.reactor, day, seed, port, self.writer, lambda text: self.say(Wrong(text)), self.say
+                    self.reactor, day, seed, port, self.writer, lambda text: self.say(Violation(text)), self.say
                 )
                 self.part = PARTS[part](setup, place, many)
             case Stop():
@@ -107,10 +111,10 @@
                 self.say(msgspec.structs.replace(over, cpu=time.process_time()))
                 self.reactor.callLater(0.1, self.reactor.stop)
             case _:
-                self.part.heard(word)
+                self.part.heard(message)
 
-    def say(self, word: Word) -> None:
-        self.out.write(encode(word))
+    def say(self, message: Message) -> None:
+        self.out.write(encode(message))
 
 
 def main() -> None:
--- a/tealsail/lab/loopback/words.py
+++ b/tealsail/lab/loopback/process_messages.py
@@ -1,16 +1,16 @@
 """What a trial's director and its parts tell each other: one typed value each, as JSON lines where a part has a process of
 its own."""
 
-from typing import Any, Union
+from typing import Any
 
 import msgspec
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Message(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """What all have."""
 
 
-class Cast(Word, tag="cast"):
+class RoleAssignment(Message, tag="cast"):
     """The first to a process: which part it plays, as which of how many, of what day; `record` is the file to write."""
 
     part: str
@@ -22,13 +22,13 @@
     record: str
 
 
-class Begin(Word, tag="begin"):
+class DayBegin(Message, tag="begin"):
     """The day's zero, in seconds of CLOCK_MONOTONIC."""
 
     zero: float
 
 
-class Stand(Word, tag="stand"):
+class BackendState(Message, tag="stand"):
     """A unit as the director has it: a new one, or what has changed of one."""
 
     name: str
@@ -46,42 +46,42 @@
     dead: bool
 
 
-class Net(Word, tag="net"):
+class NetworkState(Message, tag="net"):
     """All that is wrong with the network (Network.plain)."""
 
     plain: list[Any]
 
 
-class Relays(Word, tag="relays"):
+class RelayStates(Message, tag="relays"):
     """Those that answer, and those that have been told to end and run yet."""
 
     ready: list[int]
     ending: list[int]
 
 
-class Close(Word, tag="close"):
+class ArrivalsOver(Message, tag="close"):
     """The last arrival has been: say when all is answered."""
 
 
-class Stop(Word, tag="stop"):
+class Stop(Message, tag="stop"):
     """The trial is over."""
 
 
-class Fell(Word, tag="fell"):
+class BackendCrashed(Message, tag="fell"):
     """A unit fell over under what it was sent."""
 
     name: str
 
 
-class Wrong(Word, tag="wrong"):
+class Violation(Message, tag="wrong"):
     text: str
 
 
-class Answered(Word, tag="answered"):
+class AllAnswered(Message, tag="answered"):
     """A part's clients have their answers."""
 
 
-class Over(Word, tag="over"):
+class FinalReport(Message, tag="over"):
     """The last of a part: how late its arrivals were sent (tenths of a ms -> how many), which relay that was up lost an
     invocation and when, its processor time in seconds, and (relay, number) of what was sent anew since that relay ended."""
 
@@ -91,14 +91,26 @@
     resent: list[tuple[int, int]] = []
 
 
-Said = Union[Cast, Begin, Stand, Net, Relays, Close, Stop, Fell, Wrong, Answered, Over]
-ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(Said)
+AnyMessage = (
+    RoleAssignment
+    | DayBegin
+    | BackendState
+    | NetworkState
+    | RelayStates
+    | ArrivalsOver
+    | Stop
+    | BackendCrashed
+    | Violation
+    | AllAnswered
+    | FinalReport
+)
+ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyMessage)
 
 
-def encode(word: Word) -> bytes:
-    return ENCODER.encode(word) + b"\n"
+def encode(message: Message) -> bytes:
+    return ENCODER.encode(message) + b"\n"
 
 
-def decode(line: bytes) -> Said:
+def decode(line: bytes) -> AnyMessage:
     """Raises msgspec.DecodeError."""
     return DECODER.decode(line)
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -26,8 +26,20 @@
 from .agents import PING, ListDesk, PlatformDesk
 from .process_fleet import ProcessFleet
 from .process_group import LocalMember, ProcessMember, widen
+from .process_messages import (
+    AllAnswered,
+    ArrivalsOver,
+    BackendCrashed,
+    BackendState,
+    DayBegin,
+    FinalReport,
+    Message,
+    NetworkState,
+    RelayStates,
+    Stop,
+    Violation,
+)
 from .trial_setup import TrialSetup, steady
-from .words import Answered, Begin, Close, Fell, Net, Over, Relays, Stand, Stop, Word, Wrong
 
 READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
 GRACE, END = 10.0, 25.0  # for answers; for the end
@@ -62,10 +74,10 @@
         self.list = ListDesk(self.setup, self.day, self.number)
         self.platform = PlatformDesk(self.setup, self.day, self.vote)
         self.members: dict[str, list[Any]] = {}
-        self.stands: dict[str, Stand] = {}  # what units' parts were last told of each
+        self.stands: dict[str, BackendState] = {}  # what units' parts were last told of each
         self.net: list[Any] = []  # and of the network
         self.waiting = 0  # parts whose clients have no answer yet, or that have not ended
-        self.overs: list[Over] = []
+        self.overs: list[FinalReport] = []
         self.costs: dict[str, float] = {}
         self.closed = self.over = False
         self.timer: Any = None
@@ -78,9 +90,9 @@
         """A unit's, for its port: one that comes back under its name finds its own again."""
         return self.numbers.setdefault(name, len(self.numbers))
 
-    def tell(self, part: str, word: Word) -> None:
+    def tell(self, part: str, message: Message) -> None:
         for each in self.members[part]:
-            each.tell(word)
+            each.tell(message)
 
     # the course of a trial
     def start(self) -> None:
@@ -107,12 +119,12 @@
     def relays_changed(self) -> None:
         if self.over:
             return
-        self.tell("clients", Relays(self.processes.ready(), self.processes.ending()))
+        self.tell("clients", RelayStates(self.processes.ready(), self.processes.ending()))
         if not self.setup.begun and len(self.processes.ready()) == self.relays:
             zero = self.reactor.seconds() + LEAD / 10_000
             self.setup.begin(zero)
             for part in self.members:
-                self.tell(part, Begin(zero))
+                self.tell(part, DayBegin(zero))
             self.wake()
             self.ping()
             self.reactor.callLater(self.scenario.span / 10_000 + LEAD / 10_000, self.closing)
@@ -125,26 +137,26 @@
     def closing(self) -> None:
         """The last arrival has been: on until all is answered."""
         self.waiting, self.closed = len(self.members["clients"]), True
-        self.tell("clients", Close())
+        self.tell("clients", ArrivalsOver())
         self.reactor.callLater(GRACE, self.finish)
 
-    def heard(self, word: Any) -> None:
+    def heard(self, message: Any) -> None:
         """What a part says."""
-        match word:
-            case Answered() if self.closed:
+        match message:
+            case AllAnswered() if self.closed:
                 self.waiting -= 1
                 if not self.waiting:
                     self.finish()
-            case Fell(name):
+            case BackendCrashed(name):
                 unit = self.day.fleet.units.get(name)
                 if unit and not unit.dead:
                     unit.fell = unit.told_fallen = True
                     self.day.fallen(self.setup.now(), unit)
                     self.took_up()
-            case Wrong(text):
+            case Violation(text):
                 self.wrong(text)
-            case Over():
-                self.overs.append(word)
+            case FinalReport():
+                self.overs.append(message)
                 if len(self.overs) == sum(len(each) for each in self.members.values()):
                     self.done()
 
@@ -185,8 +197,8 @@
         self.reactor.callLater(0, self.took_up)
         return answer
 
-    def stand(self, name: str, unit: Any) -> Stand:
-        return Stand(
+    def stand(self, name: str, unit: Any) -> BackendState:
+        return BackendState(
             name,
             self.number(name),
             unit.mark,
@@ -216,9 +228,9 @@
         if plain != self.net:
             self.net = plain
             for part in ("units", "notes"):
-                self.tell(part, Net(plain))
+                self.tell(part, NetworkState(plain))
 
-    def change(self, stand: Stand, many: int) -> None:
+    def change(self, stand: BackendState, many: int) -> None:
         self.stands[stand.name] = stand
         self.members["units"][stand.number % many].tell(stand)
 
--- a/tealsail/lab/loopback/trial_setup.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -11,7 +11,7 @@
 
 class TrialSetup:
     """`tell` takes lines of the record, `wrong` what a relay did that no rule has a name for, `say` words to the director
-    (words.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as seconds of their reactors."""
+    (process_messages.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as seconds of their reactors."""
 
     def __init__(
         self,
--- a/tealsail/lab/loopback/units.py
+++ b/tealsail/lab/loopback/units.py
@@ -12,8 +12,8 @@
 from ...world.network import Network
 from ...world.unit import NEVER, Asked, Unit
 from .addresses import UNITS, caller
+from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, NetworkState
 from .trial_setup import TrialSetup
-from .words import Begin, Fell, Net, Over, Stand
 
 BACKLOG = 512  # connections that wait to be taken
 DESCRIBED = messages.message(b"T", b"\0\1content\0" + bytes(6) + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1")
@@ -182,52 +182,52 @@
         count = self.places[number] = self.places.get(number, -1) + 1
         return count * self.of[1] + self.of[0]
 
-    def heard(self, word: Any) -> None:
-        match word:
-            case Begin(zero):
+    def heard(self, message: Any) -> None:
+        match message:
+            case DayBegin(zero):
                 self.setup.begin(zero)
-            case Stand():
-                self.stand(word)
-            case Net(plain):
+            case BackendState():
+                self.stand(message)
+            case NetworkState(plain):
                 self.network.take_over(plain)
                 self.mend()
                 for relay_until in sorted({until for each in (*plain[0], *plain[3]) for until in each[-1:]}):
                     if self.setup.now() < relay_until < NEVER:
                         self.setup.reactor.callLater(self.setup.wait(relay_until) + 0.001, self.mend)
 
-    def stand(self, word: Stand) -> None:
+    def stand(self, message: BackendState) -> None:
         """A unit comes up, goes, or changes."""
-        seat, now = self.seats.get(word.name), self.setup.now()
-        if seat and (word.dead or (seat.unit.mark, seat.unit.started) != (word.mark, word.started)):
-            del self.seats[word.name]
+        seat, now = self.seats.get(message.name), self.setup.now()
+        if seat and (message.dead or (seat.unit.mark, seat.unit.started) != (message.mark, message.started)):
+            del self.seats[message.name]
             seat.unit.die(now)
             self.touch(seat)
             seat.close()
             seat = None
-        if word.dead:
+        if message.dead:
             return
         if seat is None:
             unit = Unit(
-                word.name,
-                word.mark,
-                self.builds[word.build],
+                message.name,
+                message.mark,
+                self.builds[message.build],
                 self.kind,
-                word.speed,
-                word.zone,
-                word.cell,
-                word.started,
+                message.speed,
+                message.zone,
+                message.cell,
+                message.started,
                 self.works,
                 self.setup.seed,
             )
-            seat = self.seats[word.name] = Seat(self, unit, word.number)
+            seat = self.seats[message.name] = Seat(self, unit, message.number)
             seat.open()
         unit = seat.unit
-        if unit.hung != word.hung:
-            unit.hang(now, word.hung)
-        if unit.slow != word.slow:
-            unit.slow_down(now, word.slow)
-        unit.errors = word.errors
-        if word.draining and not unit.draining:
+        if unit.hung != message.hung:
+            unit.hang(now, message.hung)
+        if unit.slow != message.slow:
+            unit.slow_down(now, message.slow)
+        unit.errors = message.errors
+        if message.draining and not unit.draining:
             unit.drain(now)
         self.touch(seat)
 
@@ -255,7 +255,7 @@
             held.wire.answer(outcome, unit.load(now) if unit.kind.report_every else None)
         if unit.fell and not unit.told_fallen:
             unit.told_fallen = True
-            setup.say(Fell(unit.name))
+            setup.say(BackendCrashed(unit.name))
         due, timer = unit.due, seat.timer
         if due < NEVER and not unit.dead:
             if timer and timer.active():
@@ -269,5 +269,5 @@
         seat.unit.wake(self.setup.now())
         self.touch(seat)
 
-    def over(self) -> Over:
-        return Over({}, [], 0.0)
+    def over(self) -> FinalReport:
+        return FinalReport({}, [], 0.0)
