--- a/tealsail/lab/loopback/shifted.py
+++ b/tealsail/lab/loopback/clock_offset.py
@@ -1,4 +1,4 @@
-"""A relay whose clocks the script moves: `python shifted.py FILE serve ...` runs the program of the current folder with
+"""A relay whose clocks the script moves: `python clock_offset.py FILE serve ...` runs the program of the current folder with
 `time` reading a file that the trial writes.  It needs no library loaded ahead and nothing of the program is changed; it
 imports nothing of tealsail, so that the program of another checkout can be run with it.
 
@@ -17,7 +17,7 @@
 SHAPE = struct.Struct("=dddd")
 
 
-class Shift:
+class ClockOffset:
     """What the file says now."""
 
     def __init__(self, path: str) -> None:
@@ -37,18 +37,18 @@
         return lead + (self.monotonic() - since) * (rate - 1)
 
 
-def take_over(shift: Shift) -> None:
+def take_over(offset: ClockOffset) -> None:
     """Before the program is imported."""
     monotonic, wall, gettime = time.monotonic, time.time, time.clock_gettime
-    time.monotonic = lambda: monotonic() + shift.ahead()
-    time.time = lambda: wall() + shift.ahead() + shift.read()[3]
+    time.monotonic = lambda: monotonic() + offset.ahead()
+    time.time = lambda: wall() + offset.ahead() + offset.read()[3]
     time.clock_gettime = lambda clock: (
-        gettime(clock) + shift.ahead() + (shift.read()[3] if clock == time.CLOCK_REALTIME else 0.0)
+        gettime(clock) + offset.ahead() + (offset.read()[3] if clock == time.CLOCK_REALTIME else 0.0)
     )
 
 
 if __name__ == "__main__":
-    take_over(Shift(sys.argv[1]))
+    take_over(ClockOffset(sys.argv[1]))
     sys.path[0] = os.getcwd()
     sys.argv = ["tealsail", *sys.argv[2:]]
     runpy.run_module("tealsail", run_name="__main__", alter_sys=True)
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -20,7 +20,7 @@
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
 from .agents import listing, standing
-from .shifted import SHAPE
+from .clock_offset import SHAPE
 from .trial_setup import TrialSetup
 
 LINGER = 0.4  # seconds after SIGTERM in which new connections still come
@@ -164,7 +164,7 @@
         program = ["-m", "tealsail"]
         if self.moved:
             self.move_clock(relay)
-            program = [str(Path(__file__).with_name("shifted.py")), str(self.clock(relay))]
+            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock(relay))]
         home = self.beside if relay in self.others else HOME
         process = setup.reactor.spawnProcess(
             running,
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -9,7 +9,7 @@
 from hypothesis import given, strategies as st
 
 from tealsail.lab import baselines, hunt, runs
-from tealsail.lab.loopback import addresses, shifted
+from tealsail.lab.loopback import addresses, clock_offset
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.script import Unclear, read_script
 from tealsail.record.lines import Came, Done, End, Head, Life, Log, Met, Ran, Shot, Take, Told, Unit
@@ -117,10 +117,10 @@
     def test_a_clock_runs_fast_from_a_moment_and_the_wall_clock_steps_besides(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "clock"
-            path.write_bytes(2 * shifted.SHAPE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
+            path.write_bytes(2 * clock_offset.SHAPE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
             with mock.patch.multiple(time, time=time.time, monotonic=time.monotonic, clock_gettime=time.clock_gettime):
                 monotonic, wall = time.monotonic, time.time
-                shifted.take_over(shifted.Shift(str(path)))
+                clock_offset.take_over(clock_offset.ClockOffset(str(path)))
                 ahead = time.monotonic() - monotonic()
                 self.assertAlmostEqual(ahead, 3.0, delta=0.1)  # 1 s, and a fifth of 10
                 self.assertAlmostEqual(time.time() - wall(), 3.0 - 3600, delta=0.1)
