--- a/tealsail/lab/loopback/agents.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -29,7 +29,7 @@
 PING = 1.0  # seconds
 
 
-def listing(
+def endpoint_list(
     setup: TrialSetup, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
 ) -> dict[str, Any]:
     """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
@@ -52,7 +52,7 @@
     }
 
 
-def standing(setup: TrialSetup, state: State) -> dict[str, Any]:
+def rollout_state(setup: TrialSetup, state: State) -> dict[str, Any]:
     return {
         "Revision": state.build,
         "Wave": state.stage,
@@ -62,63 +62,63 @@
     }
 
 
-class Wire(Protocol):
+class ServiceConnection(Protocol):
     """One connection of a relay to a service; cut off, nothing goes in or out and nothing is said of it."""
 
     service = ""
 
-    def __init__(self, desk: Any) -> None:
-        self.desk, self.held, self.relay, self.muted = desk, b"", -1, False
+    def __init__(self, owner: Any) -> None:
+        self.owner, self.held, self.relay, self.muted = owner, b"", -1, False
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
-        if not 0 <= self.relay < self.desk.setup.relays:
+        if not 0 <= self.relay < self.owner.setup.relays:
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
-        self.desk.wires[self] = None
+        self.owner.connections[self] = None
         self.reached()
 
     def reached(self) -> bool:
         """Whether the relay is not cut off from here."""
-        if not self.muted and not self.desk.day.network.has(self.desk.setup.now(), self.relay, self.service):
+        if not self.muted and not self.owner.day.network.has(self.owner.setup.now(), self.relay, self.service):
             self.muted = True
             self.transport.pauseProducing()
         return not self.muted
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.desk.wires.pop(self, None)
+        self.owner.connections.pop(self, None)
 
 
-class Desk(Factory):
+class ControlPlaneService(Factory):
     """What the two services have in common."""
 
     noisy = False
-    wire: type[Wire] = Wire
+    connection: type[ServiceConnection] = ServiceConnection
 
     def __init__(self, setup: TrialSetup, day: Day) -> None:
         self.setup, self.day = setup, day
-        self.wires: dict[Any, None] = {}
+        self.connections: dict[Any, None] = {}
 
     def buildProtocol(self, address: Any) -> Any:
-        return self.wire(self)
+        return self.connection(self)
 
     def mend(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
-        for wire in [
-            wire
-            for wire in self.wires
-            if wire.muted and self.day.network.has(self.setup.now(), wire.relay, wire.service)
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.muted and self.day.network.has(self.setup.now(), connection.relay, connection.service)
         ]:
-            wire.transport.abortConnection()
+            connection.transport.abortConnection()
 
 
-class ListWire(Wire):
+class DiscoveryConnection(ServiceConnection):
     """One connection to the agent; one call at a time."""
 
     service = "list"
 
-    def __init__(self, desk: "ListDesk") -> None:
-        super().__init__(desk)
+    def __init__(self, owner: "DiscoveryService") -> None:
+        super().__init__(owner)
         self.waiting: Any = None  # the end of a watch's wait
         self.after = -1  # the version that the watch has
 
@@ -132,12 +132,12 @@
             head, _, self.held = self.held.partition(b"\r\n\r\n")
             match = ASKED.match(head + b"\r\n")
             if not match:
-                self.desk.setup.wrong(f"a call to the list that can't be read: {head[:60]!r}")
+                self.owner.setup.wrong(f"a call to the list that can't be read: {head[:60]!r}")
                 return self.transport.abortConnection()
             self.asked(match)
 
     def asked(self, match: re.Match) -> None:
-        setup, roster = self.desk.setup, self.desk.day.roster
+        setup, roster = self.owner.setup, self.owner.day.roster
         if match[1] is None:
             return self.answer(roster.told[self.relay], True, roster.whole(roster.told[self.relay]))
         after = int(match[1])
@@ -152,16 +152,16 @@
         self.rest()
         if not self.reached():
             return
-        roster = self.desk.day.roster
+        roster = self.owner.day.roster
         version = roster.told[self.relay]
         last = {entry.name: entry for entry in roster.log[after:version]}
         self.answer(version, False, list(last.values()))
 
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
-        setup, desk, relay = self.desk.setup, self.desk, self.relay
+        setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
             setup.tell(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
-        body = json.dumps(listing(setup, desk.numbers, relay, version, whole, entries)).encode()
+        body = json.dumps(endpoint_list(setup, owner.numbers, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
@@ -176,10 +176,10 @@
         super().connectionLost(reason)
 
 
-class ListDesk(Desk):
+class DiscoveryService(ControlPlaneService):
     """The list as the relays' agents have it."""
 
-    wire = ListWire
+    connection = DiscoveryConnection
 
     def __init__(self, setup: TrialSetup, day: Day, numbers: Callable[[str], int]) -> None:
         super().__init__(setup, day)
@@ -192,11 +192,13 @@
             return  # told once it moves again, or is reached
         _, entries = roster.news(relay, version)
         if entries:
-            for wire in [wire for wire in self.wires if wire.relay == relay and wire.waiting]:
-                wire.changed(wire.after)
+            for connection in [
+                connection for connection in self.connections if connection.relay == relay and connection.waiting
+            ]:
+                connection.changed(connection.after)
 
 
-class PlatformWire(Wire):
+class PlatformConnection(ServiceConnection):
     """One connection to the platform."""
 
     service = "platform"
@@ -213,11 +215,11 @@
                 call = json.loads(line)
                 self.called(call["id"], call["method"], call.get("params") or {})
             except (ValueError, LookupError, TypeError, AttributeError) as problem:
-                self.desk.setup.wrong(f"a call to the platform that can't be read: {problem}")
+                self.owner.setup.wrong(f"a call to the platform that can't be read: {problem}")
                 return self.transport.abortConnection()
 
     def called(self, number: int, method: str, params: dict[str, Any]) -> None:
-        setup, day = self.desk.setup, self.desk.day
+        setup, day = self.owner.setup, self.owner.day
         if setup.now() < day.desk.silent_until:
             return
         if method == "subscribe":
@@ -226,41 +228,41 @@
             return self.stood()
         if method != "release.vote":
             return self.say({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
-        answer = self.desk.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
+        answer = self.owner.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
         if answer == "ok":
-            self.say({"id": number, "result": standing(setup, day.desk.state)})
+            self.say({"id": number, "result": rollout_state(setup, day.desk.state)})
         elif answer != "nothing":
             self.say({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
 
     def stood(self) -> None:
         if not self.reached():
             return
-        setup, state = self.desk.setup, self.desk.day.desk.state
+        setup, state = self.owner.setup, self.owner.day.desk.state
         setup.tell(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
-        self.say({"method": "stage", "params": standing(setup, state)})
+        self.say({"method": "stage", "params": rollout_state(setup, state)})
 
     def say(self, tree: dict[str, Any]) -> None:
         if self.reached():
             self.transport.write(json.dumps({"jsonrpc": "2.0"} | tree).encode() + b"\n")
 
 
-class PlatformDesk(Desk):
+class PlatformService(ControlPlaneService):
     """The platform; `vote` takes (relay, build, stage, verdict) and returns its answer."""
 
-    wire = PlatformWire
+    connection = PlatformConnection
 
     def __init__(self, setup: TrialSetup, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
         super().__init__(setup, day)
         self.vote = vote
 
-    def heard(self) -> list[PlatformWire]:
+    def heard(self) -> list[PlatformConnection]:
         quiet = self.setup.now() < self.day.desk.silent_until
-        return [] if quiet else [wire for wire in self.wires if wire.subscribed]
+        return [] if quiet else [connection for connection in self.connections if connection.subscribed]
 
     def news(self) -> None:
-        for wire in self.heard():
-            wire.stood()
+        for connection in self.heard():
+            connection.stood()
 
     def ping(self) -> None:
-        for wire in self.heard():
-            wire.say({"method": "ping"})
+        for connection in self.heard():
+            connection.say({"method": "ping"})
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -19,8 +19,8 @@
 from ...record.lines import Life, Log, News, Told
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
-from .agents import listing, standing
 from .clock_offset import SHAPE
+from .control_plane import endpoint_list, rollout_state
 from .trial_setup import TrialSetup
 
 LINGER = 0.4  # seconds after SIGTERM in which new connections still come
@@ -196,8 +196,8 @@
                 str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(setup.relays)
             ],
             "peers_all": str(addresses.everyone(relay)),
-            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(setup, state)},
-            "known": listing(setup, self.numbers, relay, roster.told[relay], True, entries),
+            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": rollout_state(setup, state)},
+            "known": endpoint_list(setup, self.numbers, relay, roster.told[relay], True, entries),
             "settings": setup.scenario.relay_settings(relay),
         }
 
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -23,7 +23,7 @@
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
 from .addresses import LIST, PLATFORM, Taken
-from .agents import PING, ListDesk, PlatformDesk
+from .control_plane import PING, DiscoveryService, PlatformService
 from .process_fleet import ProcessFleet
 from .process_group import LocalMember, ProcessMember, widen
 from .process_messages import (
@@ -71,8 +71,8 @@
         self.numbers: dict[str, int] = {}
         self.processes = ProcessFleet(self.setup, self.day, folder, self.number, self.relays_changed, self.all_gone)
         self.day.roles = self.processes.acting
-        self.list = ListDesk(self.setup, self.day, self.number)
-        self.platform = PlatformDesk(self.setup, self.day, self.vote)
+        self.list = DiscoveryService(self.setup, self.day, self.number)
+        self.platform = PlatformService(self.setup, self.day, self.vote)
         self.members: dict[str, list[Any]] = {}
         self.stands: dict[str, BackendState] = {}  # what units' parts were last told of each
         self.net: list[Any] = []  # and of the network
