--- a/tealsail/lab/loopback/notes.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -22,7 +22,7 @@
 BUFFER = 8 * 1024 * 1024  # bytes of the socket's buffers, as far as the system allows
 
 
-class Post:
+class MessageCarrier:
     """Carries notes, late or not at all, as the network has it."""
 
     def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
