--- a/tealsail/lab/loopback/units.py
+++ b/tealsail/lab/loopback/backends.py
@@ -34,21 +34,21 @@
 }
 
 
-class Held:
+class PendingQuery:
     """One query in a unit's hands, and the connection that waits for it."""
 
     __slots__ = ("wire", "number", "place", "over")
 
-    def __init__(self, wire: "Wire", number: int, place: int) -> None:
-        self.wire, self.number, self.place, self.over = wire, number, place, False
+    def __init__(self, connection: "BackendConnection", number: int, place: int) -> None:
+        self.connection, self.number, self.place, self.over = connection, number, place, False
 
 
-class Wire(Protocol):
+class BackendConnection(Protocol):
     """One connection of a relay to a unit; one query at a time, as the relay keeps it."""
 
-    def __init__(self, seat: "Seat") -> None:
-        self.seat, self.splitter = seat, messages.Splitter(typed=False)
-        self.held: Held | None = None
+    def __init__(self, listener: "BackendListener") -> None:
+        self.listener, self.splitter = listener, messages.Splitter(typed=False)
+        self.held: PendingQuery | None = None
         self.relay, self.muted = -1, False
 
     def connectionMade(self) -> None:
@@ -56,13 +56,13 @@
         if self.relay < 0:  # not from a relay of the trial
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
-        self.seat.wires[self] = None
-        self.seat.tell(Met(self.seat.now(), self.relay, self.seat.unit.name))
+        self.listener.connections[self] = None
+        self.listener.tell(Met(self.listener.now(), self.relay, self.listener.unit.name))
         if not self.reached():
             self.mute()
 
     def reached(self) -> bool:
-        return self.seat.reached(self.relay)
+        return self.listener.reached(self.relay)
 
     def mute(self) -> None:
         """Cut off: nothing goes in or out, and nothing is said of it."""
@@ -82,7 +82,7 @@
                     self.splitter.typed = True
                     self.write(messages.WELCOME)
         except (messages.Unreadable, statements.Unclear) as problem:
-            self.seat.stalls.setup.wrong(f"a relay wrote what can't be read: {problem}")
+            self.listener.pool.setup.wrong(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -91,20 +91,20 @@
                 self.write(messages.EMPTY)
             case messages.Query(text):
                 if self.held:
-                    return self.seat.stalls.setup.wrong("a relay wrote a second query to a connection at work")
+                    return self.listener.pool.setup.wrong("a relay wrote a second query to a connection at work")
                 self.asked(statements.read(text))
             case messages.Terminate():
                 self.transport.loseConnection()
 
     def asked(self, statement: statements.Statement) -> None:
-        seat, stalls, now = self.seat, self.seat.stalls, self.seat.now()
+        listener, pool, now = self.listener, self.listener.pool, self.listener.now()
         number = int(statement.id)
-        place = stalls.place(number)
-        self.held = Held(self, number, place)
-        unit = seat.unit
-        seat.tell(Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10)))
-        unit.take(now, Asked(self.held, number % TRY, stalls.setup.workloads[statement.workload]))
-        stalls.touch(seat)
+        place = pool.place(number)
+        self.held = PendingQuery(self, number, place)
+        unit = listener.unit
+        listener.tell(Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10)))
+        unit.take(now, Asked(self.held, number % TRY, pool.setup.workloads[statement.workload]))
+        pool.touch(listener)
 
     def answer(self, outcome: str, load: dict[str, float] | None) -> None:
         self.held = None
@@ -123,36 +123,36 @@
             self.mute()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.seat.wires.pop(self, None)
+        self.listener.connections.pop(self, None)
         held, self.held = self.held, None
         if held and not held.over:
             held.over = True
-            seat = self.seat
-            seat.tell(Came(seat.now(), self.relay, held.number, held.place, "cancelled"))
-            seat.unit.stop(seat.now(), held)
-            seat.stalls.touch(seat)
+            listener = self.listener
+            listener.tell(Came(listener.now(), self.relay, held.number, held.place, "cancelled"))
+            listener.unit.stop(listener.now(), held)
+            listener.pool.touch(listener)
 
 
-class Seat(Factory):
+class BackendListener(Factory):
     """A unit with its port; whoever connects is known by the address that was connected to."""
 
     noisy = False
 
-    def __init__(self, stalls: "Stalls", unit: Unit, number: int) -> None:
-        self.stalls, self.unit, self.number = stalls, unit, number
-        self.now, self.tell = stalls.setup.now, stalls.setup.tell
-        self.wires: dict[Wire, None] = {}
+    def __init__(self, pool: "BackendPool", unit: Unit, number: int) -> None:
+        self.pool, self.unit, self.number = pool, unit, number
+        self.now, self.tell = pool.setup.now, pool.setup.tell
+        self.connections: dict[BackendConnection, None] = {}
         self.port: Any = None
         self.timer: Any = None
 
-    def buildProtocol(self, address: Any) -> Wire:
-        return Wire(self)
+    def buildProtocol(self, address: Any) -> BackendConnection:
+        return BackendConnection(self)
 
     def reached(self, relay: int) -> bool:
-        return self.stalls.network.reaches(self.now(), relay, self.unit.name, self.unit.zone)
+        return self.pool.network.reaches(self.now(), relay, self.unit.name, self.unit.zone)
 
     def open(self) -> None:
-        setup = self.stalls.setup
+        setup = self.pool.setup
         self.port = setup.reactor.listenTCP(setup.addresses.port + UNITS + self.number, self, BACKLOG)
 
     def close(self) -> None:
@@ -160,18 +160,18 @@
         if self.port:
             self.port.stopListening()
             self.port = None
-        for wire in list(self.wires):
-            wire.transport.abortConnection()
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
         if self.timer and self.timer.active():
             self.timer.cancel()
 
 
-class Stalls:
+class BackendPool:
     """A part of a trial's units: opens those that run, closes those that have ended, wakes those at work."""
 
     def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
         self.setup, self.of = setup, (place, many)
-        self.seats: dict[str, Seat] = {}
+        self.listeners: dict[str, BackendListener] = {}
         self.places: dict[int, int] = {}  # invocation -> shots of it that came to this part
         self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
         self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
@@ -197,16 +197,18 @@
 
     def stand(self, message: BackendState) -> None:
         """A unit comes up, goes, or changes."""
-        seat, now = self.seats.get(message.name), self.setup.now()
-        if seat and (message.dead or (seat.unit.mark, seat.unit.started) != (message.mark, message.started)):
-            del self.seats[message.name]
-            seat.unit.die(now)
-            self.touch(seat)
-            seat.close()
-            seat = None
+        listener, now = self.listeners.get(message.name), self.setup.now()
+        if listener and (
+            message.dead or (listener.unit.mark, listener.unit.started) != (message.mark, message.started)
+        ):
+            del self.listeners[message.name]
+            listener.unit.die(now)
+            self.touch(listener)
+            listener.close()
+            listener = None
         if message.dead:
             return
-        if seat is None:
+        if listener is None:
             unit = Unit(
                 message.name,
                 message.mark,
@@ -219,9 +221,9 @@
                 self.works,
                 self.setup.seed,
             )
-            seat = self.seats[message.name] = Seat(self, unit, message.number)
-            seat.open()
-        unit = seat.unit
+            listener = self.listeners[message.name] = BackendListener(self, unit, message.number)
+            listener.open()
+        unit = listener.unit
         if unit.hung != message.hung:
             unit.hang(now, message.hung)
         if unit.slow != message.slow:
@@ -229,45 +231,47 @@
         unit.errors = message.errors
         if message.draining and not unit.draining:
             unit.drain(now)
-        self.touch(seat)
+        self.touch(listener)
 
     def mend(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
-        for seat in self.seats.values():
-            for wire in [wire for wire in seat.wires if wire.muted and wire.reached()]:
-                wire.transport.abortConnection()
+        for listener in self.listeners.values():
+            for connection in [
+                connection for connection in listener.connections if connection.muted and connection.reached()
+            ]:
+                connection.transport.abortConnection()
 
-    def touch(self, seat: Seat) -> None:
+    def touch(self, listener: BackendListener) -> None:
         """Takes up what a unit said, and when it wants to be woken."""
-        setup, unit = self.setup, seat.unit
+        setup, unit = self.setup, listener.unit
         now = setup.now()
         taken, unit.taken = unit.taken, []
         for held, work in taken:
-            setup.tell(Ran(now, held.wire.relay, held.number, held.place, unit.name, work))
+            setup.tell(Ran(now, held.connection.relay, held.number, held.place, unit.name, work))
         said, unit.said = unit.said, []
         for held, outcome in said:
             if held.over:
                 continue
             held.over = True
-            relay = held.wire.relay
+            relay = held.connection.relay
             setup.tell(Done(now, relay, held.number, held.place, unit.name, outcome))
             setup.tell(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
-            held.wire.answer(outcome, unit.load(now) if unit.kind.report_every else None)
+            held.connection.answer(outcome, unit.load(now) if unit.kind.report_every else None)
         if unit.fell and not unit.told_fallen:
             unit.told_fallen = True
             setup.say(BackendCrashed(unit.name))
-        due, timer = unit.due, seat.timer
+        due, timer = unit.due, listener.timer
         if due < NEVER and not unit.dead:
             if timer and timer.active():
                 timer.reset(setup.wait(due))
             else:
-                seat.timer = setup.reactor.callLater(setup.wait(due), self.wake, seat)
+                listener.timer = setup.reactor.callLater(setup.wait(due), self.wake, listener)
         elif timer and timer.active():
             timer.cancel()
 
-    def wake(self, seat: Seat) -> None:
-        seat.unit.wake(self.setup.now())
-        self.touch(seat)
+    def wake(self, listener: BackendListener) -> None:
+        listener.unit.wake(self.setup.now())
+        self.touch(listener)
 
     def over(self) -> FinalReport:
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -13,13 +13,13 @@
 from ...record.files import Writer
 from ...record.lines import VERSION, Head
 from ..scenario import convert
+from .backends import BackendPool
 from .clients import Crowd
 from .process_messages import FinalReport, Message, RoleAssignment, Stop, Violation, decode, encode
 from .relay_messages import MessageCarrier
 from .trial_setup import TrialSetup, steady
-from .units import Stalls
 
-PARTS = {"units": Stalls, "clients": Crowd, "notes": MessageCarrier}
+PARTS = {"units": BackendPool, "clients": Crowd, "notes": MessageCarrier}
 LONGEST = 64 * 1024 * 1024  # bytes of a word
 DESCRIPTORS = 65_536  # that a process may hold, as far as the system allows
 
