--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -113,7 +113,7 @@
 
     def unready(self) -> None:
         if not self.setup.begun and not self.over:
-            self.wrong(f"{self.relays - len(self.troupe.ready())} relays were not ready in time")
+            self.wrong(f"{self.relays - len(self.processes.ready())} relays were not ready in time")
             self.finish()
 
     def relays_changed(self) -> None:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -4,7 +4,10 @@
 import unittest
 from pathlib import Path
 
+from twisted.internet.testing import MemoryReactorClock
+
 from tealsail.lab import runs, trials
+from tealsail.lab.loopback.trial import Trial
 from tealsail.lab.scenario import convert
 from tealsail.record import files
 from tealsail.record.lines import Came, End, Life, Ran, Stage, Take
@@ -14,6 +17,16 @@
 QUICK = {"bake_ms": 400}  # short stages: a horizon in proportion
 
 
+class Starts(unittest.TestCase):
+    def test_relays_that_do_not_come_up_in_time_are_counted_among_the_problems(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            trial = Trial(MemoryReactorClock(), convert(day(fleet={"relays": 3})), 5, Path(folder))
+            trial.unready()
+            trial.taken.free()
+        self.assertEqual(trial.problems, ["3 relays were not ready in time"])
+        self.assertTrue(trial.over)
+
+
 class Trials(unittest.TestCase):
     """Each keeps the five rules; a machine too busy to play them makes a trial void, and that is no verdict."""
 
