--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -57,7 +57,7 @@
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.listener.connections[self] = None
-        self.listener.tell(Met(self.listener.now(), self.relay, self.listener.unit.name))
+        self.listener.record_line(Met(self.listener.now(), self.relay, self.listener.unit.name))
         if not self.reached():
             self.mute()
 
@@ -82,7 +82,7 @@
                     self.splitter.typed = True
                     self.write(messages.WELCOME)
         except (messages.Unreadable, statements.Unclear) as problem:
-            self.listener.pool.setup.wrong(f"a relay wrote what can't be read: {problem}")
+            self.listener.pool.setup.report_violation(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -91,7 +91,9 @@
                 self.write(messages.EMPTY)
             case messages.Query(text):
                 if self.held:
-                    return self.listener.pool.setup.wrong("a relay wrote a second query to a connection at work")
+                    return self.listener.pool.setup.report_violation(
+                        "a relay wrote a second query to a connection at work"
+                    )
                 self.asked(statements.read(text))
             case messages.Terminate():
                 self.transport.loseConnection()
@@ -102,8 +104,10 @@
         place = pool.place(number)
         self.held = PendingQuery(self, number, place)
         unit = listener.unit
-        listener.tell(Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10)))
-        unit.take(now, Asked(self.held, number % TRY, pool.setup.workloads[statement.workload]))
+        listener.record_line(
+            Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10))
+        )
+        unit.take(now, Asked(self.held, number % TRY, pool.setup.class_numbers[statement.workload]))
         pool.touch(listener)
 
     def answer(self, outcome: str, load: dict[str, float] | None) -> None:
@@ -128,7 +132,7 @@
         if held and not held.over:
             held.over = True
             listener = self.listener
-            listener.tell(Came(listener.now(), self.relay, held.number, held.place, "cancelled"))
+            listener.record_line(Came(listener.now(), self.relay, held.number, held.place, "cancelled"))
             listener.unit.stop(listener.now(), held)
             listener.pool.touch(listener)
 
@@ -140,7 +144,7 @@
 
     def __init__(self, pool: "BackendPool", unit: Unit, number: int) -> None:
         self.pool, self.unit, self.number = pool, unit, number
-        self.now, self.tell = pool.setup.now, pool.setup.tell
+        self.now, self.record_line = pool.setup.now, pool.setup.record_line
         self.connections: dict[BackendConnection, None] = {}
         self.port: Any = None
         self.timer: Any = None
@@ -193,7 +197,7 @@
                 self.mend()
                 for relay_until in sorted({until for each in (*plain[0], *plain[3]) for until in each[-1:]}):
                     if self.setup.now() < relay_until < NEVER:
-                        self.setup.reactor.callLater(self.setup.wait(relay_until) + 0.001, self.mend)
+                        self.setup.reactor.callLater(self.setup.seconds_until(relay_until) + 0.001, self.mend)
 
     def stand(self, message: BackendState) -> None:
         """A unit comes up, goes, or changes."""
@@ -247,25 +251,25 @@
         now = setup.now()
         taken, unit.taken = unit.taken, []
         for held, work in taken:
-            setup.tell(Ran(now, held.connection.relay, held.number, held.place, unit.name, work))
+            setup.record_line(Ran(now, held.connection.relay, held.number, held.place, unit.name, work))
         said, unit.said = unit.said, []
         for held, outcome in said:
             if held.over:
                 continue
             held.over = True
             relay = held.connection.relay
-            setup.tell(Done(now, relay, held.number, held.place, unit.name, outcome))
-            setup.tell(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
+            setup.record_line(Done(now, relay, held.number, held.place, unit.name, outcome))
+            setup.record_line(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
             held.connection.answer(outcome, unit.load(now) if unit.kind.report_every else None)
         if unit.fell and not unit.told_fallen:
             unit.told_fallen = True
-            setup.say(BackendCrashed(unit.name))
+            setup.send(BackendCrashed(unit.name))
         due, timer = unit.due, listener.timer
         if due < NEVER and not unit.dead:
             if timer and timer.active():
-                timer.reset(setup.wait(due))
+                timer.reset(setup.seconds_until(due))
             else:
-                listener.timer = setup.reactor.callLater(setup.wait(due), self.wake, listener)
+                listener.timer = setup.reactor.callLater(setup.seconds_until(due), self.wake, listener)
         elif timer and timer.active():
             timer.cancel()
 
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -64,7 +64,7 @@
         crowd, setup = self.crowd, self.crowd.setup
         now = setup.now()
         self.arrival, self.answer, self.come_back = arrival, "", 0
-        setup.tell(
+        setup.record_line(
             Take(
                 now,
                 self.relay,
@@ -81,9 +81,9 @@
         wait = max(1, (arrival.give_up - now) // 10)
         each = setup.scenario.workload[arrival.workload]
         self.transport.write(
-            messages.query(statement(arrival, each.name, each.effect, setup.whose[arrival.customer], wait))
+            messages.query(statement(arrival, each.name, each.effect, setup.tenants[arrival.customer], wait))
         )
-        self.timer = setup.reactor.callLater(setup.wait(arrival.give_up + PATIENCE), self.leave)
+        self.timer = setup.reactor.callLater(setup.seconds_until(arrival.give_up + PATIENCE), self.leave)
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
@@ -93,7 +93,7 @@
                     self.come_back = advice(body)
                 self.came(messages.from_unit(kind, body))
         except messages.Unreadable as problem:
-            self.crowd.setup.wrong(f"a relay answered what can't be read: {problem}")
+            self.crowd.setup.report_violation(f"a relay answered what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -173,12 +173,12 @@
     def look(self) -> None:
         if self.closing and not self.open:
             self.closing = False
-            self.setup.say(AllAnswered())
+            self.setup.send(AllAnswered())
 
     def next(self) -> None:
         due = self.clients.due
         if due is not None:
-            self.setup.reactor.callLater(self.setup.wait(due), self.arrive)
+            self.setup.reactor.callLater(self.setup.seconds_until(due), self.arrive)
 
     def arrive(self) -> None:
         """All that are due by now; what is late counts from its intended time all the same."""
@@ -217,7 +217,7 @@
 
     def unserved(self, relay: int, arrival: Arrival) -> None:
         """No relay could be reached: the try counts as asked for, and no relay has lost it."""
-        self.setup.tell(
+        self.setup.record_line(
             Take(
                 self.setup.now(),
                 relay,
@@ -238,7 +238,7 @@
         asking.arrival = None
         if asking.timer and asking.timer.active():
             asking.timer.cancel()
-        setup.tell(End(setup.now(), asking.relay, arrival.number, "lost"))
+        setup.record_line(End(setup.now(), asking.relay, arrival.number, "lost"))
         self.resent.append((asking.relay, arrival.number))
         self.open -= 1
         self.serve(arrival, (asking.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
@@ -248,14 +248,14 @@
 
     def ended(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
         setup = self.setup
-        setup.tell(End(setup.now(), relay, arrival.number, answer))
+        setup.record_line(End(setup.now(), relay, arrival.number, answer))
         if answer == "lost" and relay in self.ready:
             self.lost_alive.append((relay, setup.now()))
         self.open -= 1
         again = self.clients.answered(setup.now(), arrival, answer, come_back)
         if again:
             self.open += 1
-            setup.reactor.callLater(setup.wait(again.at), self.again, again)
+            setup.reactor.callLater(setup.seconds_until(again.at), self.again, again)
         self.look()
 
     def again(self, arrival: Arrival) -> None:
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -132,7 +132,7 @@
             head, _, self.held = self.held.partition(b"\r\n\r\n")
             match = ASKED.match(head + b"\r\n")
             if not match:
-                self.owner.setup.wrong(f"a call to the list that can't be read: {head[:60]!r}")
+                self.owner.setup.report_violation(f"a call to the list that can't be read: {head[:60]!r}")
                 return self.transport.abortConnection()
             self.asked(match)
 
@@ -160,7 +160,7 @@
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
         setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
-            setup.tell(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
+            setup.record_line(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
         body = json.dumps(endpoint_list(setup, owner.numbers, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -215,7 +215,7 @@
                 call = json.loads(line)
                 self.called(call["id"], call["method"], call.get("params") or {})
             except (ValueError, LookupError, TypeError, AttributeError) as problem:
-                self.owner.setup.wrong(f"a call to the platform that can't be read: {problem}")
+                self.owner.setup.report_violation(f"a call to the platform that can't be read: {problem}")
                 return self.transport.abortConnection()
 
     def called(self, number: int, method: str, params: dict[str, Any]) -> None:
@@ -238,7 +238,7 @@
         if not self.reached():
             return
         setup, state = self.owner.setup, self.owner.day.desk.state
-        setup.tell(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
+        setup.record_line(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
         self.say({"method": "stage", "params": rollout_state(setup, state)})
 
     def say(self, tree: dict[str, Any]) -> None:
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -68,20 +68,20 @@
         for mark in TOLD_OF:
             if mark in line:
                 text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
-                setup.tell(Log(setup.now(), self.relay, text))
+                setup.record_line(Log(setup.now(), self.relay, text))
                 if mark == b"duties ":
                     self.duties = {
                         name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
                         for name, _, value in (word.partition("=") for word in text.split()[1:])
                     }
         if b" ERROR " in line or b"module: fault" in line:
-            setup.wrong(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
+            setup.report_violation(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
 
     def processEnded(self, reason: Failure) -> None:
         self.log.close()
         self.ready = False
         if self.wanted:
-            self.fleet.setup.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
+            self.fleet.setup.report_violation(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
         self.fleet.ended(self)
 
 
@@ -182,8 +182,8 @@
         entries = roster.whole(roster.told[relay])
         now = setup.now()
         for entry in entries:
-            setup.tell(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
-        setup.tell(News(now, relay, state.build, state.stage, state.phase, state.cap))
+            setup.record_line(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
+        setup.record_line(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
             "name": f"n{relay}",
@@ -212,7 +212,7 @@
     def came_up(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.wanted:
             running.ready = running.lived = True  # else it was killed while its first answer was on the way
-            self.setup.tell(Life(self.setup.now(), running.relay, "up"))
+            self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
             self.changed()
 
     # what the script does
@@ -231,7 +231,7 @@
             case "stop" | "on" if running and running.stopped != (order.what == "stop"):
                 running.stopped = order.what == "stop"
                 os.kill(process.pid, signal.SIGSTOP if running.stopped else signal.SIGCONT)
-                self.setup.tell(Life(self.setup.now(), order.relay, "stopped" if running.stopped else "on"))
+                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.stopped else "on"))
             case "rate":
                 self.move_clock(order.relay, rate=order.amount)
             case "step":
@@ -258,7 +258,7 @@
     def down(self, running: RelayProcess) -> None:
         """One that had not come up yet is not told of."""
         if running.lived:
-            self.setup.tell(Life(self.setup.now(), running.relay, "down"))
+            self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
@@ -303,7 +303,7 @@
 
     def force(self, running: RelayProcess, process: Any) -> None:
         if not running.log.closed:
-            self.setup.wrong(f"relay {running.relay} did not end when told to")
+            self.setup.report_violation(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
 
     def ended(self, running: RelayProcess) -> None:
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -17,7 +17,7 @@
 from .clients import Crowd
 from .process_messages import FinalReport, Message, RoleAssignment, Stop, Violation, decode, encode
 from .relay_messages import MessageCarrier
-from .trial_setup import TrialSetup, steady
+from .trial_setup import TrialSetup, use_shared_clock
 
 PARTS = {"units": BackendPool, "clients": Crowd, "notes": MessageCarrier}
 LONGEST = 64 * 1024 * 1024  # bytes of a word
@@ -40,7 +40,7 @@
 
     def tell(self, message: Message) -> None:
         if isinstance(message, Stop):
-            self.setup.reactor.callLater(0, self.setup.say, self.part.over())
+            self.setup.reactor.callLater(0, self.setup.send, self.part.over())
         else:
             self.part.heard(message)
 
@@ -67,7 +67,7 @@
     def outReceived(self, data: bytes) -> None:
         *lines, self.held = (self.held + data).split(b"\n")
         for line in lines:
-            self.setup.say(decode(line))
+            self.setup.send(decode(line))
 
     def errReceived(self, data: bytes) -> None:
         self.errors = (self.errors + data)[-4_000:]
@@ -75,10 +75,10 @@
     def processEnded(self, reason: Failure) -> None:
         self.ended = True
         if self.errors or reason.value.exitCode:
-            self.setup.wrong(
+            self.setup.report_violation(
                 f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
             )
-            self.setup.say(FinalReport({}, [], 0.0))
+            self.setup.send(FinalReport({}, [], 0.0))
 
 
 class MemberProcess:
@@ -123,7 +123,7 @@
     from twisted.internet.stdio import StandardIO
 
     widen()
-    member = MemberProcess(steady(reactor))
+    member = MemberProcess(use_shared_clock(reactor))
 
     class CoordinatorInput(Protocol):
         def connectionMade(self) -> None:
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -75,7 +75,7 @@
             if not 0 <= sender < self.setup.relays:
                 continue
             if len(data) > LONGEST:
-                self.setup.wrong(f"relay {sender} sent a note of more than {LONGEST} bytes")
+                self.setup.report_violation(f"relay {sender} sent a note of more than {LONGEST} bytes")
             elif to == addresses.EVERYONE:
                 for other in range(self.setup.relays):
                     if other != sender:
@@ -114,5 +114,5 @@
 
     def over(self) -> FinalReport:
         if self.dropped > self.carried // 100:
-            self.setup.wrong(f"{self.dropped} of {self.carried} notes found no room on their way")
+            self.setup.report_violation(f"{self.dropped} of {self.carried} notes found no room on their way")
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -39,7 +39,7 @@
     Stop,
     Violation,
 )
-from .trial_setup import TrialSetup, steady
+from .trial_setup import TrialSetup, use_shared_clock
 
 READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
 GRACE, END = 10.0, 25.0  # for answers; for the end
@@ -97,7 +97,7 @@
     # the course of a trial
     def start(self) -> None:
         setup, port = self.setup, self.taken.port
-        setup.tell(
+        setup.record_line(
             Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
         )
         self.reactor.listenTCP(port + LIST, self.list, 512)
@@ -112,7 +112,7 @@
         self.reactor.callLater(READY + EACH * self.relays, self.unready)
 
     def unready(self) -> None:
-        if not self.setup.begun and not self.over:
+        if not self.setup.has_begun and not self.over:
             self.wrong(f"{self.relays - len(self.processes.ready())} relays were not ready in time")
             self.finish()
 
@@ -120,7 +120,7 @@
         if self.over:
             return
         self.tell("clients", RelayStates(self.processes.ready(), self.processes.ending()))
-        if not self.setup.begun and len(self.processes.ready()) == self.relays:
+        if not self.setup.has_begun and len(self.processes.ready()) == self.relays:
             zero = self.reactor.seconds() + LEAD / 10_000
             self.setup.begin(zero)
             for part in self.members:
@@ -187,7 +187,7 @@
             self.plan()
 
     def plan(self) -> None:
-        wait = min(self.setup.wait(self.day.due), 1.0)
+        wait = min(self.setup.seconds_until(self.day.due), 1.0)
         if self.timer and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(wait, self.wake)
@@ -239,7 +239,7 @@
         day, setup = self.day, self.setup
         left = day.left()
         for line in left.lines:
-            setup.tell(line)
+            setup.record_line(line)
         self.tell_units()
         for desk in (self.list, self.platform):
             desk.mend()
@@ -251,7 +251,7 @@
             self.platform.news()
         for order in left.relays:
             self.processes.carry_out(order)
-        if setup.begun and not self.over:
+        if setup.has_begun and not self.over:
             self.plan()
 
     # what came of it
@@ -320,7 +320,7 @@
 
     told = json.load(sys.stdin)
     widen()
-    trial = Trial(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
+    trial = Trial(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
     reactor.callWhenRunning(trial.start)
     reactor.run()
     trial.processes.abandon()
--- a/tealsail/lab/loopback/trial_setup.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -1,4 +1,5 @@
-"""What every part of a trial knows: the day, a clock, and where to tell what happens."""
+"""What the coordinator and each member of a trial's process group share: the day, a clock, addresses, and where lines of
+the record and messages go."""
 
 import time
 from collections.abc import Callable
@@ -7,11 +8,15 @@
 from ...record.lines import Line
 from ..scenario import Scenario
 from .addresses import Addresses
+from .process_messages import Message
 
 
 class TrialSetup:
-    """`tell` takes lines of the record, `wrong` what a relay did that no rule has a name for, `say` words to the director
-    (process_messages.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as seconds of their reactors."""
+    """One trial as seen from one process.
+
+    `record_line` takes lines of the record, `report_violation` a sentence on what a relay did that no rule has a name for,
+    `send` messages to the coordinator (process_messages.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as
+    seconds of their reactors."""
 
     def __init__(
         self,
@@ -19,46 +24,41 @@
         scenario: Scenario,
         seed: int,
         port: int,
-        tell: Callable[[Line], None],
-        wrong: Callable[[str], None],
-        say: Callable[[Any], None],
+        record_line: Callable[[Line], None],
+        report_violation: Callable[[str], None],
+        send: Callable[[Message], None],
     ) -> None:
-        self.reactor, self.scenario, self.seed, self.tell, self.wrong, self.say = (
-            reactor,
-            scenario,
-            seed,
-            tell,
-            wrong,
-            say,
-        )
+        self.reactor, self.scenario, self.seed = reactor, scenario, seed
+        self.record_line, self.report_violation, self.send = record_line, report_violation, send
         self.relays = scenario.fleet.relays
         self.addresses = Addresses(port)
-        self.workloads = {each.name: place for place, each in enumerate(scenario.workload)}
-        self.whose = [each.name for each in scenario.customer] or [""]
-        self.zero, self.begun = 0.0, False  # the record's zero; it begins once all relays are up
+        self.class_numbers = {each.name: place for place, each in enumerate(scenario.workload)}
+        self.tenants = [each.name for each in scenario.customer] or [""]
+        self.start, self.has_begun = 0.0, False  # the record's zero; it begins once all relays are up
 
-    def begin(self, zero: float) -> None:
-        self.zero, self.begun = zero, True
+    def begin(self, start: float) -> None:
+        """The day starts at that time of the reactors."""
+        self.start, self.has_begun = start, True
 
     def now(self) -> int:
-        """Tenths of a ms of the day; zero until it begins."""
-        return max(0, int((self.reactor.seconds() - self.zero) * 10_000)) if self.begun else 0
+        """Time of the day in tenths of a ms; zero until it begins."""
+        return max(0, int((self.reactor.seconds() - self.start) * 10_000)) if self.has_begun else 0
 
-    def seconds(self, at: int) -> float:
+    def reactor_time(self, at: int) -> float:
         """The reactor's time of a time of the day."""
-        return self.zero + at / 10_000
+        return self.start + at / 10_000
 
-    def wait(self, at: int) -> float:
+    def seconds_until(self, at: int) -> float:
         """Seconds from now until a time of the day, none for what is past."""
-        return max(0.0, self.seconds(at) - self.reactor.seconds())
+        return max(0.0, self.reactor_time(at) - self.reactor.seconds())
 
     def unix_ms(self, at: int) -> int:
-        """In the system's time."""
-        zero = self.zero if self.begun else self.reactor.seconds()
-        return int((zero + at / 10_000 + time.time() - time.monotonic()) * 1000)
+        """A time of the day in Unix time, milliseconds."""
+        start = self.start if self.has_begun else self.reactor.seconds()
+        return int((start + at / 10_000 + time.time() - time.monotonic()) * 1000)
 
 
-def steady(reactor: Any) -> Any:
+def use_shared_clock(reactor: Any) -> Any:
     """The reactor, on the clock that all processes of a machine share."""
     reactor.seconds = time.monotonic
     return reactor
