--- a/tealsail/lab/loopback/addresses.py
+++ b/tealsail/lab/loopback/addresses.py
@@ -69,7 +69,7 @@
     return divmod((address[1] - PAIRS << 16) + (address[2] << 8) + address[3], 1_024)
 
 
-class Taken:
+class PortBlock:
     """A block of ports, ours while `lock` is bound.  Raises OSError if none is free, ValueError for a fleet without room."""
 
     def __init__(self, relays: int) -> None:
--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -12,7 +12,7 @@
 from ...world.network import Network
 from ...world.unit import NEVER, Asked, Unit
 from .addresses import UNITS, caller
-from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, NetworkState
+from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, Message, NetworkState
 from .trial_setup import TrialSetup
 
 BACKLOG = 512  # connections that wait to be taken
@@ -186,10 +186,10 @@
         count = self.places[number] = self.places.get(number, -1) + 1
         return count * self.of[1] + self.of[0]
 
-    def heard(self, message: Any) -> None:
+    def receive(self, message: Message) -> None:
         match message:
-            case DayBegin(zero):
-                self.setup.begin(zero)
+            case DayBegin(start):
+                self.setup.begin(start)
             case BackendState():
                 self.stand(message)
             case NetworkState(plain):
@@ -277,5 +277,5 @@
         listener.unit.wake(self.setup.now())
         self.touch(listener)
 
-    def over(self) -> FinalReport:
+    def final_report(self) -> FinalReport:
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -13,7 +13,7 @@
 from ...world.clients import Arrival
 from ...world.day import Day
 from ..traffic import clients_of
-from .process_messages import AllAnswered, ArrivalsOver, DayBegin, FinalReport, RelayStates
+from .process_messages import AllAnswered, ArrivalsOver, DayBegin, FinalReport, Message, RelayStates
 from .trial_setup import TrialSetup
 
 JOIN = 2.0  # seconds to connect in
@@ -45,11 +45,11 @@
     return 0
 
 
-class Asking(Protocol):
+class ClientConnection(Protocol):
     """One connection of a client: set up, idle, or with one invocation out."""
 
-    def __init__(self, crowd: "Crowd", relay: int) -> None:
-        self.crowd, self.relay, self.splitter = crowd, relay, messages.Splitter(typed=True)
+    def __init__(self, pool: "ClientPool", relay: int) -> None:
+        self.pool, self.relay, self.splitter = pool, relay, messages.Splitter(typed=True)
         self.ready = False
         self.arrival: Arrival | None = None
         self.answer, self.come_back = "", 0
@@ -61,7 +61,7 @@
 
     def ask(self, arrival: Arrival) -> None:
         """May be called before the greeting has come: the query goes right behind the startup."""
-        crowd, setup = self.crowd, self.crowd.setup
+        pool, setup = self.pool, self.pool.setup
         now = setup.now()
         self.arrival, self.answer, self.come_back = arrival, "", 0
         setup.record_line(
@@ -77,7 +77,7 @@
                 arrival.first,
             )
         )
-        crowd.late[max(0, now - arrival.at)] += 1
+        pool.late[max(0, now - arrival.at)] += 1
         wait = max(1, (arrival.give_up - now) // 10)
         each = setup.scenario.workload[arrival.workload]
         self.transport.write(
@@ -93,7 +93,7 @@
                     self.come_back = advice(body)
                 self.came(messages.from_unit(kind, body))
         except messages.Unreadable as problem:
-            self.crowd.setup.report_violation(f"a relay answered what can't be read: {problem}")
+            self.pool.setup.report_violation(f"a relay answered what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -105,17 +105,17 @@
             case messages.Ready() if not self.ready:
                 self.ready = True
                 if not self.arrival:
-                    self.crowd.free(self)
+                    self.pool.free(self)
             case messages.Ready() if self.arrival:
                 self.finish(self.answer or "lost")
-                self.crowd.free(self)
+                self.pool.free(self)
 
     def finish(self, answer: str) -> None:
         arrival, self.arrival = self.arrival, None
         if self.timer and self.timer.active():
             self.timer.cancel()
         if arrival:
-            self.crowd.ended(self.relay, arrival, answer, self.come_back)
+            self.pool.ended(self.relay, arrival, answer, self.come_back)
 
     def leave(self) -> None:
         """It waits no longer."""
@@ -123,16 +123,16 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        idle = self.crowd.idle[self.relay]
+        idle = self.pool.idle[self.relay]
         if self in idle:
             idle.remove(self)
-        if self.arrival and not self.answer and self.crowd.ends(self.relay):
-            return self.crowd.crossed(self)  # a relay that ends closed it before it had read the query, in order or,
+        if self.arrival and not self.answer and self.pool.ends(self.relay):
+            return self.pool.crossed(self)  # a relay that ends closed it before it had read the query, in order or,
             # where the query came just then, by a reset
         self.finish("lost")
 
 
-class Crowd:
+class ClientPool:
     """The clients of a part of the relays.  Connections are kept by relay, the one used last first; when all are busy one
     more is opened."""
 
@@ -140,7 +140,7 @@
         self.setup, self.place, self.many = setup, place, many
         # all arrivals are drawn in each part, as in the model, surges among them, and the others' passed over
         self.clients = Day(setup.scenario.parts(), setup.seed, clients_of(setup.scenario, setup.seed)).clients
-        self.idle: list[list[Asking]] = [[] for _ in range(setup.relays)]
+        self.idle: list[list[ClientConnection]] = [[] for _ in range(setup.relays)]
         self.ready: set[int] = set()
         self.last: list[int] = []  # those that were ending when last told
         self.ending: dict[int, int] = {}  # relay that was told to end -> when it still ran
@@ -150,10 +150,10 @@
         self.resent: list[tuple[int, int]] = []  # relay and number of what it had not read when it ended
         self.closing = False
 
-    def heard(self, message: Any) -> None:
+    def receive(self, message: Message) -> None:
         match message:
-            case DayBegin(zero):
-                self.setup.begin(zero)
+            case DayBegin(start):
+                self.setup.begin(start)
                 self.next()
             case RelayStates(ready, ending):
                 now = self.setup.now()
@@ -200,13 +200,13 @@
             return self.unserved(relay, arrival)
         idle = self.idle[relay]
         while idle:
-            asking = idle.pop()
-            if asking.transport.connected:
-                return asking.ask(arrival)
+            connection = idle.pop()
+            if connection.transport.connected:
+                return connection.ask(arrival)
         place = setup.addresses.relay(relay)
-        asking = Asking(self, relay)
-        joined = connectProtocol(TCP4ClientEndpoint(setup.reactor, place.host, place.port, JOIN), asking)
-        joined.addCallbacks(lambda _: asking.ask(arrival), lambda _: self.refused(relay, arrival, step + 1))
+        connection = ClientConnection(self, relay)
+        joined = connectProtocol(TCP4ClientEndpoint(setup.reactor, place.host, place.port, JOIN), connection)
+        joined.addCallbacks(lambda _: connection.ask(arrival), lambda _: self.refused(relay, arrival, step + 1))
 
     def refused(self, relay: int, arrival: Arrival, step: int) -> None:
         """The next one, then; one that is up and takes no connection is told of."""
@@ -232,19 +232,19 @@
         )
         self.ended(relay, arrival, "lost", 0)
 
-    def crossed(self, asking: Asking) -> None:
+    def crossed(self, connection: ClientConnection) -> None:
         """Sent once more, over a new connection; the first relay has not taken it."""
-        setup, arrival = self.setup, asking.arrival
-        asking.arrival = None
-        if asking.timer and asking.timer.active():
-            asking.timer.cancel()
-        setup.record_line(End(setup.now(), asking.relay, arrival.number, "lost"))
-        self.resent.append((asking.relay, arrival.number))
+        setup, arrival = self.setup, connection.arrival
+        connection.arrival = None
+        if connection.timer and connection.timer.active():
+            connection.timer.cancel()
+        setup.record_line(End(setup.now(), connection.relay, arrival.number, "lost"))
+        self.resent.append((connection.relay, arrival.number))
         self.open -= 1
-        self.serve(arrival, (asking.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
+        self.serve(arrival, (connection.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
 
-    def free(self, asking: Asking) -> None:
-        self.idle[asking.relay].append(asking)
+    def free(self, connection: ClientConnection) -> None:
+        self.idle[connection.relay].append(connection)
 
     def ended(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
         setup = self.setup
@@ -262,5 +262,5 @@
         self.open -= 1
         self.serve(arrival)
 
-    def over(self) -> FinalReport:
+    def final_report(self) -> FinalReport:
         return FinalReport(dict(self.late), self.lost_alive, 0.0, self.resent)
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -1,4 +1,8 @@
-"""The parts of a trial that are not its director: in the director's process, or each in one of its own (`python -m` it)."""
+"""The process group of a trial: backends, clients and the carrier of relays' messages, each role by one or more members.
+
+A member lives in the coordinator's process (`LocalMember`) or in one of its own, which the coordinator starts as
+`python -m` this module and exchanges messages with (`ProcessMember` there, `MemberProcess` here).
+"""
 
 import resource
 import sys
@@ -14,17 +18,18 @@
 from ...record.lines import VERSION, Head
 from ..scenario import convert
 from .backends import BackendPool
-from .clients import Crowd
+from .clients import ClientPool
 from .process_messages import FinalReport, Message, RoleAssignment, Stop, Violation, decode, encode
 from .relay_messages import MessageCarrier
 from .trial_setup import TrialSetup, use_shared_clock
 
-PARTS = {"units": BackendPool, "clients": Crowd, "notes": MessageCarrier}
-LONGEST = 64 * 1024 * 1024  # bytes of a word
+ROLES = {"units": BackendPool, "clients": ClientPool, "notes": MessageCarrier}
 DESCRIPTORS = 65_536  # that a process may hold, as far as the system allows
+ERRORS_KEPT = 4_000  # bytes of a member's standard error
+END_WAIT = 0.1  # seconds in which a member's last message goes out
 
 
-def widen() -> None:
+def raise_descriptor_limit() -> None:
     """As many descriptors as are allowed: hundreds of relays keep thousands of connections."""
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = DESCRIPTORS if most == resource.RLIM_INFINITY else min(DESCRIPTORS, most)
@@ -32,48 +37,49 @@
 
 
 class LocalMember:
-    """A part in the director's process; its lines go straight to the record."""
+    """A member in the coordinator's process; its lines go straight to the record."""
 
-    def __init__(self, setup: TrialSetup, part: str) -> None:
-        self.part, self.name = PARTS[part](setup, 0, 1), part
+    def __init__(self, setup: TrialSetup, role: str) -> None:
+        self.member, self.name = ROLES[role](setup, 0, 1), role
         self.setup = setup
 
-    def tell(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         if isinstance(message, Stop):
-            self.setup.reactor.callLater(0, self.setup.send, self.part.over())
+            self.setup.reactor.callLater(0, self.setup.send, self.member.final_report())
         else:
-            self.part.heard(message)
+            self.member.receive(message)
 
 
 class ProcessMember(ProcessProtocol):
-    """A part in a process of its own, which is told and says words as lines, and keeps its lines of the record in a file."""
+    """A member in a process of its own, as the coordinator sees it: messages go in and out as lines, and its lines of the
+    record are kept in a file (`record`)."""
 
-    def __init__(self, setup: TrialSetup, part: str, place: int, many: int, folder: Path) -> None:
-        self.setup, self.name, self.held, self.ended = setup, f"{part}-{place}", b"", False
+    def __init__(self, setup: TrialSetup, role: str, index: int, count: int, folder: Path) -> None:
+        self.setup, self.name, self.buffer, self.has_ended = setup, f"{role}-{index}", b"", False
         self.record, self.errors = folder / f"{self.name}.record", b""
         self.process = setup.reactor.spawnProcess(
             self, sys.executable, [sys.executable, "-B", "-m", "tealsail.lab.loopback.process_group"], None
         )
-        self.tell(
+        self.send(
             RoleAssignment(
-                part, place, many, setup.scenario.plain(), setup.seed, setup.addresses.port, str(self.record)
+                role, index, count, setup.scenario.plain(), setup.seed, setup.addresses.port, str(self.record)
             )
         )
 
-    def tell(self, message: Message) -> None:
-        if not self.ended:
+    def send(self, message: Message) -> None:
+        if not self.has_ended:
             self.transport.write(encode(message))
 
     def outReceived(self, data: bytes) -> None:
-        *lines, self.held = (self.held + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
             self.setup.send(decode(line))
 
     def errReceived(self, data: bytes) -> None:
-        self.errors = (self.errors + data)[-4_000:]
+        self.errors = (self.errors + data)[-ERRORS_KEPT:]
 
     def processEnded(self, reason: Failure) -> None:
-        self.ended = True
+        self.has_ended = True
         if self.errors or reason.value.exitCode:
             self.setup.report_violation(
                 f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
@@ -82,38 +88,50 @@
 
 
 class MemberProcess:
-    """One part in its own process, from its first word to the last."""
+    """One member in its own process, from the assignment of its role to its final report."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.held = reactor, b""
-        self.part: Any = None
+        self.reactor, self.buffer = reactor, b""
+        self.member: Any = None
         self.writer: Writer | None = None
-        self.out: Any = None  # the transport to the director
+        self.out: Any = None  # the transport to the coordinator
 
     def dataReceived(self, data: bytes) -> None:
-        *lines, self.held = (self.held + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
-            self.heard(decode(line))
+            self.receive(decode(line))
 
-    def heard(self, message: Any) -> None:
+    def receive(self, message: Message) -> None:
         match message:
-            case RoleAssignment(part, place, many, scenario, seed, port, record):
-                self.writer = Writer(record)
-                day = convert(scenario)
-                self.writer(Head(0, VERSION, "trial", day.name, seed, {}))
-                setup = TrialSetup(
-                    self.reactor, day, seed, port, self.writer, lambda text: self.say(Violation(text)), self.say
-                )
-                self.part = PARTS[part](setup, place, many)
+            case RoleAssignment():
+                self.take_role(message)
             case Stop():
-                over = self.part.over()
-                self.writer.close()
-                self.say(msgspec.structs.replace(over, cpu=time.process_time()))
-                self.reactor.callLater(0.1, self.reactor.stop)
+                self.finish()
             case _:
-                self.part.heard(message)
+                self.member.receive(message)
+
+    def take_role(self, assignment: RoleAssignment) -> None:
+        self.writer = Writer(assignment.record)
+        scenario = convert(assignment.scenario)
+        self.writer(Head(0, VERSION, "trial", scenario.name, assignment.seed, {}))
+        setup = TrialSetup(
+            self.reactor,
+            scenario,
+            assignment.seed,
+            assignment.port,
+            self.writer,
+            lambda text: self.send(Violation(text)),
+            self.send,
+        )
+        self.member = ROLES[assignment.role](setup, assignment.index, assignment.count)
+
+    def finish(self) -> None:
+        report = self.member.final_report()
+        self.writer.close()
+        self.send(msgspec.structs.replace(report, cpu=time.process_time()))
+        self.reactor.callLater(END_WAIT, self.reactor.stop)
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         self.out.write(encode(message))
 
 
@@ -122,18 +140,18 @@
     from twisted.internet.protocol import Protocol
     from twisted.internet.stdio import StandardIO
 
-    widen()
-    member = MemberProcess(use_shared_clock(reactor))
+    raise_descriptor_limit()
+    process = MemberProcess(use_shared_clock(reactor))
 
     class CoordinatorInput(Protocol):
         def connectionMade(self) -> None:
-            member.out = self.transport
+            process.out = self.transport
 
         def dataReceived(self, data: bytes) -> None:
-            member.dataReceived(data)
+            process.dataReceived(data)
 
         def connectionLost(self, reason: Failure = None) -> None:
-            """The director has gone."""
+            """The coordinator has gone."""
             if reactor.running:
                 reactor.stop()
 
--- a/tealsail/lab/loopback/process_messages.py
+++ b/tealsail/lab/loopback/process_messages.py
@@ -1,5 +1,5 @@
-"""What a trial's director and its parts tell each other: one typed value each, as JSON lines where a part has a process of
-its own."""
+"""The messages between a trial's coordinator and the members of its process group: typed values, one JSON line each where
+a member has a process of its own."""
 
 from typing import Any
 
@@ -7,15 +7,15 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, tag=True):
-    """What all have."""
+    """A JSON array: the tag, then the fields in their order."""
 
 
 class RoleAssignment(Message, tag="cast"):
-    """The first to a process: which part it plays, as which of how many, of what day; `record` is the file to write."""
+    """The first to a process: its role, as which of how many members, in what scenario; `record` is the file to write."""
 
-    part: str
-    place: int
-    many: int
+    role: str
+    index: int
+    count: int
     scenario: dict[str, Any]
     seed: int
     port: int
@@ -23,13 +23,13 @@
 
 
 class DayBegin(Message, tag="begin"):
-    """The day's zero, in seconds of CLOCK_MONOTONIC."""
+    """The day's start, in seconds of CLOCK_MONOTONIC."""
 
-    zero: float
+    start: float
 
 
 class BackendState(Message, tag="stand"):
-    """A unit as the director has it: a new one, or what has changed of one."""
+    """A backend as the coordinator has it: a new one, or what has changed of one."""
 
     name: str
     number: int  # of its port
@@ -60,7 +60,7 @@
 
 
 class ArrivalsOver(Message, tag="close"):
-    """The last arrival has been: say when all is answered."""
+    """The last request has arrived: report when all are answered."""
 
 
 class Stop(Message, tag="stop"):
@@ -68,25 +68,30 @@
 
 
 class BackendCrashed(Message, tag="fell"):
-    """A unit fell over under what it was sent."""
+    """A backend crashed under what it was sent."""
 
     name: str
 
 
 class Violation(Message, tag="wrong"):
+    """What a relay did that no rule has a name for, in one sentence."""
+
     text: str
 
 
 class AllAnswered(Message, tag="answered"):
-    """A part's clients have their answers."""
+    """All clients of a member have their answers."""
 
 
 class FinalReport(Message, tag="over"):
-    """The last of a part: how late its arrivals were sent (tenths of a ms -> how many), which relay that was up lost an
-    invocation and when, its processor time in seconds, and (relay, number) of what was sent anew since that relay ended."""
+    """The last of a member.
+
+    `lateness` counts arrivals by how late they were sent (tenths of a ms); `lost_while_up` is which relay lost a request
+    while it was up, and when; `cpu` the processor time in seconds; `resent` the relay and number of each request that was
+    sent anew since that relay ended."""
 
-    late: dict[int, int]
-    lost_alive: list[tuple[int, int]]
+    lateness: dict[int, int]
+    lost_while_up: list[tuple[int, int]]
     cpu: float
     resent: list[tuple[int, int]] = []
 
@@ -108,6 +113,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """One line, with its end."""
     return ENCODER.encode(message) + b"\n"
 
 
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -11,7 +11,7 @@
 
 from ...world.network import Network
 from . import addresses
-from .process_messages import DayBegin, FinalReport, NetworkState
+from .process_messages import DayBegin, FinalReport, Message, NetworkState
 from .trial_setup import TrialSetup
 
 IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
@@ -39,10 +39,10 @@
         self.timer: Any = None
         setup.reactor.addReader(self)
 
-    def heard(self, message: Any) -> None:
+    def receive(self, message: Message) -> None:
         match message:
-            case DayBegin(zero):
-                self.setup.begin(zero)
+            case DayBegin(start):
+                self.setup.begin(start)
             case NetworkState(plain):
                 self.network.take_over(plain)
 
@@ -112,7 +112,7 @@
                 self.dropped += 1
         self.plan()
 
-    def over(self) -> FinalReport:
+    def final_report(self) -> FinalReport:
         if self.dropped > self.carried // 100:
             self.setup.report_violation(f"{self.dropped} of {self.carried} notes found no room on their way")
         return FinalReport({}, [], 0.0)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -106,11 +106,11 @@
         self.assertEqual(addresses.caller(place.host), -1)  # not from a relay's own address
 
     def test_two_trials_never_share_ports(self) -> None:
-        first, second = addresses.Taken(3), addresses.Taken(3)
+        first, second = addresses.PortBlock(3), addresses.PortBlock(3)
         self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK)
         first.free(), second.free()
         with self.assertRaises(ValueError):
-            addresses.Taken(addresses.MOST_RELAYS + 1)
+            addresses.PortBlock(addresses.MOST_RELAYS + 1)
 
 
 class Clocks(unittest.TestCase):
