--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -37,7 +37,7 @@
 class PendingQuery:
     """One query in a unit's hands, and the connection that waits for it."""
 
-    __slots__ = ("wire", "number", "place", "over")
+    __slots__ = ("connection", "number", "place", "over")
 
     def __init__(self, connection: "BackendConnection", number: int, place: int) -> None:
         self.connection, self.number, self.place, self.over = connection, number, place, False
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -174,7 +174,7 @@
         self.ready_relays, self.last_ending = set(ready), ending
 
     def is_ending(self, relay: int) -> bool:
-        """Whether it was told to end and still runs, or ran a moment ago: ends of its connections may be on their way."""
+        """Whether it was told to end and still runs, or ran a moment ago: its connections may be ending just now."""
         return self.setup.now() - self.ending_at.get(relay, -NEVER) < LATE_END
 
     def report_when_answered(self) -> None:
