--- a/tealsail/lab/loopback/agents.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -13,11 +13,11 @@
 from twisted.python.failure import Failure
 
 from ...record.lines import News, Told
-from ...world.desk import State
 from ...world.day import Day
+from ...world.desk import State
 from ...world.roster import Entry
 from .addresses import caller
-from .scene import Scene
+from .trial_setup import TrialSetup
 
 LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
 LONGEST_WAIT = 60.0  # seconds of a watch
@@ -29,8 +29,8 @@
 PING = 1.0  # seconds
 
 
-def listing(
-    scene: Scene, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
+def endpoint_list(
+    setup: TrialSetup, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
 ) -> dict[str, Any]:
     """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
     return {
@@ -39,12 +39,12 @@
         "instances": [
             {
                 "instanceId": each.name,
-                "hostPort": str(scene.addresses.unit(relay, numbers(each.name))),
+                "hostPort": str(setup.addresses.unit(relay, numbers(each.name))),
                 "zone": each.zone,
                 "cell": each.cell,
                 "lifecycle": STATES[each.state],
                 "weight": each.weight,
-                "startedAtMs": scene.unix_ms(each.started) if each.started else 0,
+                "startedAtMs": setup.unix_ms(each.started) if each.started else 0,
                 "build": each.build,
             }
             for each in entries
@@ -52,73 +52,73 @@
     }
 
 
-def standing(scene: Scene, state: State) -> dict[str, Any]:
+def rollout_state(setup: TrialSetup, state: State) -> dict[str, Any]:
     return {
         "Revision": state.build,
         "Wave": state.stage,
         "State": PHASES[state.phase],
         "MaxShare": state.cap,
-        "AgeMs": max(0, (scene.now() - state.since) // 10),
+        "AgeMs": max(0, (setup.now() - state.since) // 10),
     }
 
 
-class Wire(Protocol):
+class ServiceConnection(Protocol):
     """One connection of a relay to a service; cut off, nothing goes in or out and nothing is said of it."""
 
     service = ""
 
-    def __init__(self, desk: Any) -> None:
-        self.desk, self.held, self.relay, self.muted = desk, b"", -1, False
+    def __init__(self, owner: Any) -> None:
+        self.owner, self.held, self.relay, self.muted = owner, b"", -1, False
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
-        if not 0 <= self.relay < self.desk.scene.relays:
+        if not 0 <= self.relay < self.owner.setup.relays:
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
-        self.desk.wires[self] = None
+        self.owner.connections[self] = None
         self.reached()
 
     def reached(self) -> bool:
         """Whether the relay is not cut off from here."""
-        if not self.muted and not self.desk.day.network.has(self.desk.scene.now(), self.relay, self.service):
+        if not self.muted and not self.owner.day.network.has(self.owner.setup.now(), self.relay, self.service):
             self.muted = True
             self.transport.pauseProducing()
         return not self.muted
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.desk.wires.pop(self, None)
+        self.owner.connections.pop(self, None)
 
 
-class Desk(Factory):
+class ControlPlaneService(Factory):
     """What the two services have in common."""
 
     noisy = False
-    wire: type[Wire] = Wire
+    connection: type[ServiceConnection] = ServiceConnection
 
-    def __init__(self, scene: Scene, day: Day) -> None:
-        self.scene, self.day = scene, day
-        self.wires: dict[Any, None] = {}
+    def __init__(self, setup: TrialSetup, day: Day) -> None:
+        self.setup, self.day = setup, day
+        self.connections: dict[Any, None] = {}
 
     def buildProtocol(self, address: Any) -> Any:
-        return self.wire(self)
+        return self.connection(self)
 
     def mend(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
-        for wire in [
-            wire
-            for wire in self.wires
-            if wire.muted and self.day.network.has(self.scene.now(), wire.relay, wire.service)
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.muted and self.day.network.has(self.setup.now(), connection.relay, connection.service)
         ]:
-            wire.transport.abortConnection()
+            connection.transport.abortConnection()
 
 
-class ListWire(Wire):
+class DiscoveryConnection(ServiceConnection):
     """One connection to the agent; one call at a time."""
 
     service = "list"
 
-    def __init__(self, desk: "ListDesk") -> None:
-        super().__init__(desk)
+    def __init__(self, owner: "DiscoveryService") -> None:
+        super().__init__(owner)
         self.waiting: Any = None  # the end of a watch's wait
         self.after = -1  # the version that the watch has
 
@@ -132,12 +132,12 @@
             head, _, self.held = self.held.partition(b"\r\n\r\n")
             match = ASKED.match(head + b"\r\n")
             if not match:
-                self.desk.scene.wrong(f"a call to the list that can't be read: {head[:60]!r}")
+                self.owner.setup.report_violation(f"a call to the list that can't be read: {head[:60]!r}")
                 return self.transport.abortConnection()
             self.asked(match)
 
     def asked(self, match: re.Match) -> None:
-        scene, roster = self.desk.scene, self.desk.day.roster
+        setup, roster = self.owner.setup, self.owner.day.roster
         if match[1] is None:
             return self.answer(roster.told[self.relay], True, roster.whole(roster.told[self.relay]))
         after = int(match[1])
@@ -145,23 +145,23 @@
             return self.changed(after)
         wait = min(LONGEST_WAIT, int(match[2]) / 1000)
         self.after = after
-        self.waiting = scene.reactor.callLater(wait, self.changed, after)
+        self.waiting = setup.reactor.callLater(wait, self.changed, after)
 
     def changed(self, after: int) -> None:
         """Answers a watch with what there is, perhaps nothing."""
         self.rest()
         if not self.reached():
             return
-        roster = self.desk.day.roster
+        roster = self.owner.day.roster
         version = roster.told[self.relay]
         last = {entry.name: entry for entry in roster.log[after:version]}
         self.answer(version, False, list(last.values()))
 
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
-        scene, desk, relay = self.desk.scene, self.desk, self.relay
+        setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
-            scene.tell(Told(scene.now(), relay, entry.name, entry.build, entry.state, entry.started))
-        body = json.dumps(listing(scene, desk.numbers, relay, version, whole, entries)).encode()
+            setup.record_line(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
+        body = json.dumps(endpoint_list(setup, owner.numbers, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
@@ -176,27 +176,29 @@
         super().connectionLost(reason)
 
 
-class ListDesk(Desk):
+class DiscoveryService(ControlPlaneService):
     """The list as the relays' agents have it."""
 
-    wire = ListWire
+    connection = DiscoveryConnection
 
-    def __init__(self, scene: Scene, day: Day, numbers: Callable[[str], int]) -> None:
-        super().__init__(scene, day)
+    def __init__(self, setup: TrialSetup, day: Day, numbers: Callable[[str], int]) -> None:
+        super().__init__(setup, day)
         self.numbers = numbers
 
     def news(self, relay: int, version: int) -> None:
         """That relay's agent has been sent the list up to that version."""
-        now, roster = self.scene.now(), self.day.roster
+        now, roster = self.setup.now(), self.day.roster
         if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
             return  # told once it moves again, or is reached
         _, entries = roster.news(relay, version)
         if entries:
-            for wire in [wire for wire in self.wires if wire.relay == relay and wire.waiting]:
-                wire.changed(wire.after)
+            for connection in [
+                connection for connection in self.connections if connection.relay == relay and connection.waiting
+            ]:
+                connection.changed(connection.after)
 
 
-class PlatformWire(Wire):
+class PlatformConnection(ServiceConnection):
     """One connection to the platform."""
 
     service = "platform"
@@ -213,12 +215,12 @@
                 call = json.loads(line)
                 self.called(call["id"], call["method"], call.get("params") or {})
             except (ValueError, LookupError, TypeError, AttributeError) as problem:
-                self.desk.scene.wrong(f"a call to the platform that can't be read: {problem}")
+                self.owner.setup.report_violation(f"a call to the platform that can't be read: {problem}")
                 return self.transport.abortConnection()
 
     def called(self, number: int, method: str, params: dict[str, Any]) -> None:
-        scene, day = self.desk.scene, self.desk.day
-        if scene.now() < day.desk.silent_until:
+        setup, day = self.owner.setup, self.owner.day
+        if setup.now() < day.desk.silent_until:
             return
         if method == "subscribe":
             self.subscribed = True
@@ -226,41 +228,41 @@
             return self.stood()
         if method != "release.vote":
             return self.say({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
-        answer = self.desk.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
+        answer = self.owner.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
         if answer == "ok":
-            self.say({"id": number, "result": standing(scene, day.desk.state)})
+            self.say({"id": number, "result": rollout_state(setup, day.desk.state)})
         elif answer != "nothing":
             self.say({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
 
     def stood(self) -> None:
         if not self.reached():
             return
-        scene, state = self.desk.scene, self.desk.day.desk.state
-        scene.tell(News(scene.now(), self.relay, state.build, state.stage, state.phase, state.cap))
-        self.say({"method": "stage", "params": standing(scene, state)})
+        setup, state = self.owner.setup, self.owner.day.desk.state
+        setup.record_line(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
+        self.say({"method": "stage", "params": rollout_state(setup, state)})
 
     def say(self, tree: dict[str, Any]) -> None:
         if self.reached():
             self.transport.write(json.dumps({"jsonrpc": "2.0"} | tree).encode() + b"\n")
 
 
-class PlatformDesk(Desk):
+class PlatformService(ControlPlaneService):
     """The platform; `vote` takes (relay, build, stage, verdict) and returns its answer."""
 
-    wire = PlatformWire
+    connection = PlatformConnection
 
-    def __init__(self, scene: Scene, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
-        super().__init__(scene, day)
+    def __init__(self, setup: TrialSetup, day: Day, vote: Callable[[int, int, int, str], str]) -> None:
+        super().__init__(setup, day)
         self.vote = vote
 
-    def heard(self) -> list[PlatformWire]:
-        quiet = self.scene.now() < self.day.desk.silent_until
-        return [] if quiet else [wire for wire in self.wires if wire.subscribed]
+    def heard(self) -> list[PlatformConnection]:
+        quiet = self.setup.now() < self.day.desk.silent_until
+        return [] if quiet else [connection for connection in self.connections if connection.subscribed]
 
     def news(self) -> None:
-        for wire in self.heard():
-            wire.stood()
+        for connection in self.heard():
+            connection.stood()
 
     def ping(self) -> None:
-        for wire in self.heard():
-            wire.say({"method": "ping"})
+        for connection in self.heard():
+            connection.say({"method": "ping"})
--- a/tealsail/lab/loopback/troupe.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -19,9 +19,9 @@
 from ...record.lines import Life, Log, News, Told
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
-from .agents import listing, standing
-from .scene import Scene
-from .shifted import SHAPE
+from .clock_offset import SHAPE
+from .control_plane import endpoint_list, rollout_state
+from .trial_setup import TrialSetup
 
 LINGER = 0.4  # seconds after SIGTERM in which new connections still come
 FORCE = 8.0  # seconds after it in which a relay has to end
@@ -41,11 +41,11 @@
     return "\n".join(lines) + "\n"
 
 
-class Running(ProcessProtocol):
+class RelayProcess(ProcessProtocol):
     """One relay process; its log goes to a file."""
 
-    def __init__(self, troupe: "Troupe", relay: int, log: Path) -> None:
-        self.troupe, self.relay = troupe, relay
+    def __init__(self, fleet: "ProcessFleet", relay: int, log: Path) -> None:
+        self.fleet, self.relay = fleet, relay
         self.log, self.written, self.rest = open(log, "ab"), 0, b""
         self.wanted = True  # False: it has been told to end
         self.ready = self.again = self.stopped = False  # it answers; it is to start anew once it has ended; SIGSTOP
@@ -62,71 +62,71 @@
             self.said(line)
 
     def said(self, line: bytes) -> None:
-        scene = self.troupe.scene
+        setup = self.fleet.setup
         if LIVE in line:
-            self.troupe.try_out(self)
+            self.fleet.try_out(self)
         for mark in TOLD_OF:
             if mark in line:
                 text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
-                scene.tell(Log(scene.now(), self.relay, text))
+                setup.record_line(Log(setup.now(), self.relay, text))
                 if mark == b"duties ":
                     self.duties = {
                         name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
                         for name, _, value in (word.partition("=") for word in text.split()[1:])
                     }
         if b" ERROR " in line or b"module: fault" in line:
-            scene.wrong(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
+            setup.report_violation(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
 
     def processEnded(self, reason: Failure) -> None:
         self.log.close()
         self.ready = False
         if self.wanted:
-            self.troupe.scene.wrong(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
-        self.troupe.ended(self)
+            self.fleet.setup.report_violation(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
+        self.fleet.ended(self)
 
 
-class Tryer(Protocol):
+class ReadinessProbe(Protocol):
     """Asks a relay that has just begun to listen; it is ready once it answers."""
 
-    def __init__(self, troupe: "Troupe", running: Running) -> None:
-        self.troupe, self.running = troupe, running
+    def __init__(self, fleet: "ProcessFleet", running: RelayProcess) -> None:
+        self.fleet, self.running = fleet, running
 
     def connectionMade(self) -> None:
         self.transport.write(messages.startup(b"backend", b"store") + messages.query(b""))
 
     def dataReceived(self, data: bytes) -> None:
         if messages.EMPTY in data and not self.running.ready:
-            self.troupe.came_up(self.running)
+            self.fleet.came_up(self.running)
             self.transport.loseConnection()
 
 
-class Troupe:
+class ProcessFleet:
     """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when none is
     left; `numbers` gives a unit's number by its name."""
 
     def __init__(
         self,
-        scene: Scene,
+        setup: TrialSetup,
         day: Day,
         folder: Path,
         numbers: Callable[[str], int],
         changed: Callable[[], None],
         gone: Callable[[], None],
     ) -> None:
-        self.scene, self.day, self.folder, self.numbers, self.changed, self.gone = (
-            scene,
+        self.setup, self.day, self.folder, self.numbers, self.changed, self.gone = (
+            setup,
             day,
             folder,
             numbers,
             changed,
             gone,
         )
-        self.running: dict[int, tuple[Running, Any]] = {}
+        self.running: dict[int, tuple[RelayProcess, Any]] = {}
         self.downs: dict[int, list[int]] = {}  # relay -> when it was killed
         self.over = False
-        table = scene.scenario.trial
+        table = setup.scenario.trial
         self.beside = Path(table.beside) if table.beside else HOME
-        self.others = set(range(round(table.beside_part * scene.relays)))  # relays of the other checkout
+        self.others = set(range(round(table.beside_part * setup.relays)))  # relays of the other checkout
         self.moved = any(fault.kind in ("step clocks", "run clocks") for fault in day.parts.faults)
 
     def up(self, relay: int) -> bool:
@@ -152,21 +152,21 @@
         return self.folder / f"relay-{relay}.clock"
 
     def start(self, relay: int) -> None:
-        scene = self.scene
+        setup = self.setup
         path = self.folder / f"relay-{relay}.json"
         path.write_text(json.dumps(self.told(relay)))
-        running = Running(self, relay, self.folder / f"relay-{relay}.log")
+        running = RelayProcess(self, relay, self.folder / f"relay-{relay}.log")
         document = []
-        if scene.scenario.document:
-            (self.folder / "tealsail.toml").write_text(toml(scene.scenario.document))
+        if setup.scenario.document:
+            (self.folder / "tealsail.toml").write_text(toml(setup.scenario.document))
             document = [f"--document={self.folder / 'tealsail.toml'}"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
         program = ["-m", "tealsail"]
         if self.moved:
             self.move_clock(relay)
-            program = [str(Path(__file__).with_name("shifted.py")), str(self.clock(relay))]
+            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock(relay))]
         home = self.beside if relay in self.others else HOME
-        process = scene.reactor.spawnProcess(
+        process = setup.reactor.spawnProcess(
             running,
             sys.executable,
             [sys.executable, "-B", *program, "serve", *document],
@@ -177,13 +177,13 @@
         self.running[relay] = running, process
 
     def told(self, relay: int) -> dict[str, Any]:
-        scene, addresses = self.scene, self.scene.addresses
+        setup, addresses = self.setup, self.setup.addresses
         roster, state = self.day.roster, self.day.desk.state
         entries = roster.whole(roster.told[relay])
-        now = scene.now()
+        now = setup.now()
         for entry in entries:
-            scene.tell(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
-        scene.tell(News(now, relay, state.build, state.stage, state.phase, state.cap))
+            setup.record_line(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
+        setup.record_line(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
             "name": f"n{relay}",
@@ -193,26 +193,26 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "peer_listen": str(own),
             "peers": [
-                str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(scene.relays)
+                str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(setup.relays)
             ],
             "peers_all": str(addresses.everyone(relay)),
-            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": standing(scene, state)},
-            "known": listing(scene, self.numbers, relay, roster.told[relay], True, entries),
-            "settings": scene.scenario.relay_settings(relay),
+            "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": rollout_state(setup, state)},
+            "known": endpoint_list(setup, self.numbers, relay, roster.told[relay], True, entries),
+            "settings": setup.scenario.relay_settings(relay),
         }
 
-    def try_out(self, running: Running) -> None:
+    def try_out(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and not running.ready and not self.over:
-            place, reactor = self.scene.addresses.relay(running.relay), self.scene.reactor
-            connectProtocol(TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), Tryer(self, running)).addErrback(
-                lambda _: None
-            )
+            place, reactor = self.setup.addresses.relay(running.relay), self.setup.reactor
+            connectProtocol(
+                TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), ReadinessProbe(self, running)
+            ).addErrback(lambda _: None)
             reactor.callLater(1.0, self.try_out, running)
 
-    def came_up(self, running: Running) -> None:
+    def came_up(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.wanted:
             running.ready = running.lived = True  # else it was killed while its first answer was on the way
-            self.scene.tell(Life(self.scene.now(), running.relay, "up"))
+            self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
             self.changed()
 
     # what the script does
@@ -231,7 +231,7 @@
             case "stop" | "on" if running and running.stopped != (order.what == "stop"):
                 running.stopped = order.what == "stop"
                 os.kill(process.pid, signal.SIGSTOP if running.stopped else signal.SIGCONT)
-                self.scene.tell(Life(self.scene.now(), order.relay, "stopped" if running.stopped else "on"))
+                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.stopped else "on"))
             case "rate":
                 self.move_clock(order.relay, rate=order.amount)
             case "step":
@@ -250,33 +250,33 @@
     def kill(self, relay: int) -> None:
         running, process = self.running.pop(relay)
         running.wanted = running.ready = False
-        self.downs.setdefault(relay, []).append(self.scene.now())
+        self.downs.setdefault(relay, []).append(self.setup.now())
         self.down(running)
         self.changed()
         process.signalProcess("KILL")
 
-    def down(self, running: Running) -> None:
+    def down(self, running: RelayProcess) -> None:
         """One that had not come up yet is not told of."""
         if running.lived:
-            self.scene.tell(Life(self.scene.now(), running.relay, "down"))
+            self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
 
-    def restart(self, running: Running, process: Any) -> None:
+    def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
         if running.wanted:
             running.wanted, running.again = False, True
             self.changed()
             self.wake(running, process)
             process.signalProcess("TERM")
-            self.scene.reactor.callLater(LINGER, self.unready, running)
-            self.scene.reactor.callLater(FORCE, self.force, running, process)
+            self.setup.reactor.callLater(LINGER, self.unready, running)
+            self.setup.reactor.callLater(FORCE, self.force, running, process)
 
-    def wake(self, running: Running, process: Any) -> None:
+    def wake(self, running: RelayProcess, process: Any) -> None:
         """One that is stopped can't end."""
         if running.stopped:
             running.stopped = False
             os.kill(process.pid, signal.SIGCONT)
 
-    def unready(self, running: Running) -> None:
+    def unready(self, running: RelayProcess) -> None:
         """The front sends it no new connections."""
         running.ready = False
         self.changed()
@@ -288,7 +288,7 @@
             running.wanted = False
             self.wake(running, process)
             process.signalProcess("TERM")
-            self.scene.reactor.callLater(FORCE, self.force, running, process)
+            self.setup.reactor.callLater(FORCE, self.force, running, process)
         self.changed()
         if not self.running:
             self.gone()
@@ -301,12 +301,12 @@
             except ProcessExitedAlready:
                 continue
 
-    def force(self, running: Running, process: Any) -> None:
+    def force(self, running: RelayProcess, process: Any) -> None:
         if not running.log.closed:
-            self.scene.wrong(f"relay {running.relay} did not end when told to")
+            self.setup.report_violation(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
 
-    def ended(self, running: Running) -> None:
+    def ended(self, running: RelayProcess) -> None:
         for relay, (each, _) in list(self.running.items()):
             if each is running:
                 del self.running[relay]
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -2,6 +2,7 @@
 
 import json
 from collections.abc import Callable
+from hashlib import blake2b
 from typing import Any, NamedTuple
 
 from loguru import logger
@@ -53,6 +54,11 @@
     entries: list[Entry]
 
 
+def number_of(name: str) -> int:
+    """A unit's number for its name in the list; the same in every run."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
+
+
 def read_news(tree: Any) -> News:
     """From JSON; `known` in a relay's configuration has the same form."""
     try:
