--- a/tealsail/choices/endings.py
+++ b/tealsail/choices/endings.py
@@ -50,14 +50,14 @@
 
 
 def unused(idle: float) -> tuple[float, float]:
-    """How long a kept connection may stand unused, and between looks at that, in seconds, where the unit's machine ends it
-    after `idle` seconds: with both together it is never used in the last quarter, or second, of them."""
+    """How long a kept connection may stand unused, and between looks at that, in seconds, where the unit's machine
+    ends it after `idle` seconds: with both together it is never used in the last quarter, or second, of them."""
     look = min(LOOK, max(SOONEST, 0.25 * idle))
     return max(0.5 * idle, idle - 2 * look), look
 
 
 def rested(answered: Sequence[float], now: float) -> int | None:
-    """Which of the idle connections, the one used last standing last, takes the next shot; `answered` is when each was last
-    answered, in seconds.  A second answer to the same query may come some ms behind the first, and would be taken for the
-    next one's: measured 0.9 to 3.4 ms (docs/results.md)."""
+    """Which of the idle connections, the one used last standing last, takes the next shot; `answered` is when each
+    was last answered, in seconds.  A second answer to the same query may come some ms behind the first, and would be
+    taken for the next one's: measured 0.9 to 3.4 ms (docs/results.md)."""
     return next((place for place in range(len(answered) - 1, -1, -1) if answered[place] <= now - REST), None)
--- a/tealsail/lab/loopback/addresses.py
+++ b/tealsail/lab/loopback/addresses.py
@@ -70,7 +70,8 @@
 
 
 class PortBlock:
-    """A block of ports, ours while `lock` is bound.  Raises OSError if none is free, ValueError for a fleet without room."""
+    """A block of ports, ours while `lock` is bound.  Raises OSError if none is free, ValueError for a fleet without
+    room."""
 
     def __init__(self, relays: int) -> None:
         if relays > MOST_RELAYS:
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -32,7 +32,8 @@
 def endpoint_list(
     setup: TrialSetup, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
 ) -> dict[str, Any]:
-    """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
+    """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by
+    name."""
     return {
         "generation": version,
         "reset": whole,
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -101,8 +101,8 @@
 
 
 class ProcessFleet:
-    """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when none is
-    left; `numbers` gives a unit's number by its name."""
+    """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when
+    none is left; `numbers` gives a unit's number by its name."""
 
     def __init__(
         self,
@@ -318,8 +318,8 @@
             self.gone()
 
     def costs(self) -> dict[str, float]:
-        """Memory and processor time of the relays that run: means and the most, in MB (what each has for itself, with its
-        part of what is shared) and seconds."""
+        """Memory and processor time of the relays that run: means and the most, in MB (what each has for itself, with
+        its part of what is shared) and seconds."""
         memory, cpu = [], []
         tick = os.sysconf("SC_CLK_TCK")
         for _, process in self.running.values():
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -1,7 +1,7 @@
 """Relays' datagrams on one UDP socket for all pairs: the address that a note was sent to tells who sent it and to whom.
 
-The kernel says that address with each datagram (IP_PKTINFO), and it is set in the same way as the source of what is passed
-on, so the receiver sees the address at which it knows the sender.
+The kernel says that address with each datagram (IP_PKTINFO), and it is set in the same way as the source of what is
+passed on, so the receiver sees the address at which it knows the sender.
 """
 
 import heapq
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -1,13 +1,14 @@
 """Clients: their connections, what comes over them, and the answers in the order of the queries."""
 
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Callable, NamedTuple, Union
+from typing import Any, NamedTuple
 
 from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.error import ConnectionDone
 from twisted.internet.interfaces import IHalfCloseableProtocol
+from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -37,7 +38,7 @@
     pass
 
 
-Answer = Union[Value, Rejected, Forfeited]
+Answer = Value | Rejected | Forfeited
 REJECTED, FORFEITED, FULL, FORM, FOREIGN, LOST = "53300", "58000", "53300", "42601", "0A000", "08P01"
 
 
@@ -214,7 +215,8 @@
             self.transport.resumeProducing()
 
     def leave_off(self) -> None:
-        """This relay is ending: the end of an idle connection, not over a query in the kernel, which is ours already."""
+        """This relay is ending: the end of an idle connection, not over a query in the kernel, which is ours
+        already."""
         now = self.clients.clock()
         mute = self.mute(now)
         if self.free() and (mute or leaves_off(not self.asked, now - self.idle_since, bool(self.half_since))):
@@ -296,8 +298,9 @@
         return self.idle() and not unread(self.transport)
 
     def end(self, code: str, last: bytes = b"", note: str = "") -> None:
-        """Behind what was written.  With a last answer just written only our half ends, and what still comes is read and
-        dropped until the other half does: a close with something unread is a reset, which may overtake the answer."""
+        """Behind what was written.  With a last answer just written only our half ends, and what still comes is read
+        and dropped until the other half does: a close with something unread is a reset, which may overtake the
+        answer."""
         if self.code:
             return
         self.code, self.note = code, note
@@ -412,7 +415,8 @@
             client.next()
 
     def cut(self) -> None:
-        """Who does not read its answers, or does not end its half, is left; an invocation at hand has a time of its own."""
+        """Who does not read its answers, or does not end its half, is left; an invocation at hand has a time of its
+        own."""
         for client in list(self.connections):
             if not client.waiting:
                 client.cut("unread")
--- a/tealsail/net/kernel.py
+++ b/tealsail/net/kernel.py
@@ -6,7 +6,8 @@
 
 
 def unread(transport: Any) -> bool:
-    """Whether bytes wait there unread.  An end that waits is none, nor is anything where there is no socket to look at."""
+    """Whether bytes wait there unread.  An end that waits is none, nor is anything where there is no socket to look
+    at."""
     held = getattr(transport, "socket", None)
     try:
         return bool(held and held.recv(1, socket.MSG_PEEK))
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -32,8 +32,8 @@
 from .clients import Answer, Clients, Forfeited, Rejected
 from .counters import Counters
 from .discovery import Discovery, Entry, News, number_of
-from .kernel import hold, take_in
 from .kept import cancel
+from .kernel import hold, take_in
 from .peers import Peers, pair
 from .platform import Platform, State
 from .start import Assignment
@@ -288,7 +288,8 @@
                 self.platform.anew()
 
     def assign(self, told: Assignment) -> None:
-        """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes nothing."""
+        """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes
+        nothing."""
         if told.own != self.told.own:
             raise ValueError(f"of another relay: {' '.join(told.own)}")
         try:
@@ -419,8 +420,9 @@
         return self.stopped
 
     def leave(self) -> None:
-        """Idle connections end.  The door stays open until nobody is left, for those whose query crosses such an end and who
-        come again; nobody else does.  Notes still come, since those who are served may need another relay's word."""
+        """Idle connections end.  The door stays open until nobody is left, for those whose query crosses such an end
+        and who come again; nobody else does.  Notes still come, since those who are served may need another relay's
+        word."""
         self.open()
         self.clients.stop_sweeping()
         deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,8 @@
-"""What crosses in the kernel: real sockets, and a loop that turns only when a story says so, on a clock that a story moves.
+"""What crosses in the kernel: real sockets, and a loop that turns only when a story says so, on a clock that a story
+moves.
 
-Each story lays a query, an answer, an end or a list into the kernel's buffers first and lets the loop go on then, so that
-nothing is left to luck.  docs/design/crossings.md lists them.
+Each story lays a query, an answer, an end or a list into the kernel's buffers first and lets the loop go on then, so
+that nothing is left to luck.  docs/design/crossings.md lists them.
 """
 
 import json
@@ -17,7 +18,7 @@
 import time
 import tomllib
 import unittest
-from typing import Callable
+from collections.abc import Callable
 
 from twisted.internet.epollreactor import EPollReactor
 
@@ -61,12 +62,12 @@
 
     def started(self, *units: dict, held: bool = False, **more: object) -> Relay:
         """`held`: in its first instant, when its list has not come yet; else with its door open."""
-        here = {"hostPort": "127.0.0.1:%d" % self.unit_side.getsockname()[1]}
+        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
         tree = (
             config(
                 listen=f"127.0.0.1:{self.port}",
                 peer_listen=f"127.0.0.1:{free_port()}",
-                discovery="127.0.0.1:%d" % self.agent_side.getsockname()[1],
+                discovery=f"127.0.0.1:{self.agent_side.getsockname()[1]}",
                 rollouts=config()["rollouts"] | {"address": "127.0.0.1:1"},
                 known=listing(41, True, *(units or (unit(1) | here,))),
             )
@@ -214,8 +215,8 @@
         self.assertEqual(self.to_the_end(client), ROW + IDLE)
 
     def test_who_was_welcomed_just_before_the_door_closes_still_asks(self) -> None:
-        """Guards against an end between the welcome and a query that is on its way: there is no door left for it to come again.
-        One that says nothing for longer is ended."""
+        """Guards against an end between the welcome and a query that is on its way: there is no door left for it to
+        come again. One that says nothing for longer is ended."""
         self.started()
         ended = self.leaving()
         clients = [socket.create_connection(("127.0.0.1", self.port)) for _ in range(2)]
@@ -235,7 +236,8 @@
         self.assertEqual(len(ended), 1)
 
     def comes_and_is_served(self, ended: list[None], look: float = 0.0) -> None:
-        """A new client whose query waits in the kernel while the timers of that long run; it is served, and the relay ends."""
+        """A new client whose query waits in the kernel while the timers of that long run; it is served, and the relay
+        ends."""
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
         client.sendall(OPENING + asking(wait=3000))
@@ -312,7 +314,8 @@
         self.assertEqual(len(ended), 1)
 
     def slow_reader(self) -> tuple[socket.socket, bytes, list[None]]:
-        """A client whose long answer waits in the relay while that ends; the answer, and whether the relay has ended."""
+        """A client whose long answer waits in the relay while that ends; the answer, and whether the relay has
+        ended."""
         self.started()
         client = self.connect(rcvbuf=4096)
         here = next(iter(self.relay.clients.connections))
@@ -376,7 +379,8 @@
         self.assertEqual(self.got(client, IDLE), ROW + IDLE)
 
     def test_a_query_in_the_kernel_is_not_crowded_out(self) -> None:
-        """Guards, as the next two, against the end of a connection that only looks idle: what it asked would be reset."""
+        """Guards, as the next two, against the end of a connection that only looks idle: what it asked would be
+        reset."""
         self.ended_over("crowded")
 
     def test_a_query_in_the_kernel_is_not_mute(self) -> None:
@@ -453,7 +457,8 @@
 
 class AtTheUnits(Crossing):
     def test_a_second_answer_some_ms_late_is_not_the_next_querys(self) -> None:
-        """Guards against a row that no unit made for the query: a second answer to the one before, behind the empty query's."""
+        """Guards against a row that no unit made for the query: a second answer to the one before, behind the empty
+        query's."""
         self.started()
         client = self.connect()
         client.sendall(asking(wait=3000))
@@ -472,7 +477,7 @@
         self.assertEqual(self.got(client, IDLE), row(b"other") + IDLE)
 
     def there(self, server: socket.socket, build: int = 41, lifecycle: str = "ready") -> dict:
-        return unit(1, build=build, lifecycle=lifecycle) | {"hostPort": "127.0.0.1:%d" % server.getsockname()[1]}
+        return unit(1, build=build, lifecycle=lifecycle) | {"hostPort": f"127.0.0.1:{server.getsockname()[1]}"}
 
     def told(self, *entries: dict) -> None:
         """A change of the list, read before anything else."""
@@ -611,7 +616,8 @@
         return self.got(client, IDLE)
 
     def test_a_reset_before_the_last_byte_is_no_shot(self) -> None:
-        """And so a rejection, harmless to repeat; with the next one guards against a one-shot that is sent twice or lost."""
+        """And so a rejection, harmless to repeat; with the next one guards against a one-shot that is sent twice or
+        lost."""
         self.assertIn(b"C53300\0", self.reset_under(60_000))
 
     def test_a_reset_behind_the_last_byte_may_have_run(self) -> None:
@@ -625,10 +631,11 @@
         return agent
 
     def test_a_watch_that_falls_silent_is_replaced_before_what_it_misses_counts_as_told(self) -> None:
-        """Guards against shots at a unit whose end was told on a watch that never answers: it counts 2 s after its wait."""
+        """Guards against shots at a unit whose end was told on a watch that never answers: it counts 2 s after its
+        wait."""
         self.started()
         agent = self.agent()
-        here = {"hostPort": "127.0.0.1:%d" % self.unit_side.getsockname()[1]}
+        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
         agent.sendall(reply(listing(42, True, unit(1) | here)))
         self.got(agent, b"\r\n\r\n")
         self.pass_time(20.9)
@@ -665,9 +672,10 @@
         return client
 
     def test_the_first_query_of_a_new_process_waits_for_the_list_that_counts_already(self) -> None:
-        """Guards against a shot at a unit that was drained while this relay was down: what its agent has counts as told."""
+        """Guards against a shot at a unit that was drained while this relay was down: what its agent has counts as
+        told."""
         client = self.first_query()
-        here = {"hostPort": "127.0.0.1:%d" % self.unit_side.getsockname()[1]}
+        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
         self.agent().sendall(reply(listing(42, True, unit(1, lifecycle="draining") | here)))
         self.assertIn(b"C53300\0", self.got(client, IDLE))
         self.assertEqual(select.select([self.unit_side], [], [], 0)[0], [])
@@ -712,13 +720,14 @@
             self.assertEqual(self.relay.discovery.address, self.tree["discovery"])
 
     def test_what_needs_a_restart_is_kept_and_the_addresses_count(self) -> None:
-        """Guards against a relay that stays with a list which nobody keeps up, for the sake of a time that it can't take."""
+        """Guards against a relay that stays with a list which nobody keeps up, for the sake of a time that it can't
+        take."""
         self.started()
         settings = self.tree["settings"]
         before = dict(self.relay.facade.relay.facts)
         there = self.listening()
         self.changed(
-            discovery="127.0.0.1:%d" % there.getsockname()[1],
+            discovery=f"127.0.0.1:{there.getsockname()[1]}",
             settings=settings | {"limits": settings["limits"] | {"dialTimeout": 400, "maxAttempts": 1}},
         )
         self.assertEqual(self.relay.facade.relay.facts, before)
@@ -738,7 +747,8 @@
 
 
 class Signals(unittest.TestCase):
-    """The whole program as a process; what it reads at its start comes through a pipe that a story fills when it likes."""
+    """The whole program as a process; what it reads at its start comes through a pipe that a story fills when it
+    likes."""
 
     def setUp(self) -> None:
         self.folder = tempfile.TemporaryDirectory()
@@ -856,11 +866,12 @@
                         sock.sendall(NOTHING)
 
     def test_what_crosses_a_stopped_process_and_its_end_is_all_answered(self) -> None:
-        """An answer, a query on an idle connection, one on a new connection and SIGTERM all wait in the kernel; it goes on then."""
+        """An answer, a query on an idle connection, one on a new connection and SIGTERM all wait in the kernel; it
+        goes on then."""
         server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(server.close)
         self.write(
-            self.tree | {"known": listing(41, True, unit(1) | {"hostPort": "127.0.0.1:%d" % server.getsockname()[1]})}
+            self.tree | {"known": listing(41, True, unit(1) | {"hostPort": f"127.0.0.1:{server.getsockname()[1]}"})}
         )
         process = self.process()
         self.said(process, "serving")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -436,7 +436,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        here = {"hostPort": "127.0.0.1:%d" % unit_side.getsockname()[1]}
+        here = {"hostPort": f"127.0.0.1:{unit_side.getsockname()[1]}"}
         told = config(
             listen=f"127.0.0.1:{port}",
             discovery="127.0.0.1:1",
