--- a/tealsail/choices/pipelining.py
+++ b/tealsail/choices/pipelining.py
@@ -4,7 +4,7 @@
 to keep their order.
 """
 
-MOST_AT_ONCE = 16  # requests of one connection that are under way, or answered and wait for an earlier one
+MOST_AT_ONCE = 32  # requests of one connection under way, or answered and behind an earlier one; few write so many
 MOST_ANSWER_BYTES = 64 * 1024  # of a connection's answers that wait for an earlier one; a value may be as long
 MOST_ANSWER_BYTES_IN_ALL = 2 * 1024 * 1024  # of all connections' together, in 32 MB of memory
 
