--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -24,7 +24,7 @@
             trial.unready()
             trial.port_block.free()
         self.assertEqual(trial.problems, ["3 relays were not ready in time"])
-        self.assertTrue(trial.over)
+        self.assertTrue(trial.is_over)
 
 
 class Trials(unittest.TestCase):
