--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -1,4 +1,4 @@
-"""Units on sockets: PostgreSQL's messages in front of the unit machines, one listener for each."""
+"""Backends on sockets: PostgreSQL's messages in front of the machines of world/unit.py, one listener each."""
 
 from typing import Any
 
@@ -21,6 +21,7 @@
 
 
 def row(value: bytes) -> bytes:
+    """A result's row of one column."""
     return messages.message(b"D", b"\0\1" + len(value).to_bytes(4, "big") + value)
 
 
@@ -35,21 +36,21 @@
 
 
 class PendingQuery:
-    """One query in a unit's hands, and the connection that waits for it."""
+    """One query that a backend has, and the connection that waits for its answer."""
 
-    __slots__ = ("connection", "number", "place", "over")
+    __slots__ = ("connection", "number", "attempt", "is_over")
 
-    def __init__(self, connection: "BackendConnection", number: int, place: int) -> None:
-        self.connection, self.number, self.place, self.over = connection, number, place, False
+    def __init__(self, connection: "BackendConnection", number: int, attempt: int) -> None:
+        self.connection, self.number, self.attempt, self.is_over = connection, number, attempt, False
 
 
 class BackendConnection(Protocol):
-    """One connection of a relay to a unit; one query at a time, as the relay keeps it."""
+    """One connection of a relay to a backend; one query at a time, as the relay keeps it."""
 
     def __init__(self, listener: "BackendListener") -> None:
         self.listener, self.splitter = listener, messages.Splitter(typed=False)
-        self.held: PendingQuery | None = None
-        self.relay, self.muted = -1, False
+        self.query: PendingQuery | None = None
+        self.relay, self.is_cut_off = -1, False
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
@@ -57,26 +58,26 @@
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.listener.connections[self] = None
-        self.listener.record_line(Met(self.listener.now(), self.relay, self.listener.unit.name))
-        if not self.reached():
-            self.mute()
+        self.listener.record_line(Met(self.listener.now(), self.relay, self.listener.backend.name))
+        if not self.is_reachable():
+            self.cut_off()
 
-    def reached(self) -> bool:
-        return self.listener.reached(self.relay)
+    def is_reachable(self) -> bool:
+        return self.listener.is_reachable(self.relay)
 
-    def mute(self) -> None:
-        """Cut off: nothing goes in or out, and nothing is said of it."""
-        self.muted = True
+    def cut_off(self) -> None:
+        """Nothing goes in or out any longer, and the relay learns nothing of it."""
+        self.is_cut_off = True
         self.transport.pauseProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        if self.muted or not self.reached():
-            return self.mute()
+        if self.is_cut_off or not self.is_reachable():
+            return self.cut_off()
         self.splitter.feed(data)
         try:
             for kind, body in self.splitter:
                 if self.splitter.typed:
-                    self.came(messages.from_client(kind, body))
+                    self.handle(messages.from_client(kind, body))
                 else:
                     messages.opening(body)
                     self.splitter.typed = True
@@ -85,33 +86,32 @@
             self.listener.pool.setup.report_violation(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
-    def came(self, what: Any) -> None:
-        match what:
+    def handle(self, message: Any) -> None:
+        match message:
             case messages.Query(text) if not text.strip():
                 self.write(messages.EMPTY)
             case messages.Query(text):
-                if self.held:
+                if self.query:
                     return self.listener.pool.setup.report_violation(
                         "a relay wrote a second query to a connection at work"
                     )
-                self.asked(statements.read(text))
+                self.run_query(statements.read(text))
             case messages.Terminate():
                 self.transport.loseConnection()
 
-    def asked(self, statement: statements.Statement) -> None:
+    def run_query(self, statement: statements.Statement) -> None:
         listener, pool, now = self.listener, self.listener.pool, self.listener.now()
         number = int(statement.id)
-        place = pool.place(number)
-        self.held = PendingQuery(self, number, place)
-        unit = listener.unit
-        listener.record_line(
-            Shot(now, self.relay, number, place, unit.name, unit.build.number, int(statement.wait * 10))
-        )
-        unit.take(now, Asked(self.held, number % TRY, pool.setup.class_numbers[statement.workload]))
-        pool.touch(listener)
+        attempt = pool.attempt_number(number)
+        self.query = PendingQuery(self, number, attempt)
+        backend = listener.backend
+        wait = int(statement.wait * 10)  # tenths of a ms
+        listener.record_line(Shot(now, self.relay, number, attempt, backend.name, backend.build.number, wait))
+        backend.take(now, Asked(self.query, number % TRY, pool.setup.class_numbers[statement.workload]))
+        pool.follow_up(listener)
 
     def answer(self, outcome: str, load: dict[str, float] | None) -> None:
-        self.held = None
+        self.query = None
         if outcome == "reset":
             return self.transport.abortConnection()
         report = b""
@@ -121,29 +121,29 @@
         self.write(VALUES[outcome] + report + messages.READY)
 
     def write(self, data: bytes) -> None:
-        if self.reached() and not self.muted:
+        if self.is_reachable() and not self.is_cut_off:
             self.transport.write(data)
         else:
-            self.mute()
+            self.cut_off()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         self.listener.connections.pop(self, None)
-        held, self.held = self.held, None
-        if held and not held.over:
-            held.over = True
+        query, self.query = self.query, None
+        if query and not query.is_over:
+            query.is_over = True
             listener = self.listener
-            listener.record_line(Came(listener.now(), self.relay, held.number, held.place, "cancelled"))
-            listener.unit.stop(listener.now(), held)
-            listener.pool.touch(listener)
+            listener.record_line(Came(listener.now(), self.relay, query.number, query.attempt, "cancelled"))
+            listener.backend.stop(listener.now(), query)
+            listener.pool.follow_up(listener)
 
 
 class BackendListener(Factory):
-    """A unit with its port; whoever connects is known by the address that was connected to."""
+    """A backend with its port; which relay connects is known by the address that was connected to."""
 
     noisy = False
 
-    def __init__(self, pool: "BackendPool", unit: Unit, number: int) -> None:
-        self.pool, self.unit, self.number = pool, unit, number
+    def __init__(self, pool: "BackendPool", backend: Unit, number: int) -> None:
+        self.pool, self.backend, self.number = pool, backend, number
         self.now, self.record_line = pool.setup.now, pool.setup.record_line
         self.connections: dict[BackendConnection, None] = {}
         self.port: Any = None
@@ -152,8 +152,8 @@
     def buildProtocol(self, address: Any) -> BackendConnection:
         return BackendConnection(self)
 
-    def reached(self, relay: int) -> bool:
-        return self.pool.network.reaches(self.now(), relay, self.unit.name, self.unit.zone)
+    def is_reachable(self, relay: int) -> bool:
+        return self.pool.network.reaches(self.now(), relay, self.backend.name, self.backend.zone)
 
     def open(self) -> None:
         setup = self.pool.setup
@@ -171,101 +171,115 @@
 
 
 class BackendPool:
-    """A part of a trial's units: opens those that run, closes those that have ended, wakes those at work."""
+    """Every `count`th of a trial's backends: opens those that run, closes those that ended, wakes those at work."""
 
-    def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
-        self.setup, self.of = setup, (place, many)
+    def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
+        self.setup, self.index, self.count = setup, index, count
         self.listeners: dict[str, BackendListener] = {}
-        self.places: dict[int, int] = {}  # invocation -> shots of it that came to this part
+        self.attempts: dict[int, int] = {}  # request -> attempts of it that came to this member, less one
         self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
         self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
         self.builds = setup.scenario.builds_by_number()
 
-    def place(self, number: int) -> int:
-        """A place for a shot, apart from those that other parts give: the wire has none."""
-        count = self.places[number] = self.places.get(number, -1) + 1
-        return count * self.of[1] + self.of[0]
+    def attempt_number(self, number: int) -> int:
+        """A number for an attempt, apart from those that other members give: the wire has none."""
+        earlier = self.attempts[number] = self.attempts.get(number, -1) + 1
+        return earlier * self.count + self.index
 
     def receive(self, message: Message) -> None:
         match message:
             case DayBegin(start):
                 self.setup.begin(start)
             case BackendState():
-                self.stand(message)
+                self.update(message)
             case NetworkState(plain):
                 self.network.take_over(plain)
-                self.mend()
+                self.reset_cut_off()
                 for relay_until in sorted({until for each in (*plain[0], *plain[3]) for until in each[-1:]}):
                     if self.setup.now() < relay_until < NEVER:
-                        self.setup.reactor.callLater(self.setup.seconds_until(relay_until) + 0.001, self.mend)
-
-    def stand(self, message: BackendState) -> None:
-        """A unit comes up, goes, or changes."""
-        listener, now = self.listeners.get(message.name), self.setup.now()
-        if listener and (
-            message.dead or (listener.unit.mark, listener.unit.started) != (message.mark, message.started)
-        ):
-            del self.listeners[message.name]
-            listener.unit.die(now)
-            self.touch(listener)
-            listener.close()
+                        self.setup.reactor.callLater(self.setup.seconds_until(relay_until) + 0.001, self.reset_cut_off)
+
+    def update(self, state: BackendState) -> None:
+        """A backend comes up, goes, or changes."""
+        listener, now = self.listeners.get(state.name), self.setup.now()
+        if listener and (state.dead or not self.is_same(listener.backend, state)):
+            self.remove(listener)
             listener = None
-        if message.dead:
+        if state.dead:
             return
-        if listener is None:
-            unit = Unit(
-                message.name,
-                message.mark,
-                self.builds[message.build],
-                self.kind,
-                message.speed,
-                message.zone,
-                message.cell,
-                message.started,
-                self.works,
-                self.setup.seed,
-            )
-            listener = self.listeners[message.name] = BackendListener(self, unit, message.number)
-            listener.open()
-        unit = listener.unit
-        if unit.hung != message.hung:
-            unit.hang(now, message.hung)
-        if unit.slow != message.slow:
-            unit.slow_down(now, message.slow)
-        unit.errors = message.errors
-        if message.draining and not unit.draining:
-            unit.drain(now)
-        self.touch(listener)
-
-    def mend(self) -> None:
+        listener = listener or self.add(state)
+        backend = listener.backend
+        if backend.hung != state.hung:
+            backend.hang(now, state.hung)
+        if backend.slow != state.slow:
+            backend.slow_down(now, state.slow)
+        backend.errors = state.errors
+        if state.draining and not backend.draining:
+            backend.drain(now)
+        self.follow_up(listener)
+
+    def is_same(self, backend: Unit, state: BackendState) -> bool:
+        """Whether it is still the same process."""
+        return (backend.mark, backend.started) == (state.mark, state.started)
+
+    def add(self, state: BackendState) -> BackendListener:
+        backend = Unit(
+            state.name,
+            state.mark,
+            self.builds[state.build],
+            self.kind,
+            state.speed,
+            state.zone,
+            state.cell,
+            state.started,
+            self.works,
+            self.setup.seed,
+        )
+        listener = self.listeners[state.name] = BackendListener(self, backend, state.number)
+        listener.open()
+        return listener
+
+    def remove(self, listener: BackendListener) -> None:
+        del self.listeners[listener.backend.name]
+        listener.backend.die(self.setup.now())
+        self.follow_up(listener)
+        listener.close()
+
+    def reset_cut_off(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
         for listener in self.listeners.values():
             for connection in [
-                connection for connection in listener.connections if connection.muted and connection.reached()
+                connection for connection in listener.connections if connection.is_cut_off and connection.is_reachable()
             ]:
                 connection.transport.abortConnection()
 
-    def touch(self, listener: BackendListener) -> None:
-        """Takes up what a unit said, and when it wants to be woken."""
-        setup, unit = self.setup, listener.unit
+    def follow_up(self, listener: BackendListener) -> None:
+        """Takes up what a backend has begun, answered and wants to be woken for."""
+        setup, backend = self.setup, listener.backend
         now = setup.now()
-        taken, unit.taken = unit.taken, []
-        for held, work in taken:
-            setup.record_line(Ran(now, held.connection.relay, held.number, held.place, unit.name, work))
-        said, unit.said = unit.said, []
-        for held, outcome in said:
-            if held.over:
-                continue
-            held.over = True
-            relay = held.connection.relay
-            setup.record_line(Done(now, relay, held.number, held.place, unit.name, outcome))
-            setup.record_line(Came(now, relay, held.number, held.place, "served" if outcome == "wrong" else outcome))
-            held.connection.answer(outcome, unit.load(now) if unit.kind.report_every else None)
-        if unit.fell and not unit.told_fallen:
-            unit.told_fallen = True
-            setup.send(BackendCrashed(unit.name))
-        due, timer = unit.due, listener.timer
-        if due < NEVER and not unit.dead:
+        taken, backend.taken = backend.taken, []
+        for query, work in taken:
+            setup.record_line(Ran(now, query.connection.relay, query.number, query.attempt, backend.name, work))
+        said, backend.said = backend.said, []
+        for query, outcome in said:
+            if not query.is_over:
+                self.answer(now, backend, query, outcome)
+        if backend.fell and not backend.told_fallen:
+            backend.told_fallen = True
+            setup.send(BackendCrashed(backend.name))
+        self.schedule(listener)
+
+    def answer(self, now: int, backend: Unit, query: PendingQuery, outcome: str) -> None:
+        query.is_over = True
+        relay, seen = query.connection.relay, "served" if outcome == "wrong" else outcome
+        self.setup.record_line(Done(now, relay, query.number, query.attempt, backend.name, outcome))
+        self.setup.record_line(Came(now, relay, query.number, query.attempt, seen))
+        query.connection.answer(outcome, backend.load(now) if backend.kind.report_every else None)
+
+    def schedule(self, listener: BackendListener) -> None:
+        """When the backend wants to be woken."""
+        setup, due, timer = self.setup, listener.backend.due, listener.timer
+        if due < NEVER and not listener.backend.dead:
             if timer and timer.active():
                 timer.reset(setup.seconds_until(due))
             else:
@@ -274,8 +288,8 @@
             timer.cancel()
 
     def wake(self, listener: BackendListener) -> None:
-        listener.unit.wake(self.setup.now())
-        self.touch(listener)
+        listener.backend.wake(self.setup.now())
+        self.follow_up(listener)
 
     def final_report(self) -> FinalReport:
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -102,7 +102,7 @@
     def buildProtocol(self, address: Any) -> Any:
         return self.connection(self)
 
-    def mend(self) -> None:
+    def reset_cut_off(self) -> None:
         """What was cut off and is reached again: its old connections are reset."""
         for connection in [
             connection
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -247,7 +247,7 @@
             setup.record_line(line)
         self.send_states()
         for service in (self.list, self.platform):
-            service.mend()
+            service.reset_cut_off()
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
                 self.reactor.callLater(lag / 10_000, self.list.news, relay, version)
