--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -1,4 +1,4 @@
-"""What a relay's machine offers it: the agent of the list of units (HTTP/1.1), and the platform (JSON-RPC lines).
+"""The control plane's stand-ins: discovery of the endpoint list (HTTP/1.1) and the platform (JSON-RPC lines).
 
 One listener each for all relays; which relay calls is told by the address that it connected to.
 """
@@ -21,7 +21,7 @@
 
 LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
 LONGEST_WAIT = 60.0  # seconds of a watch
-ASKED = re.compile(rb"GET /catalog/members(?:\?after=(\d{1,12})&wait_ms=(\d{1,9}))? HTTP/1\.1\r\n")
+LIST_REQUEST = re.compile(rb"GET /catalog/members(?:\?after=(\d{1,12})&wait_ms=(\d{1,9}))? HTTP/1\.1\r\n")
 STATES = {"open": "ready", "draining": "draining", "gone": "gone"}
 PHASES = {"on trial": "canary", "going back": "reverting", "released": "stable", "withdrawn": "reverted"}
 VERDICTS = {"blank": "none", "go": "on", "stay": "hold", "stop": "back"}
@@ -30,16 +30,17 @@
 
 
 def endpoint_list(
-    setup: TrialSetup, numbers: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
+    setup: TrialSetup, port_number: Callable[[str], int], relay: int, version: int, whole: bool, entries: list[Entry]
 ) -> dict[str, Any]:
-    """In the list's form, with the addresses at which that relay reaches the units; `numbers` gives a unit's, by name."""
+    """The list as JSON, with the addresses at which that relay reaches the backends; `port_number` gives a backend's
+    number by its name."""
     return {
         "generation": version,
         "reset": whole,
         "instances": [
             {
                 "instanceId": each.name,
-                "hostPort": str(setup.addresses.unit(relay, numbers(each.name))),
+                "hostPort": str(setup.addresses.unit(relay, port_number(each.name))),
                 "zone": each.zone,
                 "cell": each.cell,
                 "lifecycle": STATES[each.state],
@@ -53,6 +54,7 @@
 
 
 def rollout_state(setup: TrialSetup, state: State) -> dict[str, Any]:
+    """Where the roll-out stands, as the platform says it."""
     return {
         "Revision": state.build,
         "Wave": state.stage,
@@ -63,12 +65,12 @@
 
 
 class ServiceConnection(Protocol):
-    """One connection of a relay to a service; cut off, nothing goes in or out and nothing is said of it."""
+    """One connection of a relay to a service; cut off, nothing goes in or out and the relay learns nothing of it."""
 
     service = ""
 
     def __init__(self, owner: Any) -> None:
-        self.owner, self.held, self.relay, self.muted = owner, b"", -1, False
+        self.owner, self.buffer, self.relay, self.is_cut_off = owner, b"", -1, False
 
     def connectionMade(self) -> None:
         self.relay = caller(self.transport.getHost().host)
@@ -76,14 +78,14 @@
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.owner.connections[self] = None
-        self.reached()
+        self.is_reachable()
 
-    def reached(self) -> bool:
-        """Whether the relay is not cut off from here."""
-        if not self.muted and not self.owner.day.network.has(self.owner.setup.now(), self.relay, self.service):
-            self.muted = True
+    def is_reachable(self) -> bool:
+        """Whether the relay is not cut off from this service; once it is, the connection stays so."""
+        if not self.is_cut_off and not self.owner.day.network.has(self.owner.setup.now(), self.relay, self.service):
+            self.is_cut_off = True
             self.transport.pauseProducing()
-        return not self.muted
+        return not self.is_cut_off
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         self.owner.connections.pop(self, None)
@@ -103,54 +105,54 @@
         return self.connection(self)
 
     def reset_cut_off(self) -> None:
-        """What was cut off and is reached again: its old connections are reset."""
+        """Where a cut is over the old connections are reset."""
         for connection in [
             connection
             for connection in self.connections
-            if connection.muted and self.day.network.has(self.setup.now(), connection.relay, connection.service)
+            if connection.is_cut_off and self.day.network.has(self.setup.now(), connection.relay, connection.service)
         ]:
             connection.transport.abortConnection()
 
 
 class DiscoveryConnection(ServiceConnection):
-    """One connection to the agent; one call at a time."""
+    """One connection to discovery; one call at a time."""
 
     service = "list"
 
     def __init__(self, owner: "DiscoveryService") -> None:
         super().__init__(owner)
-        self.waiting: Any = None  # the end of a watch's wait
-        self.after = -1  # the version that the watch has
+        self.watch_timer: Any = None  # the timer at which a watch is answered
+        self.after = -1  # the version that the watching relay has
 
     def dataReceived(self, data: bytes) -> None:
-        if not self.reached():
+        if not self.is_reachable():
             return
-        self.held += data
-        if len(self.held) > LONGEST_HEAD:
+        self.buffer += data
+        if len(self.buffer) > LONGEST_HEAD:
             return self.transport.abortConnection()
-        while b"\r\n\r\n" in self.held:
-            head, _, self.held = self.held.partition(b"\r\n\r\n")
-            match = ASKED.match(head + b"\r\n")
+        while b"\r\n\r\n" in self.buffer:
+            head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
+            match = LIST_REQUEST.match(head + b"\r\n")
             if not match:
                 self.owner.setup.report_violation(f"a call to the list that can't be read: {head[:60]!r}")
                 return self.transport.abortConnection()
-            self.asked(match)
+            self.handle_request(match)
 
-    def asked(self, match: re.Match) -> None:
+    def handle_request(self, match: re.Match) -> None:
         setup, roster = self.owner.setup, self.owner.day.roster
         if match[1] is None:
             return self.answer(roster.told[self.relay], True, roster.whole(roster.told[self.relay]))
         after = int(match[1])
         if after < roster.told[self.relay]:
-            return self.changed(after)
+            return self.answer_watch(after)
         wait = min(LONGEST_WAIT, int(match[2]) / 1000)
         self.after = after
-        self.waiting = setup.reactor.callLater(wait, self.changed, after)
+        self.watch_timer = setup.reactor.callLater(wait, self.answer_watch, after)
 
-    def changed(self, after: int) -> None:
-        """Answers a watch with what there is, perhaps nothing."""
-        self.rest()
-        if not self.reached():
+    def answer_watch(self, after: int) -> None:
+        """With the changes since that version, perhaps none."""
+        self.stop_watch()
+        if not self.is_reachable():
             return
         roster = self.owner.day.roster
         version = roster.told[self.relay]
@@ -161,88 +163,88 @@
         setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
             setup.record_line(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
-        body = json.dumps(endpoint_list(setup, owner.numbers, relay, version, whole, entries)).encode()
+        body = json.dumps(endpoint_list(setup, owner.port_number, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         )
 
-    def rest(self) -> None:
-        if self.waiting and self.waiting.active():
-            self.waiting.cancel()
-        self.waiting = None
+    def stop_watch(self) -> None:
+        if self.watch_timer and self.watch_timer.active():
+            self.watch_timer.cancel()
+        self.watch_timer = None
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.rest()
+        self.stop_watch()
         super().connectionLost(reason)
 
 
 class DiscoveryService(ControlPlaneService):
-    """The list as the relays' agents have it."""
+    """The endpoint list, as far as each relay may know it."""
 
     connection = DiscoveryConnection
 
-    def __init__(self, setup: TrialSetup, day: Day, numbers: Callable[[str], int]) -> None:
+    def __init__(self, setup: TrialSetup, day: Day, port_number: Callable[[str], int]) -> None:
         super().__init__(setup, day)
-        self.numbers = numbers
+        self.port_number = port_number
 
-    def news(self, relay: int, version: int) -> None:
-        """That relay's agent has been sent the list up to that version."""
+    def publish(self, relay: int, version: int) -> None:
+        """From now on that relay may know the list up to that version."""
         now, roster = self.setup.now(), self.day.roster
         if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
             return  # told once it moves again, or is reached
         _, entries = roster.news(relay, version)
         if entries:
             for connection in [
-                connection for connection in self.connections if connection.relay == relay and connection.waiting
+                connection for connection in self.connections if connection.relay == relay and connection.watch_timer
             ]:
-                connection.changed(connection.after)
+                connection.answer_watch(connection.after)
 
 
 class PlatformConnection(ServiceConnection):
     """One connection to the platform."""
 
     service = "platform"
-    subscribed = False
+    is_subscribed = False
 
     def dataReceived(self, data: bytes) -> None:
-        if not self.reached():
+        if not self.is_reachable():
             return
-        *lines, self.held = (self.held + data).split(b"\n")
-        if len(self.held) >= LONGEST_LINE:
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
+        if len(self.buffer) >= LONGEST_LINE:
             return self.transport.abortConnection()
         for line in lines:
             try:
                 call = json.loads(line)
-                self.called(call["id"], call["method"], call.get("params") or {})
+                self.handle_call(call["id"], call["method"], call.get("params") or {})
             except (ValueError, LookupError, TypeError, AttributeError) as problem:
                 self.owner.setup.report_violation(f"a call to the platform that can't be read: {problem}")
                 return self.transport.abortConnection()
 
-    def called(self, number: int, method: str, params: dict[str, Any]) -> None:
+    def handle_call(self, number: int, method: str, params: dict[str, Any]) -> None:
         setup, day = self.owner.setup, self.owner.day
         if setup.now() < day.desk.silent_until:
             return
         if method == "subscribe":
-            self.subscribed = True
-            self.say({"id": number, "result": True})
-            return self.stood()
+            self.is_subscribed = True
+            self.send({"id": number, "result": True})
+            return self.send_state()
         if method != "release.vote":
-            return self.say({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
+            return self.send({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
         answer = self.owner.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
         if answer == "ok":
-            self.say({"id": number, "result": rollout_state(setup, day.desk.state)})
+            self.send({"id": number, "result": rollout_state(setup, day.desk.state)})
         elif answer != "nothing":
-            self.say({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
+            self.send({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
 
-    def stood(self) -> None:
-        if not self.reached():
+    def send_state(self) -> None:
+        if not self.is_reachable():
             return
         setup, state = self.owner.setup, self.owner.day.desk.state
         setup.record_line(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
-        self.say({"method": "stage", "params": rollout_state(setup, state)})
+        self.send({"method": "stage", "params": rollout_state(setup, state)})
 
-    def say(self, tree: dict[str, Any]) -> None:
-        if self.reached():
+    def send(self, tree: dict[str, Any]) -> None:
+        if self.is_reachable():
             self.transport.write(json.dumps({"jsonrpc": "2.0"} | tree).encode() + b"\n")
 
 
@@ -255,14 +257,15 @@
         super().__init__(setup, day)
         self.vote = vote
 
-    def heard(self) -> list[PlatformConnection]:
-        quiet = self.setup.now() < self.day.desk.silent_until
-        return [] if quiet else [connection for connection in self.connections if connection.subscribed]
+    def subscribers(self) -> list[PlatformConnection]:
+        is_silent = self.setup.now() < self.day.desk.silent_until
+        return [] if is_silent else [connection for connection in self.connections if connection.is_subscribed]
 
-    def news(self) -> None:
-        for connection in self.heard():
-            connection.stood()
+    def publish(self) -> None:
+        """The roll-out's state, to all who subscribed."""
+        for connection in self.subscribers():
+            connection.send_state()
 
     def ping(self) -> None:
-        for connection in self.heard():
-            connection.say({"method": "ping"})
+        for connection in self.subscribers():
+            connection.send({"method": "ping"})
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -250,10 +250,10 @@
             service.reset_cut_off()
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
-                self.reactor.callLater(lag / 10_000, self.list.news, relay, version)
+                self.reactor.callLater(lag / 10_000, self.list.publish, relay, version)
         if day.moved and setup.now() >= day.desk.silent_until:
             day.moved = False
-            self.platform.news()
+            self.platform.publish()
         for order in left.relays:
             self.processes.carry_out(order)
         if setup.has_begun and not self.is_over:
