--- a/tealsail/lab/loopback/clock_offset.py
+++ b/tealsail/lab/loopback/clock_offset.py
@@ -14,7 +14,7 @@
 import sys
 import time
 
-SHAPE = struct.Struct("=dddd")
+CLOCK_FILE = struct.Struct("=dddd")
 
 
 class ClockOffset:
@@ -22,15 +22,15 @@
 
     def __init__(self, path: str) -> None:
         with open(path, "r+b") as file:
-            self.memory = mmap.mmap(file.fileno(), 2 * SHAPE.size)
+            self.memory = mmap.mmap(file.fileno(), 2 * CLOCK_FILE.size)
         self.monotonic = time.monotonic
 
     def read(self) -> tuple[float, float, float, float]:
         """Both copies have to be the same: else one is being written."""
         while True:
-            first, second = self.memory[: SHAPE.size], self.memory[SHAPE.size : 2 * SHAPE.size]
+            first, second = self.memory[: CLOCK_FILE.size], self.memory[CLOCK_FILE.size : 2 * CLOCK_FILE.size]
             if first == second:
-                return SHAPE.unpack(first)
+                return CLOCK_FILE.unpack(first)
 
     def ahead(self) -> float:
         rate, since, lead, _ = self.read()
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -1,4 +1,5 @@
-"""The relays of a trial: one process each, told by a JSON file as the platform tells them, and what is done to them."""
+"""The relays of a trial: one process each, configured by a JSON file as the platform would, and what the script does to
+them."""
 
 import json
 import os
@@ -6,6 +7,7 @@
 import signal
 import sys
 import time
+from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -19,16 +21,19 @@
 from ...record.lines import Life, Log, News, Told
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
-from .clock_offset import SHAPE
+from .clock_offset import CLOCK_FILE
 from .control_plane import endpoint_list, rollout_state
 from .trial_setup import TrialSetup
 
-LINGER = 0.4  # seconds after SIGTERM in which new connections still come
-FORCE = 8.0  # seconds after it in which a relay has to end
+STILL_ACCEPTS = 0.4  # seconds after SIGTERM in which new connections still come
+END_WAIT = 8.0  # seconds after it in which a relay has to end
+MOST_ACTING = 3  # relays that share a duty
 LOG_MOST = 64 * 1024 * 1024  # bytes of one relay's log that are kept
-HOME = Path(__file__).parents[3]  # the checkout that this program is of
-LIVE = b" serving name="
-TOLD_OF = (b"module: verdict", b"duties ")  # lines of a relay's log that go into the record
+LINE_MOST = 10_000  # bytes of a line of it that is not yet whole
+LOG_LINE = 300  # characters of a line that go into the record
+CHECKOUT = Path(__file__).parents[3]  # that this program is of
+LISTENING = b" serving name="  # in a relay's log: from now on it takes connections
+RECORDED = (b"module: verdict", b"duties ")  # lines of a relay's log that go into the record
 
 
 def toml(tree: dict[str, Any], path: str = "") -> str:
@@ -41,48 +46,55 @@
     return "\n".join(lines) + "\n"
 
 
+def read_duties(text: str) -> dict[str, list[int]]:
+    """From `duties keeper=3 judges=1,2,4`: who acts as what."""
+    fields = (field.partition("=") for field in text.split()[1:])
+    return {name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()] for name, _, value in fields}
+
+
 class RelayProcess(ProcessProtocol):
-    """One relay process; its log goes to a file."""
+    """One relay process; its log goes to a file, and what matters of it into the record."""
 
     def __init__(self, fleet: "ProcessFleet", relay: int, log: Path) -> None:
         self.fleet, self.relay = fleet, relay
-        self.log, self.written, self.rest = open(log, "ab"), 0, b""
-        self.wanted = True  # False: it has been told to end
-        self.ready = self.again = self.stopped = False  # it answers; it is to start anew once it has ended; SIGSTOP
-        self.lived = False  # it has been told of as up
-        self.duties: dict[str, list[int]] = {}  # who acts for the fleet, by its word
+        self.log, self.written, self.buffer = open(log, "ab"), 0, b""
+        self.is_wanted = True  # False: it has been told to end
+        self.is_ready = self.is_stopped = False  # it answers; SIGSTOP
+        self.starts_again = False  # once it has ended
+        self.has_been_up = False  # and the record says so
+        self.duties: dict[str, list[int]] = {}  # who acts for the fleet, as it logged
 
     def childDataReceived(self, number: int, data: bytes) -> None:
         if self.written < LOG_MOST:
             self.log.write(data)
             self.written += len(data)
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        self.rest = self.rest[-10_000:]
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
+        self.buffer = self.buffer[-LINE_MOST:]
         for line in lines:
-            self.said(line)
+            self.read_log(line)
 
-    def said(self, line: bytes) -> None:
-        setup = self.fleet.setup
-        if LIVE in line:
-            self.fleet.try_out(self)
-        for mark in TOLD_OF:
+    def read_log(self, line: bytes) -> None:
+        if LISTENING in line:
+            self.fleet.probe(self)
+        for mark in RECORDED:
             if mark in line:
-                text = line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:300]
-                setup.record_line(Log(setup.now(), self.relay, text))
-                if mark == b"duties ":
-                    self.duties = {
-                        name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()]
-                        for name, _, value in (word.partition("=") for word in text.split()[1:])
-                    }
+                self.record_log(line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:LOG_LINE])
         if b" ERROR " in line or b"module: fault" in line:
-            setup.report_violation(f"relay {self.relay}: {line.decode(errors='replace')[:300]}")
+            text = line.decode(errors="replace")[:LOG_LINE]
+            self.fleet.setup.report_violation(f"relay {self.relay}: {text}")
+
+    def record_log(self, text: str) -> None:
+        setup = self.fleet.setup
+        setup.record_line(Log(setup.now(), self.relay, text))
+        if text.startswith("duties "):
+            self.duties = read_duties(text)
 
     def processEnded(self, reason: Failure) -> None:
         self.log.close()
-        self.ready = False
-        if self.wanted:
+        self.is_ready = False
+        if self.is_wanted:
             self.fleet.setup.report_violation(f"relay {self.relay} ended by itself: {reason.getErrorMessage()}")
-        self.fleet.ended(self)
+        self.fleet.process_ended(self)
 
 
 class ReadinessProbe(Protocol):
@@ -95,88 +107,88 @@
         self.transport.write(messages.startup(b"backend", b"store") + messages.query(b""))
 
     def dataReceived(self, data: bytes) -> None:
-        if messages.EMPTY in data and not self.running.ready:
-            self.fleet.came_up(self.running)
+        if messages.EMPTY in data and not self.running.is_ready:
+            self.fleet.mark_ready(self.running)
             self.transport.loseConnection()
 
 
 class ProcessFleet:
-    """Starts, stops, kills and ends relay processes.  `changed` is called when one is ready or leaves, `gone` when none is
-    left; `numbers` gives a unit's number by its name."""
+    """Starts, stops, kills and ends relay processes.
+
+    `on_change` is called when one is ready or leaves, `on_empty` when none is left; `port_number` gives a backend's
+    number by its name."""
 
     def __init__(
         self,
         setup: TrialSetup,
         day: Day,
         folder: Path,
-        numbers: Callable[[str], int],
-        changed: Callable[[], None],
-        gone: Callable[[], None],
+        port_number: Callable[[str], int],
+        on_change: Callable[[], None],
+        on_empty: Callable[[], None],
     ) -> None:
-        self.setup, self.day, self.folder, self.numbers, self.changed, self.gone = (
-            setup,
-            day,
-            folder,
-            numbers,
-            changed,
-            gone,
-        )
+        self.setup, self.day, self.folder, self.port_number = setup, day, folder, port_number
+        self.on_change, self.on_empty = on_change, on_empty
         self.running: dict[int, tuple[RelayProcess, Any]] = {}
-        self.downs: dict[int, list[int]] = {}  # relay -> when it was killed
-        self.over = False
+        self.killed_at: dict[int, list[int]] = {}  # relay -> when it was killed
+        self.is_over = False
         table = setup.scenario.trial
-        self.beside = Path(table.beside) if table.beside else HOME
-        self.others = set(range(round(table.beside_part * setup.relays)))  # relays of the other checkout
-        self.moved = any(fault.kind in ("step clocks", "run clocks") for fault in day.parts.faults)
+        self.other_checkout = Path(table.beside) if table.beside else CHECKOUT
+        self.of_other_checkout = set(range(round(table.beside_part * setup.relays)))  # relays
+        self.has_clock_faults = any(fault.kind in ("step clocks", "run clocks") for fault in day.parts.faults)
 
-    def up(self, relay: int) -> bool:
-        return relay in self.running and self.running[relay][0].ready
+    def is_up(self, relay: int) -> bool:
+        return relay in self.running and self.running[relay][0].is_ready
 
     def ready(self) -> list[int]:
-        return [relay for relay, (running, _) in self.running.items() if running.ready]
+        return [relay for relay, (running, _) in self.running.items() if running.is_ready]
 
     def ending(self) -> list[int]:
-        """Those that have been told to end, in order, and run yet."""
-        return [relay for relay, (running, _) in self.running.items() if not running.wanted]
+        """Those that have been told to end, in order, and still run."""
+        return [relay for relay, (running, _) in self.running.items() if not running.is_wanted]
 
     def acting(self, name: str) -> list[int]:
-        """Who acts for the fleet as that, by the word of most relays."""
-        words: dict[int, int] = {}
+        """Who acts for the fleet as the keeper, the judge or the judges, by the logs of most relays."""
+        duty, most = ("judges", 1) if name == "judge" else (name, MOST_ACTING)
+        named: Counter[int] = Counter()
         for running, _ in self.running.values():
-            for each in running.duties.get("judges" if name == "judge" else name, ())[: 1 if name == "judge" else 3]:
-                words[each] = words.get(each, 0) + 1
-        best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
-        return best[: 3 if name == "judges" else 1]
+            named.update(running.duties.get(duty, [])[:most])
+        best = sorted((relay for relay in named if relay >= 0), key=lambda relay: (-named[relay], relay))
+        return best[: MOST_ACTING if name == "judges" else 1]
 
-    def clock(self, relay: int) -> Path:
+    def clock_file(self, relay: int) -> Path:
+        """What its clocks show (clock_offset.py)."""
         return self.folder / f"relay-{relay}.clock"
 
     def start(self, relay: int) -> None:
-        setup = self.setup
         path = self.folder / f"relay-{relay}.json"
-        path.write_text(json.dumps(self.told(relay)))
+        path.write_text(json.dumps(self.configuration(relay)))
         running = RelayProcess(self, relay, self.folder / f"relay-{relay}.log")
-        document = []
-        if setup.scenario.document:
-            (self.folder / "tealsail.toml").write_text(toml(setup.scenario.document))
-            document = [f"--document={self.folder / 'tealsail.toml'}"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
-        program = ["-m", "tealsail"]
-        if self.moved:
-            self.move_clock(relay)
-            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock(relay))]
-        home = self.beside if relay in self.others else HOME
-        process = setup.reactor.spawnProcess(
+        checkout = self.other_checkout if relay in self.of_other_checkout else CHECKOUT
+        process = self.setup.reactor.spawnProcess(
             running,
             sys.executable,
-            [sys.executable, "-B", *program, "serve", *document],
+            [sys.executable, "-B", *self.program(relay)],
             environment | {"EDGE_CONFIG": str(path)},
-            str(home),
+            str(checkout),
             childFDs={0: "w", 1: "r", 2: "r"},
         )
         self.running[relay] = running, process
 
-    def told(self, relay: int) -> dict[str, Any]:
+    def program(self, relay: int) -> list[str]:
+        """Python's arguments for one relay; writes the files that they name."""
+        program = ["-m", "tealsail"]
+        if self.has_clock_faults:
+            self.set_clock(relay)
+            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock_file(relay))]
+        document = self.folder / "tealsail.toml"
+        if not self.setup.scenario.document:
+            return [*program, "serve"]
+        document.write_text(toml(self.setup.scenario.document))
+        return [*program, "serve", f"--document={document}"]
+
+    def configuration(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
         roster, state = self.day.roster, self.day.desk.state
         entries = roster.whole(roster.told[relay])
@@ -197,26 +209,26 @@
             ],
             "peers_all": str(addresses.everyone(relay)),
             "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": rollout_state(setup, state)},
-            "known": endpoint_list(setup, self.numbers, relay, roster.told[relay], True, entries),
+            "known": endpoint_list(setup, self.port_number, relay, roster.told[relay], True, entries),
             "settings": setup.scenario.relay_settings(relay),
         }
 
-    def try_out(self, running: RelayProcess) -> None:
-        if self.running.get(running.relay, (None,))[0] is running and not running.ready and not self.over:
+    def probe(self, running: RelayProcess) -> None:
+        if self.running.get(running.relay, (None,))[0] is running and not running.is_ready and not self.is_over:
             place, reactor = self.setup.addresses.relay(running.relay), self.setup.reactor
             connectProtocol(
                 TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), ReadinessProbe(self, running)
             ).addErrback(lambda _: None)
-            reactor.callLater(1.0, self.try_out, running)
+            reactor.callLater(1.0, self.probe, running)
 
-    def came_up(self, running: RelayProcess) -> None:
-        if self.running.get(running.relay, (None,))[0] is running and running.wanted:
-            running.ready = running.lived = True  # else it was killed while its first answer was on the way
+    def mark_ready(self, running: RelayProcess) -> None:
+        if self.running.get(running.relay, (None,))[0] is running and running.is_wanted:
+            running.is_ready = running.has_been_up = True  # else it was killed while its first answer was on the way
             self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
-            self.changed()
+            self.on_change()
 
     # what the script does
-    def carry_out(self, order: Order) -> None:
+    def execute(self, order: Order) -> None:
         running, process = self.running.get(order.relay, (None, None))
         match order.what:
             case "down" if running:
@@ -226,100 +238,99 @@
             case "restart" if running:
                 self.restart(running, process)
             case "switch" if running:
-                self.others ^= {order.relay}
+                self.of_other_checkout ^= {order.relay}
                 self.restart(running, process)
-            case "stop" | "on" if running and running.stopped != (order.what == "stop"):
-                running.stopped = order.what == "stop"
-                os.kill(process.pid, signal.SIGSTOP if running.stopped else signal.SIGCONT)
-                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.stopped else "on"))
+            case "stop" | "on" if running and running.is_stopped != (order.what == "stop"):
+                running.is_stopped = order.what == "stop"
+                os.kill(process.pid, signal.SIGSTOP if running.is_stopped else signal.SIGCONT)
+                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.is_stopped else "on"))
             case "rate":
-                self.move_clock(order.relay, rate=order.amount)
+                self.set_clock(order.relay, rate=order.amount)
             case "step":
-                self.move_clock(order.relay, step=order.amount)
+                self.set_clock(order.relay, step=order.amount)
 
-    def move_clock(self, relay: int, rate: float | None = None, step: float = 0.0) -> None:
+    def set_clock(self, relay: int, rate: float | None = None, step: float = 0.0) -> None:
         """From what its clocks show now."""
-        path, now = self.clock(relay), time.monotonic()
-        before = path.read_bytes()[: SHAPE.size] if path.exists() else SHAPE.pack(1.0, now, 0.0, 0.0)
-        earlier, since, lead, stepped = SHAPE.unpack(before)
+        path, now = self.clock_file(relay), time.monotonic()
+        before = path.read_bytes()[: CLOCK_FILE.size] if path.exists() else CLOCK_FILE.pack(1.0, now, 0.0, 0.0)
+        earlier, since, lead, stepped = CLOCK_FILE.unpack(before)
         lead += (now - since) * (earlier - 1)
-        after = SHAPE.pack(earlier if rate is None else rate, now, lead, stepped + step)
+        after = CLOCK_FILE.pack(earlier if rate is None else rate, now, lead, stepped + step)
         with open(path, "r+b" if path.exists() else "wb") as file:
             file.write(2 * after)
 
     def kill(self, relay: int) -> None:
         running, process = self.running.pop(relay)
-        running.wanted = running.ready = False
-        self.downs.setdefault(relay, []).append(self.setup.now())
-        self.down(running)
-        self.changed()
+        running.is_wanted = running.is_ready = False
+        self.killed_at.setdefault(relay, []).append(self.setup.now())
+        self.record_down(running)
+        self.on_change()
         process.signalProcess("KILL")
 
-    def down(self, running: RelayProcess) -> None:
-        """One that had not come up yet is not told of."""
-        if running.lived:
+    def record_down(self, running: RelayProcess) -> None:
+        """The record says nothing of one that had not come up yet."""
+        if running.has_been_up:
             self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
-        if running.wanted:
-            running.wanted, running.again = False, True
-            self.changed()
-            self.wake(running, process)
+        if running.is_wanted:
+            running.is_wanted, running.starts_again = False, True
+            self.on_change()
+            self.resume(running, process)
             process.signalProcess("TERM")
-            self.setup.reactor.callLater(LINGER, self.unready, running)
-            self.setup.reactor.callLater(FORCE, self.force, running, process)
+            self.setup.reactor.callLater(STILL_ACCEPTS, self.mark_unready, running)
+            self.setup.reactor.callLater(END_WAIT, self.kill_late, running, process)
 
-    def wake(self, running: RelayProcess, process: Any) -> None:
+    def resume(self, running: RelayProcess, process: Any) -> None:
         """One that is stopped can't end."""
-        if running.stopped:
-            running.stopped = False
+        if running.is_stopped:
+            running.is_stopped = False
             os.kill(process.pid, signal.SIGCONT)
 
-    def unready(self, running: RelayProcess) -> None:
-        """The front sends it no new connections."""
-        running.ready = False
-        self.changed()
+    def mark_unready(self, running: RelayProcess) -> None:
+        """Clients send it no new connections."""
+        running.is_ready = False
+        self.on_change()
 
     def end(self) -> None:
         """In order: SIGTERM, and SIGKILL for what does not heed it."""
-        self.over = True
+        self.is_over = True
         for running, process in self.running.values():
-            running.wanted = False
-            self.wake(running, process)
+            running.is_wanted = False
+            self.resume(running, process)
             process.signalProcess("TERM")
-            self.setup.reactor.callLater(FORCE, self.force, running, process)
-        self.changed()
+            self.setup.reactor.callLater(END_WAIT, self.kill_late, running, process)
+        self.on_change()
         if not self.running:
-            self.gone()
+            self.on_empty()
 
-    def abandon(self) -> None:
-        """The director ends, perhaps early: no relay outlives it."""
+    def kill_all(self) -> None:
+        """The coordinator ends, perhaps early: no relay outlives it."""
         for _, process in self.running.values():
             try:
                 process.signalProcess("KILL")
             except ProcessExitedAlready:
                 continue
 
-    def force(self, running: RelayProcess, process: Any) -> None:
+    def kill_late(self, running: RelayProcess, process: Any) -> None:
         if not running.log.closed:
             self.setup.report_violation(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
 
-    def ended(self, running: RelayProcess) -> None:
+    def process_ended(self, running: RelayProcess) -> None:
         for relay, (each, _) in list(self.running.items()):
             if each is running:
                 del self.running[relay]
-                if running.again and not self.over:
-                    self.down(running)
-                    self.changed()
+                if running.starts_again and not self.is_over:
+                    self.record_down(running)
+                    self.on_change()
                     self.start(relay)
-        if self.over and not self.running:
-            self.gone()
+        if self.is_over and not self.running:
+            self.on_empty()
 
     def costs(self) -> dict[str, float]:
-        """Memory and processor time of the relays that run: means and the most, in MB (what each has for itself, with its
-        part of what is shared) and seconds."""
+        """Memory (MB: its own, and its part of what is shared) and processor time (s) of relays that run: mean, most."""
         memory, cpu = [], []
         tick = os.sysconf("SC_CLK_TCK")
         for _, process in self.running.values():
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -255,7 +255,7 @@
             day.moved = False
             self.platform.publish()
         for order in left.relays:
-            self.processes.carry_out(order)
+            self.processes.execute(order)
         if setup.has_begun and not self.is_over:
             self.plan()
 
@@ -287,7 +287,7 @@
             f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
             for report in self.final_reports
             for relay, at in report.lost_while_up
-            if not any(abs(at - down) < NEAR for down in self.processes.downs.get(relay, ()))
+            if not any(abs(at - down) < NEAR for down in self.processes.killed_at.get(relay, ()))
         ]
 
 
@@ -328,7 +328,7 @@
     trial = Trial(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
     reactor.callWhenRunning(trial.start)
     reactor.run()
-    trial.processes.abandon()
+    trial.processes.kill_all()
     trial.port_block.free()
     result, judged, void = judge(trial, told["record"])
     sys.stdout.buffer.write(
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -117,7 +117,7 @@
     def test_a_clock_runs_fast_from_a_moment_and_the_wall_clock_steps_besides(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "clock"
-            path.write_bytes(2 * clock_offset.SHAPE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
+            path.write_bytes(2 * clock_offset.CLOCK_FILE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
             with mock.patch.multiple(time, time=time.time, monotonic=time.monotonic, clock_gettime=time.clock_gettime):
                 monotonic, wall = time.monotonic, time.time
                 clock_offset.take_over(clock_offset.ClockOffset(str(path)))
