--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -11,7 +11,7 @@
 from ...world.clients import TRY
 from ...world.network import Network
 from ...world.unit import NEVER, Asked, Unit
-from .addresses import UNITS, caller
+from .addresses import BACKENDS, calling_relay
 from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, Message, NetworkState
 from .trial_setup import TrialSetup
 
@@ -53,7 +53,7 @@
         self.relay, self.is_cut_off = -1, False
 
     def connectionMade(self) -> None:
-        self.relay = caller(self.transport.getHost().host)
+        self.relay = calling_relay(self.transport.getHost().host)
         if self.relay < 0:  # not from a relay of the trial
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
@@ -157,7 +157,7 @@
 
     def open(self) -> None:
         setup = self.pool.setup
-        self.port = setup.reactor.listenTCP(setup.addresses.port + UNITS + self.number, self, BACKLOG)
+        self.port = setup.reactor.listenTCP(setup.addresses.port + BACKENDS + self.number, self, BACKLOG)
 
     def close(self) -> None:
         """Its process has ended: connections are reset and new ones refused."""
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -16,7 +16,7 @@
 from ...world.day import Day
 from ...world.desk import State
 from ...world.roster import Entry
-from .addresses import caller
+from .addresses import calling_relay
 from .trial_setup import TrialSetup
 
 LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
@@ -40,7 +40,7 @@
         "instances": [
             {
                 "instanceId": each.name,
-                "hostPort": str(setup.addresses.unit(relay, port_number(each.name))),
+                "hostPort": str(setup.addresses.backend(relay, port_number(each.name))),
                 "zone": each.zone,
                 "cell": each.cell,
                 "lifecycle": STATES[each.state],
@@ -73,7 +73,7 @@
         self.owner, self.buffer, self.relay, self.is_cut_off = owner, b"", -1, False
 
     def connectionMade(self) -> None:
-        self.relay = caller(self.transport.getHost().host)
+        self.relay = calling_relay(self.transport.getHost().host)
         if not 0 <= self.relay < self.owner.setup.relays:
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -1,7 +1,7 @@
-"""Relays' datagrams on one UDP socket for all pairs: the address that a note was sent to tells who sent it and to whom.
+"""Relays' messages on one UDP socket for all pairs: the address that a datagram was sent to tells who sent it to whom.
 
-The kernel says that address with each datagram (IP_PKTINFO), and it is set in the same way as the source of what is passed
-on, so the receiver sees the address at which it knows the sender.
+The kernel hands that address over with each datagram (IP_PKTINFO).  It is set in the same way as the source of what is
+passed on, so the receiver sees the address at which it knows the sender.
 """
 
 import heapq
@@ -16,16 +16,27 @@
 
 IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
 INFO = struct.Struct("=i4s4s")  # struct in_pktinfo: interface, local address, address sent to
-ROOM = socket.CMSG_SPACE(INFO.size)
-LONGEST, ROUND = 256, 512  # bytes of a note; datagrams taken before others get their turn
-WAITING = 100_000  # notes on their way at a time; more are lost
+ANCILLARY_ROOM = socket.CMSG_SPACE(INFO.size)
+LONGEST = 256  # bytes of a message
+AT_ONCE = 512  # datagrams taken before others in the process get their turn
+MOST_ON_THE_WAY = 100_000  # messages; more are lost
 BUFFER = 8 * 1024 * 1024  # bytes of the socket's buffers, as far as the system allows
+EARLY = 0.0005  # seconds: what is due so soon goes with what is due now
+DROPPED_PART = 100  # one message in so many may find no room
+
+
+def sent_between(ancillary: list[tuple[int, int, bytes]]) -> tuple[int, int]:
+    """Sender and receiver by the address that a datagram was sent to; (-1, -1) if the kernel did not say it."""
+    for level, kind, info in ancillary:
+        if (level, kind) == (socket.IPPROTO_IP, IP_PKTINFO):
+            return addresses.relay_pair(INFO.unpack(info[: INFO.size])[2])
+    return -1, -1
 
 
 class MessageCarrier:
-    """Carries notes, late or not at all, as the network has it."""
+    """Carries messages between relays, late or not at all, as the network has it."""
 
-    def __init__(self, setup: TrialSetup, place: int, many: int) -> None:
+    def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
         self.setup = setup
         self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -33,8 +44,8 @@
         self.socket.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
         for buffer in (socket.SO_RCVBUF, socket.SO_SNDBUF):
             self.socket.setsockopt(socket.SOL_SOCKET, buffer, BUFFER)
-        self.socket.bind(("", setup.addresses.port + addresses.NOTES))
-        self.waiting: list[tuple[float, int, int, int, bytes]] = []
+        self.socket.bind(("", setup.addresses.port + addresses.MESSAGES))
+        self.on_the_way: list[tuple[float, int, int, int, bytes]] = []  # due, number, sender, receiver, message
         self.count = self.carried = self.dropped = 0
         self.timer: Any = None
         setup.reactor.addReader(self)
@@ -57,62 +68,58 @@
         """The reactor ends."""
 
     def doRead(self) -> None:
-        for _ in range(ROUND):
+        for _ in range(AT_ONCE):
             try:
-                data, ancillary, _, _ = self.socket.recvmsg(LONGEST + 1, ROOM)
+                data, ancillary, _, _ = self.socket.recvmsg(LONGEST + 1, ANCILLARY_ROOM)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # what an earlier note met at a closed port
-                continue
-            sender, to = next(
-                (
-                    addresses.pair(INFO.unpack(info[: INFO.size])[2])
-                    for level, kind, info in ancillary
-                    if (level, kind) == (socket.IPPROTO_IP, IP_PKTINFO)
-                ),
-                (-1, -1),
-            )
-            if not 0 <= sender < self.setup.relays:
+            except OSError:  # what an earlier message met at a closed port
                 continue
-            if len(data) > LONGEST:
-                self.setup.report_violation(f"relay {sender} sent a note of more than {LONGEST} bytes")
-            elif to == addresses.EVERYONE:
-                for other in range(self.setup.relays):
-                    if other != sender:
-                        self.carry(sender, other, data)
-            elif 0 <= to < self.setup.relays:
-                self.carry(sender, to, data)
-
-    def carry(self, sender: int, to: int, data: bytes) -> None:
+            self.distribute(*sent_between(ancillary), data)
+
+    def distribute(self, sender: int, receiver: int, data: bytes) -> None:
+        relays = range(self.setup.relays)
+        if sender not in relays:
+            return
+        if len(data) > LONGEST:
+            self.setup.report_violation(f"relay {sender} sent a note of more than {LONGEST} bytes")
+        elif receiver == addresses.EVERYONE:
+            for other in relays:
+                if other != sender:
+                    self.carry(sender, other, data)
+        elif receiver in relays:
+            self.carry(sender, receiver, data)
+
+    def carry(self, sender: int, receiver: int, data: bytes) -> None:
         seconds = self.setup.reactor.seconds()
         self.carried += 1
-        for wait in self.network.note(self.setup.now(), sender, to):
-            if len(self.waiting) >= WAITING:
+        for wait in self.network.note(self.setup.now(), sender, receiver):
+            if len(self.on_the_way) >= MOST_ON_THE_WAY:
                 self.dropped += 1
                 continue
             self.count += 1
-            heapq.heappush(self.waiting, (seconds + wait / 10_000, self.count, sender, to, data))
-        self.plan()
+            heapq.heappush(self.on_the_way, (seconds + wait / 10_000, self.count, sender, receiver, data))
+        self.schedule()
 
-    def plan(self) -> None:
-        if self.waiting and not (self.timer and self.timer.active()):
+    def schedule(self) -> None:
+        if self.on_the_way and not (self.timer and self.timer.active()):
             self.timer = self.setup.reactor.callLater(
-                max(0.0, self.waiting[0][0] - self.setup.reactor.seconds()), self.deliver
+                max(0.0, self.on_the_way[0][0] - self.setup.reactor.seconds()), self.deliver
             )
 
     def deliver(self) -> None:
-        now = self.setup.reactor.seconds() + 0.0005  # what is due within half a ms goes with it
-        while self.waiting and self.waiting[0][0] <= now:
-            _, _, sender, to, data = heapq.heappop(self.waiting)
-            known, place = self.setup.addresses.peer(to, sender), self.setup.addresses.relay(to)
-            info = INFO.pack(0, socket.inet_aton(known.host), bytes(4))
+        now = self.setup.reactor.seconds() + EARLY
+        while self.on_the_way and self.on_the_way[0][0] <= now:
+            _, _, sender, receiver, data = heapq.heappop(self.on_the_way)
+            source, target = self.setup.addresses.peer(receiver, sender), self.setup.addresses.relay(receiver)
+            info = INFO.pack(0, socket.inet_aton(source.host), bytes(4))
             try:
-                self.socket.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, (place.host, place.port))
-            except OSError:  # nobody listens, or its buffer is full: lost, as notes may be
+                self.socket.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, (target.host, target.port))
+            except OSError:  # nobody listens, or its buffer is full: lost, as datagrams may be
                 self.dropped += 1
-        self.plan()
+        self.schedule()
 
     def final_report(self) -> FinalReport:
-        if self.dropped > self.carried // 100:
+        if self.dropped > self.carried // DROPPED_PART:
             self.setup.report_violation(f"{self.dropped} of {self.carried} notes found no room on their way")
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -329,7 +329,7 @@
     reactor.callWhenRunning(trial.start)
     reactor.run()
     trial.processes.kill_all()
-    trial.port_block.free()
+    trial.port_block.release()
     result, judged, void = judge(trial, told["record"])
     sys.stdout.buffer.write(
         msgspec.json.encode(
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -101,14 +101,14 @@
     def test_an_address_tells_who_calls_and_whom(self, relay: int, other: int) -> None:
         known = addresses.Addresses(10_000)
         place = known.peer(relay, other)
-        self.assertEqual(addresses.pair(bytes(int(each) for each in place.host.split("."))), (relay, other))
-        self.assertEqual(addresses.caller(known.at(addresses.LIST, relay).host), relay)
-        self.assertEqual(addresses.caller(place.host), -1)  # not from a relay's own address
+        self.assertEqual(addresses.relay_pair(bytes(int(each) for each in place.host.split("."))), (relay, other))
+        self.assertEqual(addresses.calling_relay(known.at(addresses.LIST, relay).host), relay)
+        self.assertEqual(addresses.calling_relay(place.host), -1)  # not from a relay's own address
 
     def test_two_trials_never_share_ports(self) -> None:
         first, second = addresses.PortBlock(3), addresses.PortBlock(3)
         self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK)
-        first.free(), second.free()
+        first.release(), second.release()
         with self.assertRaises(ValueError):
             addresses.PortBlock(addresses.MOST_RELAYS + 1)
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -22,7 +22,7 @@
         with tempfile.TemporaryDirectory() as folder:
             trial = Trial(MemoryReactorClock(), convert(day(fleet={"relays": 3})), 5, Path(folder))
             trial.unready()
-            trial.port_block.free()
+            trial.port_block.release()
         self.assertEqual(trial.problems, ["3 relays were not ready in time"])
         self.assertTrue(trial.is_over)
 
