--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -247,15 +247,15 @@
             setup.record_line(line)
         self.send_states()
         for service in (self.list, self.platform):
-            service.mend()
+            service.reset_cut_off()
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
-                self.reactor.callLater(lag / 10_000, self.list.news, relay, version)
+                self.reactor.callLater(lag / 10_000, self.list.publish, relay, version)
         if day.moved and setup.now() >= day.desk.silent_until:
             day.moved = False
-            self.platform.news()
+            self.platform.publish()
         for order in left.relays:
-            self.processes.carry_out(order)
+            self.processes.execute(order)
         if setup.has_begun and not self.is_over:
             self.plan()
 
@@ -287,7 +287,7 @@
             f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
             for report in self.final_reports
             for relay, at in report.lost_while_up
-            if not any(abs(at - down) < NEAR for down in self.processes.downs.get(relay, ()))
+            if not any(abs(at - down) < NEAR for down in self.processes.killed_at.get(relay, ()))
         ]
 
 
@@ -328,8 +328,8 @@
     trial = Trial(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
     reactor.callWhenRunning(trial.start)
     reactor.run()
-    trial.processes.abandon()
-    trial.port_block.free()
+    trial.processes.kill_all()
+    trial.port_block.release()
     result, judged, void = judge(trial, told["record"])
     sys.stdout.buffer.write(
         msgspec.json.encode(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -326,8 +326,8 @@
         self.assertEqual(self.relay.counters.counts["peers.dropped"], 2)
 
     def test_a_relay_at_the_limit_of_one_core_is_heard_and_one_gone_mad_is_bounded(self) -> None:
-        """Guards against a bound that an honest relay meets: its questions were shed, its keeper counted as silent, and it
-        chose without one when it had most to do."""
+        """Guards against a bound that an honest relay meets: its questions were shed, its keeper counted as silent,
+        and it chose without one when it had most to do."""
         attempts = 900  # a second; what was measured on a whole core is under 700
         for number in range(attempts):
             beginning = state_note(2 * number, 7, 1, 0)
