--- a/tealsail/lab/loopback/clock_offset.py
+++ b/tealsail/lab/loopback/clock_offset.py
@@ -1,10 +1,13 @@
-"""A relay whose clocks the script moves: `python clock_offset.py FILE serve ...` runs the program of the current folder with
-`time` reading a file that the trial writes.  It needs no library loaded ahead and nothing of the program is changed; it
-imports nothing of tealsail, so that the program of another checkout can be run with it.
+"""A relay whose clocks have an offset that the script sets.
+
+`python clock_offset.py FILE serve ...` runs the program of the current folder, with `time` reading a file that the
+trial writes.  It needs no library loaded ahead and nothing of the program is changed; it imports nothing of tealsail,
+so that the program of another checkout can be run with it.
 
 FILE holds twice the same four doubles: rate, since (CLOCK_MONOTONIC), lead and step.  A steady clock shows
-real + lead + (real - since) * (rate - 1), the wall clock that much more than it would and `step` besides.  What the system
-itself waits for (a time-out of epoll) is not moved: a relay with a fast clock is late for its own timers by that part.
+real + lead + (real - since) * (rate - 1), the wall clock that much more than it would and `step` besides.  What the
+system itself waits for (a time-out of epoll) is not moved: a relay with a fast clock is late for its own timers by that
+part.
 """
 
 import mmap
@@ -18,7 +21,7 @@
 
 
 class ClockOffset:
-    """What the file says now."""
+    """What the file says now of the clocks' rate and offset."""
 
     def __init__(self, path: str) -> None:
         with open(path, "r+b") as file:
@@ -38,7 +41,7 @@
 
 
 def take_over(offset: ClockOffset) -> None:
-    """Before the program is imported."""
+    """Puts clocks with that offset in place of `time`'s; before the program is imported."""
     monotonic, wall, gettime = time.monotonic, time.time, time.clock_gettime
     time.monotonic = lambda: monotonic() + offset.ahead()
     time.time = lambda: wall() + offset.ahead() + offset.read()[3]
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -330,7 +330,7 @@
             self.on_empty()
 
     def costs(self) -> dict[str, float]:
-        """Memory (MB: its own, and its part of what is shared) and processor time (s) of relays that run: mean, most."""
+        """Mean and most of the relays that run: memory (MB; of what is shared its part) and processor time (s)."""
         memory, cpu = [], []
         tick = os.sysconf("SC_CLK_TCK")
         for _, process in self.running.values():
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -1,4 +1,4 @@
-"""The process group of a trial: backends, clients and the carrier of relays' messages, each role by one or more members.
+"""The process group of a trial: backends, clients and the carrier of relays' messages, one or more members a role.
 
 A member lives in the coordinator's process (`LocalMember`) or in one of its own, which the coordinator starts as
 `python -m` this module and exchanges messages with (`ProcessMember` there, `MemberProcess` here).
@@ -51,8 +51,9 @@
 
 
 class ProcessMember(ProcessProtocol):
-    """A member in a process of its own, as the coordinator sees it: messages go in and out as lines, and its lines of the
-    record are kept in a file (`record`)."""
+    """A member in a process of its own, as the coordinator sees it.
+
+    Messages go in and out as lines; its lines of the record are kept in a file (`record`)."""
 
     def __init__(self, setup: TrialSetup, role: str, index: int, count: int, folder: Path) -> None:
         self.setup, self.name, self.buffer, self.has_ended = setup, f"{role}-{index}", b"", False
--- a/tealsail/lab/loopback/process_messages.py
+++ b/tealsail/lab/loopback/process_messages.py
@@ -1,5 +1,7 @@
-"""The messages between a trial's coordinator and the members of its process group: typed values, one JSON line each where
-a member has a process of its own."""
+"""The messages between a trial's coordinator and the members of its process group.
+
+They are typed values, one JSON line each where a member has a process of its own.
+"""
 
 from typing import Any
 
@@ -11,7 +13,7 @@
 
 
 class RoleAssignment(Message, tag="cast"):
-    """The first to a process: its role, as which of how many members, in what scenario; `record` is the file to write."""
+    """The first to a process: its role, which of how many members it is, the scenario; `record` is a file to write."""
 
     role: str
     index: int
@@ -86,9 +88,9 @@
 class FinalReport(Message, tag="over"):
     """The last of a member.
 
-    `lateness` counts arrivals by how late they were sent (tenths of a ms); `lost_while_up` is which relay lost a request
-    while it was up, and when; `cpu` the processor time in seconds; `resent` the relay and number of each request that was
-    sent anew since that relay ended."""
+    `lateness` counts arrivals by how late they were sent (tenths of a ms); `lost_while_up` is which relay lost a
+    request while it was up, and when; `cpu` the processor time in seconds; `resent` the relay and number of each
+    request that was sent anew since that relay ended."""
 
     lateness: dict[int, int]
     lost_while_up: list[tuple[int, int]]
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -60,7 +60,7 @@
 
 
 class Trial:
-    """Drives a day's machines with a reactor; `problems`: what relays did that no rule has a name for."""
+    """Drives a day's machines with a reactor; `problems` says what relays did that no rule has a name for."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int, folder: Path) -> None:
         self.reactor, self.scenario, self.seed, self.folder = reactor, scenario, seed, folder
@@ -72,10 +72,12 @@
             reactor, scenario, seed, self.port_block.port, self.lines.append, self.report_violation, self.receive
         )
         self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
-        self.numbers: dict[str, int] = {}
-        self.processes = ProcessFleet(self.setup, self.day, folder, self.number, self.relays_changed, self.all_gone)
+        self.port_numbers: dict[str, int] = {}
+        self.processes = ProcessFleet(
+            self.setup, self.day, folder, self.port_number, self.relays_changed, self.stop_members
+        )
         self.day.roles = self.processes.acting
-        self.list = DiscoveryService(self.setup, self.day, self.number)
+        self.list = DiscoveryService(self.setup, self.day, self.port_number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
         self.members: dict[str, list[Any]] = {}
         self.backend_states: dict[str, BackendState] = {}  # as last sent to their members
@@ -90,9 +92,9 @@
         if len(self.problems) < 100:
             self.problems.append(text)
 
-    def number(self, name: str) -> int:
-        """A unit's, for its port: one that comes back under its name finds its own again."""
-        return self.numbers.setdefault(name, len(self.numbers))
+    def port_number(self, name: str) -> int:
+        """A backend's, for its port: one that comes back under its name finds its own again."""
+        return self.port_numbers.setdefault(name, len(self.port_numbers))
 
     def send(self, role: str, message: Message) -> None:
         for member in self.members[role]:
@@ -112,9 +114,9 @@
         self.apply_changes()
         for relay in range(self.relays):
             self.processes.start(relay)
-        self.reactor.callLater(READY + EACH * self.relays, self.unready)
+        self.reactor.callLater(READY + EACH * self.relays, self.give_up_waiting)
 
-    def unready(self) -> None:
+    def give_up_waiting(self) -> None:
         if not self.setup.has_begun and not self.is_over:
             self.report_violation(f"{self.relays - len(self.processes.ready())} relays were not ready in time")
             self.finish()
@@ -130,14 +132,14 @@
                 self.send(role, DayBegin(start))
             self.wake()
             self.ping()
-            self.reactor.callLater(self.scenario.span / 10_000 + LEAD / 10_000, self.closing)
+            self.reactor.callLater(self.scenario.span / 10_000 + LEAD / 10_000, self.end_arrivals)
 
     def ping(self) -> None:
         self.platform.ping()
         if not self.is_over:
             self.reactor.callLater(PING, self.ping)
 
-    def closing(self) -> None:
+    def end_arrivals(self) -> None:
         """The last arrival has been: on until all is answered."""
         self.waiting, self.arrivals_over = len(self.members["clients"]), True
         self.send("clients", ArrivalsOver())
@@ -170,7 +172,7 @@
             self.processes.end()
             self.reactor.callLater(END, self.done)
 
-    def all_gone(self) -> None:
+    def stop_members(self) -> None:
         """No relay is left: the members end."""
         for role in self.members:
             self.send(role, Stop())
@@ -187,9 +189,9 @@
             self.day.wake(self.setup.now())
             self.apply_changes()
         else:
-            self.plan()
+            self.schedule()
 
-    def plan(self) -> None:
+    def schedule(self) -> None:
         wait = min(self.setup.seconds_until(self.day.due), 1.0)
         if self.timer and self.timer.active():
             self.timer.cancel()
@@ -203,7 +205,7 @@
     def backend_state(self, name: str, unit: Any) -> BackendState:
         return BackendState(
             name,
-            self.number(name),
+            self.port_number(name),
             unit.mark,
             unit.build.number,
             unit.speed,
@@ -257,7 +259,7 @@
         for order in left.relays:
             self.processes.execute(order)
         if setup.has_begun and not self.is_over:
-            self.plan()
+            self.schedule()
 
     # what came of it
     def record(self) -> Iterator[Line]:
@@ -323,14 +325,14 @@
     """Reads {scenario, seed, folder, record} from standard input, plays, and writes the result there as JSON."""
     from twisted.internet import reactor
 
-    told = json.load(sys.stdin)
+    order = json.load(sys.stdin)
     raise_descriptor_limit()
-    trial = Trial(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]))
+    trial = Trial(use_shared_clock(reactor), convert(order["scenario"]), order["seed"], Path(order["folder"]))
     reactor.callWhenRunning(trial.start)
     reactor.run()
     trial.processes.kill_all()
     trial.port_block.release()
-    result, judged, void = judge(trial, told["record"])
+    result, judged, void = judge(trial, order["record"])
     sys.stdout.buffer.write(
         msgspec.json.encode(
             {
--- a/tealsail/lab/loopback/trial_setup.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -1,5 +1,7 @@
-"""What the coordinator and each member of a trial's process group share: the day, a clock, addresses, and where lines of
-the record and messages go."""
+"""What the coordinator and each member of a trial's process group share.
+
+That is the scenario, a clock, addresses, and where lines of the record and messages go.
+"""
 
 import time
 from collections.abc import Callable
@@ -14,9 +16,9 @@
 class TrialSetup:
     """One trial as seen from one process.
 
-    `record_line` takes lines of the record, `report_violation` a sentence on what a relay did that no rule has a name for,
-    `send` messages to the coordinator (process_messages.py).  All processes of a trial read one clock, CLOCK_MONOTONIC, as
-    seconds of their reactors."""
+    `record_line` takes lines of the record, `report_violation` a sentence on what a relay did that no rule has a name
+    for, `send` messages to the coordinator (process_messages.py).  All processes of a trial read one clock,
+    CLOCK_MONOTONIC, as seconds of their reactors."""
 
     def __init__(
         self,
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -21,7 +21,7 @@
     def test_relays_that_do_not_come_up_in_time_are_counted_among_the_problems(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             trial = Trial(MemoryReactorClock(), convert(day(fleet={"relays": 3})), 5, Path(folder))
-            trial.unready()
+            trial.give_up_waiting()
             trial.port_block.release()
         self.assertEqual(trial.problems, ["3 relays were not ready in time"])
         self.assertTrue(trial.is_over)
