--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -169,7 +169,7 @@
         process = self.setup.reactor.spawnProcess(
             running,
             sys.executable,
-            [sys.executable, "-B", *self.program(relay)],
+            [sys.executable, "-B", *self.program(relay), "serve", *self.document_option()],
             environment | {"EDGE_CONFIG": str(path)},
             str(checkout),
             childFDs={0: "w", 1: "r", 2: "r"},
@@ -177,16 +177,19 @@
         self.running[relay] = running, process
 
     def program(self, relay: int) -> list[str]:
-        """Python's arguments for one relay; writes the files that they name."""
-        program = ["-m", "tealsail"]
-        if self.has_clock_faults:
-            self.set_clock(relay)
-            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock_file(relay))]
-        document = self.folder / "tealsail.toml"
+        """What Python runs, before `serve`."""
+        if not self.has_clock_faults:
+            return ["-m", "tealsail"]
+        self.set_clock(relay)
+        return [str(Path(__file__).with_name("clock_offset.py")), str(self.clock_file(relay))]
+
+    def document_option(self) -> list[str]:
+        """The operator's document, written to a file, if the scenario has one."""
         if not self.setup.scenario.document:
-            return [*program, "serve"]
+            return []
+        document = self.folder / "tealsail.toml"
         document.write_text(toml(self.setup.scenario.document))
-        return [*program, "serve", f"--document={document}"]
+        return [f"--document={document}"]
 
     def configuration(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -175,20 +175,20 @@
                 "folder": folder,
                 "record": "",
             }
-            director = subprocess.Popen(
+            coordinator = subprocess.Popen(
                 [sys.executable, "-B", "-m", "tealsail.lab.loopback.trial"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
             )
-            director.stdin.write(json.dumps(told).encode())
-            director.stdin.close()
+            coordinator.stdin.write(json.dumps(told).encode())
+            coordinator.stdin.close()
             deadline = time.monotonic() + 60
             while len(self.processes(folder)) < 8 and time.monotonic() < deadline:
                 time.sleep(0.05)  # until real processes are there; nothing is judged by this time
             running = self.processes(folder)
-            director.terminate()
-            director.wait(60)
+            coordinator.terminate()
+            coordinator.wait(60)
             self.assertEqual((len(running), self.processes(folder)), (8, []))
 
     def processes(self, folder: str) -> list[str]:
