--- a/tealsail/lab/loopback/trial_setup.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -1,5 +1,7 @@
-"""What the coordinator and each member of a trial's process group share: the day, a clock, addresses, and where lines
-of the record and messages go."""
+"""What the coordinator and each member of a trial's process group share.
+
+That is the scenario, a clock, addresses, and where lines of the record and messages go.
+"""
 
 import time
 from collections.abc import Callable
