--- a/tealsail/choices/load_stage.py
+++ b/tealsail/choices/load_stage.py
@@ -1,7 +1,8 @@
 """The seat of the load digests in a relay: attempts in, figures for the choice of backend out.
 
 Nothing is decided here: what a digest says goes into the load figures of the units, which the choice
-(tealsail/policy.py) weighs as it weighs a unit's own reports.  A request's path only counts; reports, digests and figures are timers' work.
+(tealsail/policy.py) weighs as it weighs a unit's own reports.  A request's path only counts; reports, digests and
+figures are timers' work.
 """
 
 from ..parts import Chance, Invocation, Stage, Unit, mix
--- a/tealsail/choices/rendezvous.py
+++ b/tealsail/choices/rendezvous.py
@@ -22,7 +22,8 @@
         self.salts = [mix(SALT, relay) for relay in range(relays)]
 
     def ranked(self, unit: int) -> tuple[int, ...]:
-        """The first few relays in this unit's order; about a millisecond at 1,300 relays, so not on a request's path."""
+        """The first few relays in this unit's order; about a millisecond at 1,300 relays, so not on a request's
+        path."""
         key = mix(unit, SALT)
         scores = [((salt ^ key) * MULTIPLIER) & MASK for salt in self.salts]
         return tuple(nlargest(RANKED, range(len(scores)), scores.__getitem__))
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -85,8 +85,8 @@
 
 
 class LoadDigests(Struct, forbid_unknown_fields=True, frozen=True):
-    """Load digests between relays in place of the asked tracker (docs/design/load-digests.md).  `backends`: units that a
-    relay uses at the least."""
+    """Load digests between relays in place of the asked tracker (docs/design/load-digests.md).  `backends`: units
+    that a relay uses at the least."""
 
     backends: Annotated[int, Meta(ge=4, le=64)] = 32
 
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -3,8 +3,7 @@
 import unittest
 from collections import Counter
 
-from hypothesis import given, settings
-from hypothesis import strategies as st
+from hypothesis import given, settings, strategies as st
 
 from tealsail import notes
 from tealsail.choices import hearsay
