--- a/tealsail/choices/flood.py
+++ b/tealsail/choices/flood.py
@@ -1,7 +1,7 @@
 """How many notes of other relays are taken: so many a second of each, and of all together.
 
-A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push out
-what others tell; where all together tell too much, who has told least of late is heard first.
+A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push
+out what others tell; where all together tell too much, who has told least of late is heard first.
 """
 
 from typing import NamedTuple
@@ -17,7 +17,9 @@
     all: int
 
 
-SHOTS = Limits(1_000, 12_000)  # small ones of shots: three for each invocation, a third to the asker
+NOTES_OF_A_SHOT = 3  # a question, a beginning, an end; a third as many go back to the asker
+MOST_SHOTS = 1_000  # a second of one relay: more than one process serves on a whole core
+SHOTS = Limits(NOTES_OF_A_SHOT * MOST_SHOTS, 12_000)  # small ones of shots
 
 
 def limits(cells: int, most: int = 4_000) -> Limits:
@@ -27,8 +29,8 @@
 
 
 class Flood:
-    """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for each
-    sender that is known."""
+    """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for
+    each sender that is known."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -22,7 +22,7 @@
 class Machine:
     """A unit and its clock; each invocation takes 10 ms of one core."""
 
-    def __init__(self, build: Build = Build(1), started: int = 0, works: list = [TEN_MS], **kind) -> None:
+    def __init__(self, build: Build = Build(1), started: int = 0, works: tuple = (TEN_MS,), **kind) -> None:
         self.unit = Unit(
             "u1", 1, build, Kind(**{"cores": 1.0, "slots": 4, "room": 2} | kind), 1.0, "a", 0, started, works, 7
         )
@@ -398,10 +398,10 @@
 class Sockets(unittest.TestCase):
     def test_clients_heed_when_a_rejection_says_to_come_back(self) -> None:
         """Guards against the first real surge's fault: repeats came at once, and service was better than it can be."""
-        from tealsail.lab.loopback.clients import advice
+        from tealsail.lab.loopback.clients import read_retry_after
         from tealsail.net.messages import trouble
 
-        self.assertEqual([advice(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
+        self.assertEqual([read_retry_after(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
 
 
 class Networks(unittest.TestCase):
