--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -43,8 +43,6 @@
 class Zones(Stage):
     """Owns the zones; told of the list by `arrange`, of time by `beat`."""
 
-    NAME = "zones"  # of its counters
-
     def __init__(self, relay, zoning: Zoning, own: int, many: int) -> None:
         super().__init__(relay)
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -14,7 +14,6 @@
 from .policy import Relay
 from .settings import NOBODY
 
-NEVER = 1 << 62
 VERDICTS = ("none", "on", "hold", "back")
 PHASES = ("on trial", "going back", "released", "withdrawn")
 
@@ -156,7 +155,6 @@
         self.relay = Relay(self, facts, seed, clock())
         for seat in seats:  # stages of other choices (tealsail/choices/)
             self.relay.seat(seat(self.relay))
-        self.timed = [seat for seat in self.relay.seats if hasattr(seat, "due")]  # those with timers of their own
 
     def pick(
         self, workload: str, customer: str, key: str | None, give_up: int, work: int = 0, repeat: bool = False
@@ -209,22 +207,13 @@
         now = self.clock()
         while self.wakes and self.wakes[0][0] <= now:
             self.guarded(None, self.relay.on_wake, heapq.heappop(self.wakes)[2])
-        for seat in self.timed:
-            if seat.due <= now:
-                self.guarded(None, seat.run)
         wants, self.wants = self.wants, Wants([], [], [], [], [])
         return wants
 
     @property
     def due(self) -> int:
         """When to tick next: at once if something waits to be fetched."""
-        return self.clock() if any(self.wants) else self.timer
-
-    @property
-    def timer(self) -> int:
-        """When the next timer is due."""
-        due = self.wakes[0][0] if self.wakes else NEVER
-        return min(due, *[seat.due for seat in self.timed]) if self.timed else due
+        return self.clock() if any(self.wants) else self.wakes[0][0] if self.wakes else 1 << 62
 
     def stands(self, number: int, place: int) -> bool:
         """Whether a shot that has not been written yet may still go out as picked."""
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -238,7 +238,7 @@
         wants = facade.wants
         if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
             return self.ticked()
-        due = facade.timer
+        due = facade.wakes[0][0] if facade.wakes else NEVER
         if due < self.timer:
             self.timer = due
             self.model.later(max(self.later(due), self.model.now), self.wake, due)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -409,7 +409,7 @@
         """What the seats of other choices counted, among the counters."""
         for seat in self.facade.relay.seats:
             for name, count in seat.counts.items():
-                self.counters.counts[f"{seat.NAME}.{name}"] = count
+                self.counters.counts[f"zones.{name}"] = count
 
     def stop(self) -> Deferred[None]:
         """Clients still come for a moment; then no new ones, and the end once all is answered."""
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -84,26 +84,15 @@
         )
 
 
-class LoadDigests(Struct, forbid_unknown_fields=True, frozen=True):
-    """Load digests between relays in place of the asked tracker (docs/design/load-digests.md).  `backends`: units
-    that a relay uses at the least."""
-
-    backends: Annotated[int, Meta(ge=4, le=64)] = 32
-
-
 class Document(Struct, forbid_unknown_fields=True, frozen=True):
     """The whole."""
 
     recording: Recording | None = None
     zones: Zones | None = None
-    load_digests: LoadDigests | None = None
 
     def seats(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
         """What takes a seat in the module's chain (tealsail/facade.py), for the platform's settings.  Raises
         BadDocument where they don't fit."""
-        return self.zone_seats(facts) + self.load_seats(facts)
-
-    def zone_seats(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
         if self.zones is None:
             return []
         names, own = list(facts.get("zones", [])), facts.get("zone")
@@ -116,15 +105,6 @@
 
         return [lambda relay: Stage(relay, zoning, names.index(own), len(names))]
 
-    def load_seats(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
-        """None where relays may not tell each other, or there is one."""
-        if self.load_digests is None or not facts.get("may_tell") or facts.get("relays", 1) < 2:
-            return []
-        from ..choices.load_stage import LoadStage
-
-        backends = self.load_digests.backends
-        return [lambda relay: LoadStage(relay, backends)]
-
 
 def convert(tree: dict[str, Any], where: str = "document") -> Document:
     """Raises BadDocument."""
