--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -24,6 +24,8 @@
   tealsail model fields
   tealsail hunt SCENARIO [--days=N] [--seed=N] [--jobs=N] [--most=LIMITS] [--json=FILE]
   tealsail trial SCENARIO [--seed=N] [--record=FILE] [--json=FILE] [--chart=FILE] [--logs=DIR]
+  tealsail capacity [--json=FILE] [--chart=FILE]
+  tealsail capacity --page=FILE [--from=FILE] [--plan=FILE]
   tealsail record show FILE [--json=FILE]
   tealsail record import CSV FILE [--start=MS]
   tealsail record fit RECORD... [--draws=N] [--json=FILE]
@@ -48,6 +50,9 @@
   hunt           Random faults over a scenario, in virtual time: days that break a rule or a limit, each shrunk to the
                  fewest lines of script.  Exit code 1 if there is one.
   trial          Play a scenario for real: relay processes on loopback addresses.
+  capacity       What one process costs as units, relays, tenants, requests, messages and changes grow, measured on this
+                 machine; or, with --page, the tables of docs/CAPACITY.md from such a run.  Exit code 1 if a
+                 measurement gave no point.
   record show    Figures and broken rules of a record.
   record import  A record of arrivals from CSV (columns: at_ms,workload,customer,key).
   record fit     What units are like, from records of one or more days, with the uncertainty of it.
@@ -67,6 +72,9 @@
   --record=FILE      Write the record there (.gz: packed).
   --json=FILE        Write the figures there too.
   --chart=FILE       Draw a PNG.
+  --page=FILE        Write the tables between the page's markers.
+  --from=FILE        The file of a run of capacity, docs/capacity.json if none is named.
+  --plan=FILE        The numbers to plan with, examples/capacity.toml if none is named.
   --logs=DIR         Keep the relays' logs there.
   --keep=DIR         Keep the real days there; those that are there already are not played again.
   -h --help          Show this.
@@ -88,6 +96,10 @@
 
         return serve.run(chosen, os.environ)
     try:
+        if chosen["capacity"]:
+            from . import capacity
+
+            return capacity.run(chosen)
         from . import lab
     except ModuleNotFoundError as missing:
         print(f"tealsail: {missing.name} is not installed: pip install -r requirements-lab.txt", file=sys.stderr)
--- a/tealsail/lab/capacity/fit.py
+++ b/tealsail/lab/capacity/fit.py
@@ -53,8 +53,11 @@
 
 
 class Curve(msgspec.Struct, frozen=True):
-    """`constant + growth * term(x)`; errors are half widths of 95% intervals.  `worst` is the largest miss of a point, as a
-    part of its value, `straight` whether a line holds; the covariance is that of the two, times the squared quantile."""
+    """`constant + growth * term(x)`; errors are half widths of 95% intervals.
+
+    `worst` is the largest miss of a point, as a part of its value, `straight` whether a line holds; the covariance is
+    that of the two, times the squared quantile.
+    """
 
     shape: Shape
     constant: float
--- /dev/null
+++ b/tealsail/lab/capacity/measure.py
@@ -0,0 +1,136 @@
+"""One run of all measurements: starts the measuring processes, reads their lines, ends them, and fits the slopes."""
+
+import os
+import platform
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
+
+from .causes import causes
+from .events import SIZES, Setup
+from .points import Axis, Found, Line, Point, Problem, Progress
+from .slopes import VERSION, Machine, Slopes, through
+
+ROOT = Path(__file__).parents[3]
+LONGEST = 298.0  # seconds of a whole run
+WAIT = 5.0  # seconds until a measuring process that was told to end is killed
+REPEATS, POINTS = 2, 4  # of each size on sockets; sizes of a slope
+BASES = {
+    Axis.UNITS: float(Setup().units),
+    Axis.RELAYS: float(Setup().relays),
+    Axis.TENANTS: float(Setup().tenants),
+}
+
+Show = Callable[[int, int, str], None]
+
+
+class Run(NamedTuple):
+    slopes: Slopes
+    problems: list[str]
+
+
+class Collector:
+    """What the measuring processes have said."""
+
+    def __init__(self, show: Show) -> None:
+        self.show = show
+        self.points: list[Point] = []
+        self.problems: list[str] = []
+        self.before, self.total = 0, 0  # measurements of processes that have ended; of all
+
+    def take(self, line: Line) -> None:
+        match line:
+            case Found(point):
+                self.points.append(point)
+            case Problem(text):
+                self.problems.append(text)
+            case Progress(done, _, title):
+                self.show(self.before + done, self.total, title)
+
+
+def lines(arguments: list[str], until: float) -> Iterator[Line]:
+    """What one measuring process says; it is ended with this program, or at `until` (monotonic seconds)."""
+    environment = os.environ | {"PYTHONPATH": str(ROOT)}
+    command = [sys.executable, "-B", "-m", *arguments]
+    process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=environment)
+    late = threading.Timer(max(0.0, until - time.monotonic()), process.kill)
+    late.daemon = True
+    late.start()
+    decoder = msgspec.json.Decoder(Line)
+    try:
+        for text in process.stdout:
+            yield decoder.decode(text)
+    finally:
+        late.cancel()
+        process.stdin.close()  # it ends what it started, and itself
+        process.stdout.close()
+        try:
+            code = process.wait(WAIT)
+        except subprocess.TimeoutExpired:
+            process.kill()
+            code = process.wait()
+    if code:
+        yield Problem(f"{' '.join(arguments)}: ended with {code}")
+
+
+def measure(axes: list[Axis], repeats: int, points: int, show: Show) -> Run:
+    """All slopes along these axes."""
+    begun, load = time.monotonic(), os.getloadavg()[0]
+    until = begun + LONGEST
+    collector = Collector(show)
+    sizes = [(axis, x) for axis in axes for x in SIZES[axis][:points]]
+    sockets = ["tealsail.lab.capacity.rig", str(repeats), str(points), *axes]
+    collector.total = len(sizes) + repeats * len(sizes)
+    for line in lines(sockets, until):
+        if isinstance(line, Progress):
+            collector.total = len(sizes) + line.total
+            collector.before = 0
+        collector.take(line)
+    collector.before = collector.total - len(sizes)
+    for done, (axis, x) in enumerate(sizes):
+        show(collector.before + done, collector.total, f"facade alone: {axis} {x:g}")
+        for line in lines(["tealsail.lab.capacity.alone", axis, str(x)], until):
+            collector.take(line)
+    seconds = time.monotonic() - begun
+    found = through(collector.points, BASES, causes())
+    return Run(Slopes(VERSION, machine(load), seconds, repeats, found), collector.problems)
+
+
+def machine(load_before: float) -> Machine:
+    return Machine(
+        os.cpu_count() or 0,
+        sorted(os.sched_getaffinity(0)),
+        processor(),
+        platform.python_version(),
+        platform.release(),
+        load_before,
+        os.getloadavg()[0],
+        time.strftime("%Y-%m-%d %H:%M UTC", time.gmtime()),
+        git("rev-parse", "--short", "HEAD"),
+        bool(git("status", "--porcelain", "--untracked-files=no", "--", "tealsail")),
+    )
+
+
+def processor() -> str:
+    """Its name, as the system has it."""
+    try:
+        rows = Path("/proc/cpuinfo").read_text().splitlines()
+    except OSError:
+        return platform.processor()
+    return next((row.partition(":")[2].strip() for row in rows if row.startswith("model name")), platform.machine())
+
+
+def git(*arguments: str) -> str:
+    """Nothing where the tree is no checkout."""
+    try:
+        return subprocess.run(
+            ["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, timeout=10, check=True
+        ).stdout.strip()
+    except (OSError, subprocess.SubprocessError):
+        return ""
--- a/tealsail/lab/capacity/slopes.py
+++ b/tealsail/lab/capacity/slopes.py
@@ -1,86 +1,17 @@
 """What was measured, the curves fitted through it, and the file of JSON that keeps both."""
 
 from collections.abc import Iterable
-from enum import StrEnum
 from pathlib import Path
 from typing import NamedTuple
 
 import msgspec
 
 from .fit import Curve, Sample, fit
+from .points import Axis, Column, Cost, Name, Point, Side
 
 VERSION = 1
 
 
-class Column(StrEnum):
-    """On what a point was measured."""
-
-    PROCESS = "process"  # `tealsail serve` with real sockets on loopback
-    FACADE = "facade"  # the decisions alone, in a process of their own
-
-
-class Axis(StrEnum):
-    """What grows."""
-
-    UNITS = "units"
-    RELAYS = "relays"
-    TENANTS = "tenants"
-    REQUESTS = "requests a second"
-    MESSAGES = "messages a second"
-    LIST_CHANGES = "list changes"
-    WHOLE_LISTS = "whole lists"
-    SETTINGS = "settings changes"
-
-
-class Side(StrEnum):
-    """Whom the cost is for."""
-
-    SERVING = "serving"
-    CONTROL = "control"
-
-
-class Cost(StrEnum):
-    """What is counted; bytes are those of the application, without headers of TCP, UDP and IP."""
-
-    PROCESSOR = "processor ms"
-    MEMORY = "memory MB"
-    BYTES_IN = "bytes in"
-    BYTES_OUT = "bytes out"
-    DATAGRAMS_IN = "datagrams in"
-    DATAGRAMS_OUT = "datagrams out"
-
-
-class Name(StrEnum):
-    """Of what the cost is: one event, one second, or the standing state."""
-
-    STANDING = "standing state"
-    IDLE = "idle second"
-    CHANGE = "changed entry"
-    WHOLE = "whole list"
-    RELOAD = "settings change"
-    REQUEST = "request"
-    REQUESTS = "second of requests"
-    ASKING = "second of requests, tracker asked"
-    TRACKING = "second of a tracker's messages"
-    TRACKED = "tracker's message"
-    COUNTS = "second of a judge's messages"
-    JUDGING = "judge's idle second"
-    CHANGES = "changed entries in a row"
-    WHOLES = "whole lists in a row"
-    RELOADS = "settings changes in a row"
-
-
-class Point(msgspec.Struct, frozen=True):
-    """One measured cost at one size."""
-
-    name: Name
-    axis: Axis
-    column: Column
-    cost: Cost
-    x: float
-    value: float
-
-
 class Key(NamedTuple):
     """Which slope."""
 
@@ -88,11 +19,15 @@
     axis: Axis
     column: Column
     cost: Cost
+    side: Side
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """All points of one cost along one axis, and the curve through them.  `cause` names the line of code behind the part
-    that grows, `base` the value of the axis in measurements along the other axes (0: it does not occur there)."""
+    """All points of one cost along one axis, and the curve through them.
+
+    `cause` names the line of code behind the part that grows; `base` is the value of the axis in measurements along the
+    other axes, 0 where it does not occur there.
+    """
 
     name: Name
     axis: Axis
@@ -142,29 +77,33 @@
     repeats: int
     slopes: list[Slope]
 
-    def find(self, name: Name, axis: Axis, cost: Cost, column: Column = Column.PROCESS) -> Slope | None:
-        """None: not measured."""
-        key = Key(name, axis, column, cost)
-        return next((each for each in self.slopes if (each.name, each.axis, each.column, each.cost) == key), None)
+    def find(
+        self, name: Name, axis: Axis, cost: Cost, column: Column = Column.PROCESS, side: Side | None = None
+    ) -> Slope | None:
+        """The slope, of any side if none is given; None: not measured."""
+        for each in self.slopes:
+            same = (each.name, each.axis, each.cost, each.column) == (name, axis, cost, column)
+            if same and side in (None, each.side):
+                return each
+        return None
 
 
 def gather(points: Iterable[Point]) -> dict[Key, list[Sample]]:
     """Repeats of one size together, in order of size."""
     values: dict[Key, dict[float, list[float]]] = {}
     for point in points:
-        key = Key(point.name, point.axis, point.column, point.cost)
+        key = Key(point.name, point.axis, point.column, point.cost, point.side)
         values.setdefault(key, {}).setdefault(point.x, []).append(point.value)
     return {
         key: [Sample(x, tuple(repeats)) for x, repeats in sorted(by_size.items())] for key, by_size in values.items()
     }
 
 
-def through(points: Iterable[Point], sides: dict[Name, Side], bases: dict[Axis, float], causes: dict) -> list[Slope]:
+def through(points: Iterable[Point], bases: dict[Axis, float], causes: dict[tuple, str]) -> list[Slope]:
     """A slope for each cost along each axis that was measured at three sizes or more."""
     return [
         Slope(
             *key,
-            sides[key.name],
             bases.get(key.axis, 0.0),
             samples,
             fit(samples),
