--- a/tealsail/lab/capacity/rig.py
+++ b/tealsail/lab/capacity/rig.py
@@ -5,6 +5,7 @@
 whoever started it closes its standard input, and at the latest after LONGEST seconds.
 """
 
+import os
 import resource
 import sys
 import tempfile
@@ -33,6 +34,7 @@
 )
 from .subject import Subject, configuration, save
 
+STEAL = 8  # the column of a processor's row in /proc/stat
 LONGEST = 290.0  # seconds, all in all
 DESCRIPTORS = 8_192
 START = 15.0  # seconds until a relay serves
@@ -40,7 +42,8 @@
 IDLE, BUSY, EVENTS = 2.0, 1.5, 0.5  # seconds of a window: no events; requests or messages; few events
 CHANGES = 10  # of a window
 CONNECTIONS, RATE = 8, 80.0  # of clients, and their requests a second where it is not the rate that grows
-TICK = 0.01  # seconds between batches of messages
+TICK = 0.001  # seconds between looks at how many messages are due
+STOLEN = 0.02  # of a measurement's time: with more taken by the machine's host it is made anew, once, at the end
 LISTENING_JUDGES = 4  # the judges and the next in line
 ENOUGH = 0.9  # of the events wanted: a window with fewer gives no point
 IN_A_ROW_UNITS, WHOLES_UNITS = 1200, 400  # of the list, where changes or whole lists follow each other
@@ -141,24 +144,54 @@
             part.close()
 
 
+def stolen_seconds() -> float:
+    """That the machine's host has taken from the processors that this process may use, so far."""
+    allowed = {f"cpu{number}" for number in os.sched_getaffinity(0)}
+    rows = (row.split() for row in Path("/proc/stat").read_text().splitlines())
+    return sum(int(row[STEAL]) for row in rows if row[0] in allowed) / os.sysconf("SC_CLK_TCK")
+
+
 class Rig:
     """All measurements of a run; `say` takes what they find."""
 
     def __init__(self, reactor: Any, say: Say) -> None:
         self.reactor, self.say = reactor, say
         self.fleet: Fleet | None = None
+        self.points: list[Point] = []  # of the measurement at hand
 
     async def run(self, plan: list["Measurement"]) -> None:
+        """All of a plan; what the machine's host has disturbed is put at its end once."""
+        again: list[Measurement] = []
         for done, each in enumerate(plan):
             self.say(Progress(done, len(plan), f"{each.title} {each.x:g}"))
-            try:
-                await each.call(self, each.x)
-            except Exception as problem:  # one size less; the run says so
-                self.say(Problem(f"{each.title} {each.x:g}: {type(problem).__name__}: {problem}"))
-            finally:
-                await self.end()
+            if await self.measure(each) > STOLEN:
+                again.append(each)
+            else:
+                self.tell()
+        for each in again:
+            self.say(Progress(len(plan), len(plan), f"once more: {each.title} {each.x:g}"))
+            stolen = await self.measure(each)
+            if stolen > STOLEN:
+                self.say(Problem(f"{each.title} {each.x:g}: the host took {stolen:.0%} of the time; points kept"))
+            self.tell()
         self.say(Progress(len(plan), len(plan), "done"))
 
+    async def measure(self, each: "Measurement") -> float:
+        """The part of the time that was stolen meanwhile; processor time is not counted well then."""
+        self.points = []
+        at, stolen = time.monotonic(), stolen_seconds()
+        try:
+            await each.call(self, each.x)
+        except Exception as problem:  # one size less; the run says so
+            self.say(Problem(f"{each.title} {each.x:g}: {type(problem).__name__}: {problem}"))
+        finally:
+            await self.end()
+        return (stolen_seconds() - stolen) / (time.monotonic() - at)
+
+    def tell(self) -> None:
+        for point in self.points:
+            self.say(Found(point))
+
     async def begin(self, setup: Setup) -> Fleet:
         self.folder = tempfile.TemporaryDirectory(prefix="capacity-")
         self.fleet = Fleet(self.reactor, setup, Path(self.folder.name))
@@ -172,7 +205,7 @@
             self.folder.cleanup()
 
     def found(self, name: Name, axis: Axis, cost: Cost, side: Side, x: float, value: float) -> None:
-        self.say(Found(Point(name, axis, Column.PROCESS, cost, side, x, value)))
+        self.points.append(Point(name, axis, Column.PROCESS, cost, side, x, value))
 
     def found_counts(self, name: Name, axis: Axis, x: float, counts: dict[Count, float], each: float = 1.0) -> None:
         """Bytes and datagrams, divided by `each`."""
--- /dev/null
+++ b/tests/test_capacity.py
@@ -0,0 +1,165 @@
+"""Capacity: slopes and their errors, roles sized by them, the page written from them, and a small measurement."""
+
+import time
+import unittest
+from pathlib import Path
+
+from tealsail.lab.capacity import causes, incidents, measure, page, sizing, slopes
+from tealsail.lab.capacity.fit import Sample, Shape, fit
+from tealsail.lab.capacity.points import Axis, Column, Cost, Found, Name, Point, Problem, Side
+from tealsail.lab.capacity.roles import FleetSize, Role, foretell
+
+ROOT = Path(__file__).parents[1]
+PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "examples/capacity.toml"
+SIZES = (10.0, 100.0, 1000.0)
+MACHINE = slopes.Machine(8, [3], "a processor", "3.11", "6", 0.0, 0.0, "", "", False)
+BASES = {Axis.UNITS: 120.0, Axis.RELAYS: 13.0, Axis.TENANTS: 40.0}
+
+
+def line(constant: float, growth: float) -> list[Sample]:
+    return [Sample(x, (constant + growth * x,) * 2) for x in SIZES]
+
+
+def run(*lines: tuple) -> slopes.Slopes:
+    """A run that found these: name, axis, cost, side, constant, growth."""
+    points = [
+        Point(name, axis, Column.PROCESS, cost, side, x, constant + growth * x)
+        for name, axis, cost, side, constant, growth in lines
+        for x in SIZES
+    ]
+    return slopes.Slopes(slopes.VERSION, MACHINE, 1.0, 1, slopes.through(points, BASES, {}))
+
+
+class TheFit(unittest.TestCase):
+    def test_a_line_is_found_again_with_its_error(self) -> None:
+        curve = fit(line(3.0, 0.02))
+        self.assertTrue(curve.straight)
+        self.assertAlmostEqual(curve.constant, 3.0, 6)
+        self.assertAlmostEqual(curve.growth, 0.02, 9)
+        value, error = curve.at(500)
+        self.assertAlmostEqual(value, 13.0, 6)
+        self.assertGreater(error, 0)
+
+    def test_an_interval_widens_beyond_the_last_point(self) -> None:
+        curve = fit(line(3.0, 0.02))
+        self.assertGreater(curve.at(10_000)[1], 5 * curve.at(1000)[1])
+
+    def test_what_grows_with_the_square_is_called_no_line(self) -> None:
+        curve = fit([Sample(x, (1 + 0.01 * x * x,)) for x in (10, 50, 200, 1000)])
+        self.assertEqual((curve.shape, curve.straight), (Shape.SQUARE, False))
+
+    def test_a_step_is_called_no_line_though_no_shape_fits(self) -> None:
+        curve = fit([Sample(x, (value,)) for x, value in ((1, 1.0), (10, 10.0), (50, 1.0), (100, 9.0))])
+        self.assertFalse(curve.straight)
+
+    def test_repeats_that_scatter_widen_the_error(self) -> None:
+        steady = fit([Sample(x, (x, x)) for x in SIZES])
+        loose = fit([Sample(x, (0.7 * x, 1.3 * x)) for x in SIZES])
+        self.assertGreater(loose.growth_error, 5 * steady.growth_error)
+
+    def test_two_sizes_are_no_slope(self) -> None:
+        with self.assertRaises(ValueError):
+            fit([Sample(1, (1.0,)), Sample(2, (2.0,))])
+
+
+class TheSizing(unittest.TestCase):
+    def test_a_relay_pays_for_beats_changes_and_its_share_of_requests(self) -> None:
+        found = run(
+            (Name.IDLE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 1.0, 0.01),
+            (Name.IDLE, Axis.TENANTS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
+            (Name.CHANGE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.5, 0.001),
+            (Name.REQUESTS, Axis.REQUESTS, Cost.PROCESSOR, Side.SERVING, 0.0, 1.5),
+            (Name.ASKING, Axis.REQUESTS, Cost.PROCESSOR, Side.BOTH, 0.0, 2.5),
+        )
+        relay = foretell(FleetSize(100, 1000, 10_000.0, 140, 0.5), found)[0]
+        self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.SERVING)[0], 150.0, 4)
+        beats, tenants, changes, messages = 11.0, 0.001 * (140 - 40), 0.5 * 1.5, 100.0
+        self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.CONTROL)[0], beats + tenants + changes + messages, 4)
+        self.assertTrue(
+            any(term.missing for term in relay.terms)
+        )  # bytes were not measured, and are not taken for none
+
+    def test_without_questions_to_a_tracker_there_are_no_messages_for_requests(self) -> None:
+        found = run((Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.1))
+        asked, silent = (foretell(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False))
+        self.assertAlmostEqual(asked[2].total(Cost.PROCESSOR)[0], 300.0, 4)
+        self.assertTrue(next(term for term in asked[2].terms if term.name == "messages of loads").beyond)
+        self.assertEqual(silent[2].total(Cost.PROCESSOR)[0], 0.0)
+        self.assertEqual([each.role for each in silent], list(Role))
+
+    def test_the_worst_factor_comes_first_and_what_was_not_measured_has_none(self) -> None:
+        rows = [
+            sizing.Need("a", "within", 5.0, 0.0, "ms", 10.0, "", None),
+            sizing.Need("b", "twice", 20.0, 0.0, "ms", 10.0, "", None),
+            sizing.Need("c", "unknown", None, 0.0, "ms", 10.0, "", None),
+            sizing.Need("d", "ten times", 100.0, 0.0, "ms", 10.0, "", None),
+        ]
+        self.assertEqual([need.role for need in sizing.over(rows)], ["d", "b"])
+
+    def test_a_day_and_a_roll_out_change_as_many_entries_as_the_plan_says(self) -> None:
+        plan = sizing.read_plan(PLAN)
+        self.assertAlmostEqual(plan.list_changes_per_second() * 86_400, 4500 * 3 + 73 * 2)
+        self.assertAlmostEqual(plan.rollout_changes_per_second(), 4500 * 3 / 1200)
+
+    def test_a_zone_takes_its_units_and_their_connections(self) -> None:
+        plan = sizing.read_plan(PLAN)
+        found = run(
+            (Name.CHANGE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
+            (Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, Side.CONTROL, 200.0, 0.0),
+            (Name.WHOLE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.01),
+        )
+        zone = incidents.incidents(plan, found)[1]
+        self.assertEqual((zone.entries, zone.cold), (3000, 1500))
+        self.assertAlmostEqual(zone.one_by_one_ms.value, 3000 * 14.0, 1)
+        self.assertAlmostEqual(zone.at_once_ms.value, 14.0 + 2999 * 0.01, 1)
+        self.assertAlmostEqual(zone.bytes_to_all.value, 3000 * 200 * 1300, 0)
+
+
+class ThePage(unittest.TestCase):
+    def test_its_tables_are_those_of_the_run_and_of_the_plan(self) -> None:
+        text = PAGE.read_text()
+        again = page.filled(text, slopes.read(FOUND), sizing.read_plan(PLAN))
+        self.assertEqual(text, again, "write it anew: tealsail capacity --page=docs/CAPACITY.md")
+
+    def test_a_page_without_one_of_its_sections_is_refused(self) -> None:
+        with self.assertRaises(ValueError):
+            page.filled("<!-- capacity: run -->\n<!-- end of run -->", slopes.read(FOUND), sizing.read_plan(PLAN))
+
+    def test_every_function_that_carries_a_role_exists(self) -> None:
+        found, plan = slopes.read(FOUND), sizing.read_plan(PLAN)
+        places = [need.mechanism for need in sizing.needs(plan, found) if need.mechanism]
+        places += [state.emptied_by for state in sizing.states(plan, found)]
+        self.assertGreater(len(places), 20)
+        for place in places:
+            self.assertTrue(callable(place.found()), str(place))
+
+    def test_every_line_of_code_that_a_slope_is_put_down_to_is_there(self) -> None:
+        for cause in causes.CAUSES.values():
+            self.assertGreater(cause.line(), 0)
+
+
+class TheMeasurement(unittest.TestCase):
+    """Not how much: a machine at work on other things would make that a matter of chance."""
+
+    def points(self, *arguments: str) -> list[Point]:
+        said = list(measure.lines([f"tealsail.lab.capacity.{arguments[0]}", *arguments[1:]], time.monotonic() + 60))
+        self.assertEqual([line for line in said if isinstance(line, Problem)], [])
+        return [line.point for line in said if isinstance(line, Found)]
+
+    def test_a_real_relay_takes_a_changed_entry_and_its_cost_is_read(self) -> None:
+        points = self.points("rig", "1", "1", Axis.LIST_CHANGES)
+        found = {(point.cost, point.side): point.value for point in points}
+        self.assertGreater(found[Cost.MEMORY, Side.CONTROL], 10)
+        self.assertGreater(found[Cost.BYTES_IN, Side.CONTROL], 150)
+        self.assertGreater(found[Cost.BYTES_OUT, Side.CONTROL], 50)
+        self.assertIn((Cost.PROCESSOR, Side.CONTROL), found)
+
+    def test_the_facade_alone_has_the_same_costs_along_units(self) -> None:
+        points = self.points("alone", Axis.UNITS, "120")
+        names = {Name.STANDING, Name.IDLE, Name.CHANGE, Name.WHOLE, Name.RELOAD, Name.REQUEST, Name.TRACKED}
+        self.assertEqual({point.name for point in points}, names)
+        self.assertTrue(all(point.value > 0 for point in points))
+
+
+if __name__ == "__main__":
+    unittest.main()
