--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -43,17 +43,16 @@
         return f"{self.module.replace('.', '/')}.py:{self.line()} {self.function}: {self.text}"
 
 
-BEAT = Cause("policy", "Relay.on_wake", "for unit in self.units.values()")
+BEAT = Cause("parts", "part", "for unit in row")
 LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
-READING = Cause("net.discovery", "read_news", "for each in tree")
-CUSTOMERS = Cause("choices.switch", "Switch.change", "Relay(Quiet(), facts")
+READING = Cause("net.relay", "number_of", "blake2b(")
+CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
 POOL = Cause("notes", "Pool.add", "for cell, count in zip")
-SENDERS = Cause("policy", "Judge.told_by", "self.pooled.told[")
+SENDERS = Cause("parts", "lone", "min(most, many)")
 SERVING = Cause("net.relay", "Serving.shoot", "relay.units.shoot(")
 TELLING = Cause("policy", "Guide.tell", "self.send(keeper")
-HEARING = Cause("policy", "Guide.hear", "self.loads[figures[1]].tell(")
-FLOOD = Cause("choices.flood", "Flood.allows", "count >= self.limits.each")
+HEARING = Cause("net.relay", "Relay.heard", "self.schedule()")
 LOADS = Cause("policy", "Relay.on_wake", "forget(self.guide.loads")
 UNITS = Cause("parts", "Unit.__init__", "self.number, self.build")
 
@@ -71,7 +70,7 @@
     (Name.ASKING, Axis.REQUESTS, Cost.DATAGRAMS_OUT): TELLING,
     (Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR): HEARING,
     (Name.TRACKED, Axis.UNITS, Cost.PROCESSOR): LOADS,
-    (Name.COUNTS, Axis.MESSAGES, Cost.PROCESSOR): POOL,
+    (Name.COUNTS, Axis.MESSAGES, Cost.PROCESSOR): HEARING,
     (Name.JUDGING, Axis.RELAYS, Cost.PROCESSOR): SENDERS,
     (Name.JUDGING, Axis.RELAYS, Cost.MEMORY): POOL,
     (Name.CHANGES, Axis.LIST_CHANGES, Cost.PROCESSOR): LIST,
--- a/tealsail/lab/capacity/fit.py
+++ b/tealsail/lab/capacity/fit.py
@@ -26,14 +26,12 @@
     LINE = "x"
     LOGARITHMIC = "x log2 x"
     SQUARE = "x^2"
-    ROOT = "sqrt x"
 
 
 TERMS = {
     Shape.LINE: lambda x: x,
     Shape.LOGARITHMIC: lambda x: x * log2(x) if x > 0 else 0.0,
     Shape.SQUARE: lambda x: x * x,
-    Shape.ROOT: lambda x: sqrt(x) if x > 0 else 0.0,
 }
 
 
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 from . import incidents, sizing
+from .fit import Shape
 from .points import Axis, Column, Cost, Name
 from .roles import Extent
 from .slopes import Slope, Slopes
@@ -86,7 +87,7 @@
 
 def growth(slope: Slope) -> str:
     curve = slope.curve
-    per = "" if curve.straight else f" x {curve.shape}"
+    per = "" if curve.shape == Shape.LINE else f" x {curve.shape}"
     return f"{figure(curve.growth)} ±{figure(curve.growth_error)}{per}"
 
 
--- a/tealsail/lab/capacity/rig.py
+++ b/tealsail/lab/capacity/rig.py
@@ -39,7 +39,7 @@
 DESCRIPTORS = 8_192
 START = 15.0  # seconds until a relay serves
 SETTLE, QUIET = 0.5, 0.3  # seconds: after a start; after events, until what they set off is over
-IDLE, BUSY, EVENTS = 2.0, 1.5, 0.5  # seconds of a window: no events; requests or messages; few events
+IDLE, BUSY, EVENTS = 1.5, 1.5, 0.5  # seconds of a window: no events; requests or messages; few events
 CHANGES = 10  # of a window
 CONNECTIONS, RATE = 8, 80.0  # of clients, and their requests a second where it is not the rate that grows
 TICK = 0.001  # seconds between looks at how many messages are due
@@ -237,13 +237,14 @@
         """Requests at that rate: the cost of each, or of a second of them."""
         side = Side.BOTH if fleet.setup.may_tell else Side.SERVING
         await fleet.clients.widen(MOST_CONNECTIONS if a_second else CONNECTIONS)
+        seconds = BUSY if a_second else 1.0
         served, before = fleet.clients.served, fleet.read()
-        await fleet.clients.play(rate, BUSY)
+        await fleet.clients.play(rate, seconds)
         await fleet.wait(QUIET)
         _, processor, counts = fleet.since(before)
         served = fleet.clients.served - served
-        if served < ENOUGH * round(rate * BUSY):
-            return self.say(Problem(f"{name} at {axis} {x:g}: {served} served of {rate * BUSY:g}; no point"))
+        if served < ENOUGH * round(rate * seconds):
+            return self.say(Problem(f"{name} at {axis} {x:g}: {served} served of {rate * seconds:g}; no point"))
         each = served / rate if a_second else float(served)
         self.found(name, axis, Cost.PROCESSOR, side, x, processor / each)
         self.found_counts(name, axis, x, counts, each)
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -108,7 +108,8 @@
 
 def name_of(slope: Slope, x: float) -> str:
     column = "" if slope.column == Column.PROCESS else f" ({slope.column})"
-    return f"{slope.name}, {slope.axis} = {x:,.4g}{column}"
+    size = f"{x:.4g}" if x < 1000 else f"{x:,.0f}"
+    return f"{slope.name}, {slope.axis} = {size}{column}"
 
 
 def extent(
@@ -149,8 +150,10 @@
 def standing_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
     """Memory, and what a second without any event costs."""
     processor, memory, control = Cost.PROCESSOR, Cost.MEMORY, Side.CONTROL
+    bare = extent(slopes, Name.STANDING, Axis.UNITS, memory, 0)
     terms = [
-        extent(slopes, Name.STANDING, Axis.UNITS, memory, size.units).term("process and units", control, memory),
+        bare.term("the process itself", control, memory),
+        extent(slopes, Name.STANDING, Axis.UNITS, memory, size.units).less(bare).term("units", control, memory),
         more(slopes, Name.STANDING, Axis.TENANTS, memory, size.tenants).term("tenants", control, memory),
         more(slopes, Name.STANDING, Axis.RELAYS, memory, size.relays).term("relays", control, memory),
         extent(slopes, Name.IDLE, Axis.UNITS, processor, size.units).term("beats", control, processor),
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -18,6 +18,8 @@
 DAY = 86_400  # seconds
 MINUTE = 60  # seconds
 BEATS = 2  # a second
+HELD = "loop held by "
+LATE_PART = 1.0  # of 100 requests
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -135,8 +137,10 @@
 SHEDDING = Place("choices.flood", "Flood.allows")
 ARRANGING = Place("policy", "Relay.arrange")
 JUDGES_TOLD = Place("policy", "Judge.tell")
+STARTING = Place("net.relay", "Relay.start")
 CARRIED = {
-    "process and units": LIST,
+    "the process itself": STARTING,
+    "units": LIST,
     "tenants": CUSTOMERS,
     "relays": JUDGES_TOLD,
     "beats": BEAT,
@@ -229,9 +233,28 @@
     ):
         value = None if found.missing else found.value
         allowance = plan.allowance.added_ms
-        yield Need(
-            Role.RELAY, f"loop held by {what}", value, found.error, "ms", allowance, found.slope, mechanism, note
-        )
+        yield Need(Role.RELAY, f"{HELD}{what}", value, found.error, "ms", allowance, found.slope, mechanism, note)
+
+
+def held(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """The part of requests that come while one event holds the loop for longer than may be added to a request."""
+    fleet, limit = plan.fleet, plan.allowance.added_ms
+    rates = {
+        "a beat": float(BEATS),
+        "a changed entry": plan.list_changes_per_second(),
+        "a change of settings": fleet.settings_changes_per_day / DAY,
+    }
+    part = error = 0.0
+    for need in stops(plan, slopes):
+        rate = rates.get(need.what.removeprefix(HELD), 0.0)
+        if need.value is not None and need.value > limit:
+            part += rate * need.value / 10
+            error = hypot(error, rate * need.error / 10)
+    what = f"requests that find the loop held for over {limit:g} ms"
+    source = "beats, changed entries and settings, each as often as it comes"
+    yield Need(Role.RELAY, what, part, error, "%", LATE_PART, source, BEAT, "99 in 100 may not")
+    what = "added to a request by the question to the load tracker"
+    yield Need(Role.RELAY, what, None, 0.0, "ms", limit, "no slope: the core is shared here", ASKING)
 
 
 def busiest(plan: Plan, slopes: Slopes) -> Iterator[Need]:
@@ -280,14 +303,33 @@
         (lists, "bytes out on an ordinary day", changed.times(fleet.relays * day), "B/s", None),
         (lists, "bytes out in a roll-out", changed.times(fleet.relays * roll), "B/s", None),
         (lists, "bytes out, all relays started anew", whole.times(fleet.relays), "B", None),
-        (platform, "open connections", Extent(fleet.relays, 0.0, "one a relay", False), "", None),
-        (platform, "bytes out, signs of life", news.times(fleet.relays), "B/s", None),
+        (platform, "open connections", Extent(fleet.relays, 0.0, "one a relay", False), "", NEWS),
+        (platform, "bytes out, signs of life", news.times(fleet.relays), "B/s", NEWS),
         (settings, "changes to carry out", Extent(rate * fleet.relays, 0.0, "changes x relays", False), "/s", None),
         (settings, "bytes of the whole file, to all relays", file.times(rate * fleet.relays), "B/s", None),
     )
     for role, what, found, unit, mechanism in rows:
         value = None if found.missing else found.value
         yield Need(role, what, value, found.error, unit, None, found.slope, mechanism)
+    what, limit = "until settings are in force everywhere", plan.allowance.settings_in_force_s
+    yield Need(settings, what, None, 0.0, "s", limit, "nothing hands them out", None)
+
+
+def control_machines(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """What would fall on each of them if they did what is missing, or what is over the allowance of a relay."""
+    fleet, control = plan.fleet, Side.CONTROL
+    role, many = f"the {fleet.control_machines} control machines", fleet.control_machines
+    changed = extent(slopes, Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    file = extent(slopes, Name.RELOAD, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
+    messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
+    tracked = extent(slopes, Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR, messages, side=control)
+    roll, rate = plan.rollout_changes_per_second(), fleet.settings_changes_per_day / DAY
+    for what, found, unit in (
+        ("of each: the list in a roll-out, bytes out", changed.times(fleet.relays * roll / many), "B/s"),
+        ("of each: whole files of configuration, bytes out", file.times(fleet.relays * rate / many), "B/s"),
+        ("of each: the load tracker's messages, processor time", tracked.times(1 / many), "ms/s"),
+    ):
+        yield Need(role, what, None if found.missing else found.value, found.error, unit, None, found.slope, None)
 
 
 def needs(plan: Plan, slopes: Slopes) -> list[Need]:
@@ -297,6 +339,7 @@
         *terms_of(plan, relay),
         *sums_of(plan, relay),
         *stops(plan, slopes),
+        *held(plan, slopes),
         *busiest(plan, slopes),
         *terms_of(plan, judge, relay),
         *sums_of(plan, judge),
@@ -304,6 +347,7 @@
         *sums_of(plan, tracker),
         *tracking(plan, slopes),
         *handing_out(plan, slopes),
+        *control_machines(plan, slopes),
     ]
 
 
--- a/tealsail/lab/capacity/slopes.py
+++ b/tealsail/lab/capacity/slopes.py
@@ -1,6 +1,7 @@
 """What was measured, the curves fitted through it, and the file of JSON that keeps both."""
 
 from collections.abc import Iterable
+from math import hypot
 from pathlib import Path
 from typing import NamedTuple
 
@@ -10,6 +11,7 @@
 from .points import Axis, Column, Cost, Name, Point, Side
 
 VERSION = 1
+TWO_ERRORS = 2.0  # standard errors that stand for a 95% interval where there is no fit
 
 
 class Key(NamedTuple):
@@ -41,12 +43,22 @@
 
     def at(self, x: float) -> tuple[float, float]:
         """The value there, never under zero, and half the width of its 95% interval."""
+        if x > self.measured_to() and not self.curve.straight:
+            return self.beyond(x)
         value, error = self.curve.at(x)
         return max(0.0, value), error
 
+    def beyond(self, x: float) -> tuple[float, float]:
+        """Past the last point of what is no line: on as between the last two points, whose scatter is the error."""
+        before, last = self.samples[-2:]
+        steps = (x - last.x) / (last.x - before.x)
+        largest = abs(last.mean())
+        error = hypot((1 + steps) * last.error(largest), steps * before.error(largest))
+        return max(0.0, last.mean() + steps * (last.mean() - before.mean())), TWO_ERRORS * error
+
     def more(self, x: float) -> tuple[float, float]:
         """By how much the value there exceeds that of the base."""
-        value, error = self.curve.at(x)
+        value, error = self.at(x)
         return value - self.curve.at(self.base)[0], error
 
     def measured_to(self) -> float:
