--- a/tealsail/command/capacity.py
+++ b/tealsail/command/capacity.py
@@ -46,17 +46,19 @@
             lambda done, total, title: bar.update(task, completed=done, total=total, description=title),
         )
     out = Console(highlight=False, width=None if sys.stdout.isatty() else WIDTH)
-    out.print(tables.slopes(found.slopes))
+    out.print(tables.slopes(found))
     for problem in found.problems:
         out.print(f"not measured: {problem}", style="bold", markup=False)
-    state = found.slopes.machine
-    out.print(f"{found.slopes.seconds:.0f} s on processors {state.allowed} of {state.cores}; Python {state.python}; ")
+    for text in found.disturbed:
+        out.print(f"disturbed: {text}", markup=False)
+    state = found.machine
+    out.print(f"{found.seconds:.0f} s on processors {state.allowed} of {state.cores}; Python {state.python}; ")
     out.print(f"load {state.load_before:.2f} before, {state.load_after:.2f} after; commit {state.commit}")
     if chosen["--json"]:
-        slopes.write(chosen["--json"], found.slopes)
+        slopes.write(chosen["--json"], found)
     if chosen["--chart"]:
         from ..lab.capacity import chart
 
-        chart.draw(chosen["--chart"], found.slopes)
+        chart.draw(chosen["--chart"], found)
         out.print(f"chart: {chosen['--chart']}")
     return int(bool(found.problems))
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -44,6 +44,8 @@
         ["Python, kernel", f"{state.python}, {state.kernel}"],
         ["load before and after", f"{state.load_before:.2f}, {state.load_after:.2f}"],
         ["time, repeats of a size", f"{slopes.seconds:.0f} s, {slopes.repeats}"],
+        ["not measured", "; ".join(slopes.problems) or "nothing"],
+        ["kept though disturbed by the machine's host", "; ".join(slopes.disturbed) or "nothing"],
     ]
     return table(["the run", ""], rows)
 
--- a/tealsail/lab/capacity/points.py
+++ b/tealsail/lab/capacity/points.py
@@ -94,4 +94,10 @@
     text: str
 
 
-Line = Progress | Found | Problem
+class Disturbed(msgspec.Struct, tag=True):
+    """Points that were kept though the machine's host took much of their time."""
+
+    text: str
+
+
+Line = Progress | Found | Problem | Disturbed
--- a/tealsail/lab/capacity/slopes.py
+++ b/tealsail/lab/capacity/slopes.py
@@ -88,6 +88,8 @@
     seconds: float
     repeats: int
     slopes: list[Slope]
+    problems: list[str] = []  # measurements that gave no point
+    disturbed: list[str] = []  # points that were kept though the machine's host took much of their time
 
     def find(
         self, name: Name, axis: Axis, cost: Cost, column: Column = Column.PROCESS, side: Side | None = None
