--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -12,15 +12,16 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
 BUILD, EARLIER = 2, 1  # on trial, and before
 SIZES: dict[Axis, tuple[float, ...]] = {
+    Axis.REQUESTS: (3, 14, 65, 300),
+    Axis.MESSAGES: (12, 54, 250, 1200),
     Axis.UNITS: (120, 560, 2600, 12_000),
     Axis.TENANTS: (380, 1760, 8200, 38_000),
     Axis.RELAYS: (13, 60, 280, 1300),
-    Axis.REQUESTS: (3, 14, 65, 300),
-    Axis.MESSAGES: (12, 54, 250, 1200),
     Axis.LIST_CHANGES: (1, 5, 22, 100),
     Axis.WHOLE_LISTS: (1, 5, 22, 100),
     Axis.SETTINGS: (1, 5, 22, 100),
 }
+STATE = (Axis.UNITS, Axis.TENANTS, Axis.RELAYS)  # each size needs a process of its own
 
 
 class Setup(NamedTuple):
