--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -52,6 +52,17 @@
         curve = fit([Sample(x, (value,)) for x, value in ((1, 1.0), (10, 10.0), (50, 1.0), (100, 9.0))])
         self.assertFalse(curve.straight)
 
+    def test_what_no_shape_fits_is_read_off_between_its_points_and_past_the_last_two(self) -> None:
+        """A line through a step foretold half of what had been measured at the very size."""
+        values = ((100, 1.0), (1000, 2.0), (2000, 3.0), (10_000, 83.0))
+        points = [
+            Point(Name.IDLE, Axis.UNITS, Column.PROCESS, Cost.PROCESSOR, Side.CONTROL, x, value) for x, value in values
+        ]
+        (slope,) = slopes.through(points, BASES, {})
+        self.assertFalse(slope.curve.straight)
+        for x, value in ((100, 1.0), (10_000, 83.0), (6000, 43.0), (12_000, 103.0)):
+            self.assertAlmostEqual(slope.at(x)[0], value, 6)
+
     def test_repeats_that_scatter_widen_the_error(self) -> None:
         steady = fit([Sample(x, (x, x)) for x in SIZES])
         loose = fit([Sample(x, (0.7 * x, 1.3 * x)) for x in SIZES])
