--- a/tealsail/command/capacity.py
+++ b/tealsail/command/capacity.py
@@ -12,7 +12,7 @@
 from ..lab.capacity.sizing import read_plan
 
 WIDTH = 200  # of tables that go to a file or a pipe
-DEFAULT_FROM, DEFAULT_PLAN = "docs/capacity.json", "examples/capacity.toml"
+DEFAULT_FROM, DEFAULT_PLAN = "docs/capacity.json", "docs/capacity.toml"
 
 
 def run(chosen: dict[str, Any]) -> int:
--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -74,7 +74,7 @@
   --chart=FILE       Draw a PNG.
   --page=FILE        Write the tables between the page's markers.
   --from=FILE        The file of a run of capacity, docs/capacity.json if none is named.
-  --plan=FILE        The numbers to plan with, examples/capacity.toml if none is named.
+  --plan=FILE        The numbers to plan with, docs/capacity.toml if none is named.
   --logs=DIR         Keep the relays' logs there.
   --keep=DIR         Keep the real days there; those that are there already are not played again.
   -h --help          Show this.
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 from tealsail.lab.capacity.roles import FleetSize, Role, foretell
 
 ROOT = Path(__file__).parents[1]
-PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "examples/capacity.toml"
+PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "docs/capacity.toml"
 SIZES = (10.0, 100.0, 1000.0)
 MACHINE = slopes.Machine(8, [3], "a processor", "3.11", "6", 0.0, 0.0, "", "", False)
 BASES = {Axis.UNITS: 120.0, Axis.RELAYS: 13.0, Axis.TENANTS: 40.0}
