--- a/tealsail/lab/capacity/tables.py
+++ b/tealsail/lab/capacity/tables.py
@@ -28,7 +28,7 @@
 def shape(slope: Slope) -> str:
     """Whether it is a line, and what it is else."""
     if not slope.curve.grows():
-        return "flat"
+        return "flat" if slope.curve.straight else "no trend; points scatter"
     return "line" if slope.curve.straight else f"not a line; {slope.curve.shape} misses by {slope.curve.worst:.0%}"
 
 
