--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -43,6 +43,8 @@
 class Zones(Stage):
     """Owns the zones; told of the list by `arrange`, of time by `beat`."""
 
+    NAME = "zones"  # of its counters
+
     def __init__(self, relay, zoning: Zoning, own: int, many: int) -> None:
         super().__init__(relay)
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
@@ -283,8 +285,8 @@
         return fit
 
     def may_spill(self, zone: Zone) -> bool:
-        """The stated limits, of this relay's own figures: a share of all, and a rate over the zone's own use.  One above
-        is let through, so that a relay with little to do can spill at all."""
+        """The stated limits, of this relay's own figures: a share of all, and a rate over the zone's own use.  One
+        above is let through, so that a relay with little to do can spill at all."""
         now = self.relay.now
         taken, gone = self.taken.total(now), sum([ring.total(now) for ring in self.spilled.values()])
         limit = max(self.room.get(zone.place, 0.0), FAR / len(self.order[zone.tier].zones))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -87,7 +87,8 @@
 
     def test_relays_are_cut_from_each_other_one_way_and_both_from_the_list_and_from_the_platform(self) -> None:
         _, lines = self.play(
-            "from 1s for 5s cut 2 relays from the list\nfrom 1s for 3s cut all relays of zone b from the others one way\n"
+            "from 1s for 5s cut 2 relays from the list\n"
+            "from 1s for 3s cut all relays of zone b from the others one way\n"
             "from 2s for 3s cut 3 relays from the platform\nfrom 4s for 1s cut neighbours\nat 2s kill 2 units",
             fleet=FLEET | {"notice_ms": 200.0},
         )
@@ -174,20 +175,20 @@
                 "folder": folder,
                 "record": "",
             }
-            director = subprocess.Popen(
-                [sys.executable, "-B", "-m", "tealsail.lab.loopback.theatre"],
+            coordinator = subprocess.Popen(
+                [sys.executable, "-B", "-m", "tealsail.lab.loopback.trial"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
             )
-            director.stdin.write(json.dumps(told).encode())
-            director.stdin.close()
+            coordinator.stdin.write(json.dumps(told).encode())
+            coordinator.stdin.close()
             deadline = time.monotonic() + 60
             while len(self.processes(folder)) < 8 and time.monotonic() < deadline:
                 time.sleep(0.05)  # until real processes are there; nothing is judged by this time
             running = self.processes(folder)
-            director.terminate()
-            director.wait(60)
+            coordinator.terminate()
+            coordinator.wait(60)
             self.assertEqual((len(running), self.processes(folder)), (8, []))
 
     def processes(self, folder: str) -> list[str]:
