--- a/tealsail/lab/capacity/fit.py
+++ b/tealsail/lab/capacity/fit.py
@@ -15,6 +15,7 @@
 from ..bars import LEVEL, student
 
 LEAST_PART = 0.01  # of a value: its standard error, whatever its repeats say
+ALONE_PART = 0.05  # the same where there is one repeat only: runs on one machine have differed by so much
 LEAST_OF_ALL = 0.002  # of the largest value: the same, for values near zero
 CROOKED = 0.1  # a line that misses a point by so much of it, beyond twice the point's error, is none
 BETTER = 3.0  # times as small the sum of squares has to be for another shape to be taken
@@ -47,7 +48,9 @@
     def error(self, largest: float) -> float:
         """The standard error of the mean."""
         least = max(LEAST_PART * abs(self.mean()), LEAST_OF_ALL * largest, 1e-12)
-        return max(least, stdev(self.values) / sqrt(len(self.values))) if len(self.values) > 1 else least
+        if len(self.values) < 2:
+            return max(least, ALONE_PART * abs(self.mean()))
+        return max(least, stdev(self.values) / sqrt(len(self.values)))
 
 
 class Curve(msgspec.Struct, frozen=True):
