--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -24,6 +24,8 @@
   tealsail model fields
   tealsail hunt SCENARIO [--days=N] [--seed=N] [--jobs=N] [--most=LIMITS] [--json=FILE]
   tealsail trial SCENARIO [--seed=N] [--record=FILE] [--json=FILE] [--chart=FILE] [--logs=DIR]
+  tealsail scale SCENARIO [--real=N] [--processes=N] [--slow=X] [--list-every=S] [--seed=N] [--json=FILE]
+                          [--chart=FILE] [--logs=DIR]
   tealsail record show FILE [--json=FILE]
   tealsail record import CSV FILE [--start=MS]
   tealsail record fit RECORD... [--draws=N] [--json=FILE]
@@ -48,6 +50,8 @@
   hunt           Random faults over a scenario, in virtual time: days that break a rule or a limit, each shrunk to the
                  fewest lines of script.  Exit code 1 if there is one.
   trial          Play a scenario for real: relay processes on loopback addresses.
+  scale          Play a scenario with a few real relays beside hollow ones, hundreds to a process: what each role costs,
+                 and what the script's faults do.  Exit code 1 if a rule was broken.
   record show    Figures and broken rules of a record.
   record import  A record of arrivals from CSV (columns: at_ms,workload,customer,key).
   record fit     What units are like, from records of one or more days, with the uncertainty of it.
@@ -63,6 +67,10 @@
   --most=LIMITS      What a hunt lets pass: waste, and herd and idle over even draws [default: waste=0.5,herd=3,idle=6].
   --draws=N          Bootstrap draws of a fit [default: 40].
   --seed=N           One day of that seed instead of the scenario's.
+  --real=N           Relays of a scale run that are processes of their own [default: 10].
+  --processes=N      Processes that hold its hollow relays [default: 4].
+  --slow=X           True seconds that one second of it lasts [default: 1].
+  --list-every=S     Seconds for which changes of its endpoint list are gathered [default: 0.5].
   --start=MS         Unix time of the record's zero in milliseconds, if not the first line's.
   --record=FILE      Write the record there (.gz: packed).
   --json=FILE        Write the figures there too.
@@ -88,6 +96,10 @@
 
         return serve.run(chosen, os.environ)
     try:
+        if chosen["scale"]:
+            from . import scale
+
+            return scale.run(chosen)
         from . import lab
     except ModuleNotFoundError as missing:
         print(f"tealsail: {missing.name} is not installed: pip install -r requirements-lab.txt", file=sys.stderr)
--- /dev/null
+++ b/tests/test_scale.py
@@ -0,0 +1,361 @@
+"""The scale run: hollow relays send what real ones send, its clock and addresses, and a small run of processes."""
+
+import json
+import os
+import subprocess
+import sys
+import tempfile
+import time
+import unittest
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+
+from tealsail.lab.scale import hollow, runs
+from tealsail.lab.scale.addresses import ScaleAddresses, backend_number
+from tealsail.lab.scale.director import Plan
+from tealsail.lab.scale.hollow import HollowRelay, Outside
+from tealsail.lab.scale.reading import windows
+from tealsail.lab.scale.runs import MARK
+from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
+from tealsail.lab.scenario import BadScenario, read
+from tealsail.net import messages, statements
+from tealsail.net.discovery import read_news
+from tealsail.net.platform import read_state
+from tealsail.net.relay import Relay, number_of
+from tealsail.notes import answer_note, count_notes, verdict_note
+from tealsail.record.lines import Fault
+
+from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure
+from .test_relay import config, listing, state, told
+
+RELAYS, OWN, BACKENDS = 5, 3, 12
+SMALL = Path(__file__).parent.parent / "examples" / "scale-small.toml"
+ATTEMPTS = 3
+STEP = 0.01  # seconds
+EMPTY_QUERY = messages.query(b"")
+ANSWERS = {"served": ROW + IDLE, "error": failure("XX000") + IDLE, "full": failure("53300") + IDLE}
+
+
+def backend(place: int, **more: Any) -> dict:
+    return {
+        "instanceId": f"s-{place}",
+        "hostPort": f"127.0.0.9:{7001 + place}",
+        "lifecycle": "ready",
+        "build": 41 + (place % 3 == 0),
+        "startedAtMs": 1_600_000_000_000,
+    } | more
+
+
+def assignment() -> Any:
+    """Relay 3 of five, with a build on trial from its first moment."""
+    tree = config(
+        peers=[f"127.0.0.{10 + other}:7946" for other in range(RELAYS)],
+        peer_listen=f"127.0.0.{10 + OWN}:7946",
+        rollouts={"address": "", "news": state(42, 0, "canary", 0.5)},
+        known=listing(41, True, *(backend(place) for place in range(BACKENDS))),
+    )
+    tree["settings"] |= {"fleetSize": RELAYS, "index": OWN}
+    return told(tree)
+
+
+class Driven:
+    """One relay on a network in memory: requests, answers, datagrams and news go in by the same calls."""
+
+    def __init__(self) -> None:
+        self.reactor = Reactor()
+        self.waiting: dict[str, Any] = {}  # id of a request -> its attempt, at the backend
+
+    def step(self) -> None:
+        self.reactor.advance(STEP)
+        self.settle()
+
+    def settle(self) -> None:
+        """Lets what is on its way arrive."""
+
+    def receive(self, sender: int, data: bytes) -> None:
+        self.reactor.udp.datagramReceived(data, (f"127.0.0.{10 + sender}", 7946))
+        self.settle()
+
+    def news(self, tree: dict) -> None:
+        self.relay.listed(read_news(tree))
+
+    def rollout(self, tree: dict) -> None:
+        self.relay.stood(read_state(tree))
+
+
+class DrivenReal(Driven):
+    """A relay as it runs: its own parsers, connections and table of them."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.relay = Relay(self.reactor, assignment())
+        self.relay.start()
+        self.wires: list[Wire] = []
+
+    def ask(self, number: str, request_class: str) -> None:
+        client = Wire(self.reactor.tcpServers[0][1].buildProtocol(None))
+        client.gets(OPENING)
+        client.gets(asking(number=number, workload=request_class))
+        self.settle()
+
+    def settle(self) -> None:
+        """Connections come up, prove that they stand, and bring attempts; those that a relay ended end."""
+        moved = True
+        while moved:
+            moved = False
+            self.reactor.advance(0)
+            for port in range(7001, 7001 + BACKENDS):
+                while self.reactor.dialled(port):
+                    self.wires.append(self.reactor.up(port))
+                    self.wires[-1].gets(GREETING)
+                    moved = True
+            for wire in [wire for wire in self.wires if not wire.settle()]:
+                data = wire.sent()
+                moved |= bool(data)
+                if EMPTY_QUERY in data:
+                    wire.gets(messages.EMPTY)
+                if b"SELECT" in data:
+                    self.waiting[data.split(b"id=")[1].split(b",")[0].decode()] = wire
+
+    def answer(self, number: str, outcome: str) -> None:
+        self.waiting.pop(number).gets(ANSWERS[outcome])
+        self.settle()
+
+
+class ScriptedBackends:
+    """Holds attempts until the story answers them."""
+
+    def __init__(self, waiting: dict[str, Any]) -> None:
+        self.waiting, self.places = waiting, 0
+
+    def next_place(self, number: int) -> int:
+        self.places += 1
+        return self.places
+
+    def take(self, attempt: Any, request_class: int, wait: int) -> bool:
+        self.waiting[str(attempt.number)] = attempt
+        return True
+
+    def stop(self, attempt: Any) -> None:
+        """Its relay waits no longer."""
+
+
+class DrivenHollow(Driven):
+    """The same, hollow."""
+
+    kind: type[HollowRelay] = HollowRelay
+
+    def __init__(self) -> None:
+        super().__init__()
+        names = {number_of(f"s-{place}"): f"s-{place}" for place in range(BACKENDS + 1)}
+        outside = Outside(
+            ScriptedBackends(self.waiting),
+            names,
+            lambda *vote: None,
+            lambda relay: None,
+            lambda address, size: None,
+            lambda address, size: None,
+        )
+        self.relay = self.kind(self.reactor, assignment(), outside)
+        self.relay.start()
+
+    def ask(self, number: str, request_class: str) -> None:
+        body = asking(number=number, workload=request_class)[5:-1]
+        self.relay.take(statements.read(body), self.relay.clock()).addErrback(lambda reason: None)
+        self.settle()
+
+    def settle(self) -> None:
+        self.reactor.advance(0)
+
+    def answer(self, number: str, outcome: str) -> None:
+        self.waiting.pop(number).answered(outcome, None)
+        self.settle()
+
+
+def play(driven: Driven) -> list[tuple[bytes, tuple[str, int]]]:
+    """One sequence of events: requests, every kind of answer, messages of others, news; what was sent, in order."""
+    reactor = driven.reactor
+    tracker = driven.relay.facade.relay.guide.order[0]
+    answered = 0
+    for step in range(900):
+        driven.step()
+        if step % 7 == 0:
+            driven.ask(str(1000 + step), "order" if step % 21 == 0 else "basket")
+        asked = [data for data, to in reactor.datagrams if len(data) >= 9 and len(data) == 5 + 2 * data[4]]
+        while answered < len(asked):  # the load tracker names the last it was asked about; silent for a while
+            if not 300 <= step < 420:
+                driven.receive(tracker, answer_note(int.from_bytes(asked[answered][:4], "little"), 0))
+            answered += 1
+        if step % 3 == 0:
+            for number in sorted(driven.waiting)[:2]:
+                outcome = "error" if step % 33 == 0 else "full" if step % 39 == 0 else "served"
+                driven.answer(number, outcome)
+        if step == 350:
+            driven.news(listing(42, False, backend(1, lifecycle="gone"), backend(BACKENDS, build=42)))
+        if step == 500:
+            driven.receive(1, count_notes(42, 5, [(0, 40), (1, 3)], 60)[0])
+        if step == 600:
+            driven.rollout(state(42, 1, "canary", 1.0))
+        if step == 700:
+            judges = driven.relay.facade.relay.judge.order
+            driven.receive(judges[0], verdict_note(42, 1, 3))
+    return reactor.datagrams
+
+
+class SameMessages(unittest.TestCase):
+    """Hollow relays are worth measuring only as long as they send what real ones send for the same events."""
+
+    maxDiff = 2000
+
+    def compared(self, kind: type[HollowRelay]) -> tuple[list, list]:
+        hollow.ONE_WAY, before = 0, hollow.ONE_WAY  # connections in memory take no time either
+        DrivenHollow.kind = kind
+        try:
+            return play(DrivenReal()), play(DrivenHollow())
+        finally:
+            hollow.ONE_WAY, DrivenHollow.kind = before, HollowRelay
+
+    def test_a_hollow_relay_sends_byte_for_byte_what_a_real_one_sends_for_the_same_events(self) -> None:
+        real, hollow_ones = self.compared(HollowRelay)
+        kinds = {len(data) for data, _ in real}
+        self.assertGreater(len(real), 300)
+        self.assertTrue({6, 9} & kinds and any(size > 14 and size % 4 == 2 for size in kinds), kinds)
+        self.assertEqual(real, hollow_ones)
+
+    def test_a_hollow_relay_that_passes_over_an_answer_of_the_tracker_is_found_out(self) -> None:
+        class Deaf(HollowRelay):
+            def heard(self, number: int, data: bytes) -> None:
+                if len(data) != 5:
+                    super().heard(number, data)
+
+        real, hollow_ones = self.compared(Deaf)
+        self.assertNotEqual(real, hollow_ones)
+
+    def test_a_hollow_relay_that_wires_one_thing_less_is_found_out(self) -> None:
+        class Unlisted(HollowRelay):
+            def listed(self, news: Any, kind: str = "") -> None:
+                if kind:  # what it knew at its start, and no change
+                    super().listed(news, kind)
+
+        real, hollow_ones = self.compared(Unlisted)
+        self.assertNotEqual(real, hollow_ones)
+
+
+class Addresses(unittest.TestCase):
+    def test_twelve_thousand_backends_are_told_apart_behind_one_port(self) -> None:
+        addresses = ScaleAddresses(10_000)
+        places = [addresses.unit(0, number) for number in range(0, 130_000, 7)]
+        self.assertEqual([backend_number(place.host) for place in places], list(range(0, 130_000, 7)))
+        self.assertEqual({place.port for place in places}, {places[0].port})
+        self.assertEqual([backend_number(each) for each in ("127.60.0.1", "10.100.0.1", "127.100.0", "")], [-1] * 4)
+
+
+class Clock(unittest.TestCase):
+    def test_a_second_lasts_eight_and_a_wait_is_as_long_on_the_slow_clock_as_it_was_asked_for(self) -> None:
+        clock = SlowClock(0.125, 100.0)
+        clock.true_monotonic, clock.true_wall = lambda: 180.0, lambda: 5_000.0
+        self.assertEqual(clock.monotonic(), 110.0)
+        self.assertEqual(clock.wall(), 5_000.0 - 70.0)
+        waits = []
+        poll = SlowPoll(clock, SimpleNamespace(poll=lambda wait, most: waits.append(wait)))
+        for wait in (0.5, 0, -1):
+            poll.poll(wait)
+        self.assertEqual(waits, [4.0, 0, -1])
+
+
+class Windows(unittest.TestCase):
+    def test_lines_of_the_script_that_say_the_same_are_one_fault_and_all_is_as_before_after_two_calm_seconds(
+        self,
+    ) -> None:
+        lines = [Fault(30_000, "at 3s kill 3 units"), Fault(50_000, "at 5s kill 3 units"), Fault(90_000, "at 9s x")]
+        seconds = SimpleNamespace(
+            shots=[10] * 12,
+            asked=[10] * 12,
+            kept=[10, 10, 10, 5, 10, 10, 5, 10, 10, 0, 0, 0],
+            wasted=[0] * 12,
+            herd=[1.0] * 12,
+            p99=lambda *which: 7.0,
+        )
+        found = windows(seconds, lines, [100.0] * 12)
+        self.assertEqual([each.name for each in found], ["calm", "kill 3 units", "x"])
+        self.assertEqual([(each.begin_s, each.end_s) for each in found], [(1, 3), (3, 9), (9, 12)])
+        self.assertEqual([each.restored_s for each in found], [0.0, 2.0, -1.0])
+        self.assertEqual(found[1].service, 50 / 60)
+
+
+class Runs(unittest.TestCase):
+    """Three real relays, sixty hollow ones in two processes, and the world round them, in real time."""
+
+    def processes(self, folder: str) -> list[str]:
+        """Those of the run whose logs are in that folder, the director among them."""
+        found = []
+        for environment in Path("/proc").glob("[0-9]*/environ"):
+            try:
+                if f"{MARK}={folder}\0".encode() in environment.read_bytes() + b"\0":
+                    found.append(environment.parent.name)
+            except OSError:  # it has just ended
+                continue
+        return found
+
+    def test_the_small_form_keeps_the_rules_through_each_kind_of_fault_and_leaves_no_process(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            for _ in range(ATTEMPTS):  # a machine too busy to play it gives no verdict
+                found = runs.play(read(SMALL), 1, 3, 2, logs=folder)
+                if not found.void:
+                    break
+            self.assertEqual(self.processes(folder), [])
+        self.assertFalse(found.void, found.stalled_part)
+        self.assertEqual((found.breaches, found.broken, found.problems), ({}, [], []))
+        self.assertTrue(found.kept)
+        names = ["calm", "kill 10% of relays for 1s", "pause the keeper for 2s", "kill 6 units for 1s"]
+        self.assertEqual([each.name for each in found.windows], names)
+        self.assertEqual((found.processes, found.relays, len(found.real), found.units), (6, 63, 3, 120))
+        self.assertIn(found.tracker, found.real)  # so that it is a process that was stopped
+        self.assertEqual([role.role for role in found.roles][:2], ["relay, hollow", "load tracker"])
+        self.assertEqual(sum(role.many for role in found.roles[1:]), 3 - (found.roles[0].many + 3 < 57))
+        self.assertGreater(sum(each.requests for each in found.windows), 2_000)
+        self.assertGreater(min(found.series["messages"]), 100)
+        for role in found.roles:
+            self.assertGreater(role.processor.mean, 0)
+            self.assertGreater(role.datagrams_out.mean, 1)
+
+    def test_a_run_that_is_ended_early_leaves_no_process_behind(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            plan = Plan(3, 2, 1.0, 0.0, 0.5, 60.0)
+            told = {"scenario": read(SMALL).plain(), "seed": 1, "folder": folder, "plan": msgspec.to_builtins(plan)}
+            director = subprocess.Popen(
+                [sys.executable, "-B", "-m", "tealsail.lab.scale.director"],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+                env=os.environ | {MARK: folder},
+            )
+            director.stdin.write(json.dumps(told).encode())
+            director.stdin.close()
+            deadline = time.monotonic() + 60
+            while len(self.processes(folder)) < 6 and time.monotonic() < deadline:
+                time.sleep(0.05)  # until all are there; nothing is judged by this time
+            running = self.processes(folder)
+            director.terminate()
+            director.wait(60)
+            while self.processes(folder) and time.monotonic() < deadline:
+                time.sleep(0.05)
+            self.assertEqual((len(running), self.processes(folder)), (6, []))
+
+    def test_what_nobody_in_a_run_could_do_is_turned_down_before_it_begins(self) -> None:
+        for changes, why in (
+            ({"script": "from 1s for 2s notes lost 30%"}, "reach each other directly"),
+            ({"script": "at 1s run clocks of relay 1 x 1.2"}, "reach each other directly"),
+            ({"platform": {"on_votes": 4}}, "votes of 3 at the most"),
+        ):
+            with self.assertRaisesRegex(BadScenario, why):
+                runs.check(read(SMALL, changes), 3, 2)
+        with self.assertRaisesRegex(BadScenario, "don't fit"):
+            runs.check(read(SMALL), 64, 2)
+
+
+if __name__ == "__main__":
+    unittest.main()
