--- /dev/null
+++ b/tealsail/lab/loopback/process_messages.py
@@ -0,0 +1,123 @@
+"""The messages between a trial's coordinator and the members of its process group: typed values, one JSON line each
+where a member has a process of its own."""
+
+from typing import Any
+
+import msgspec
+
+
+class Message(msgspec.Struct, array_like=True, frozen=True, tag=True):
+    """A JSON array: the tag, then the fields in their order."""
+
+
+class RoleAssignment(Message, tag="cast"):
+    """The first to a process: its role, as which of how many members, in what scenario; `record` is the file to
+    write."""
+
+    role: str
+    index: int
+    count: int
+    scenario: dict[str, Any]
+    seed: int
+    port: int
+    record: str
+
+
+class DayBegin(Message, tag="begin"):
+    """The day's start, in seconds of CLOCK_MONOTONIC."""
+
+    start: float
+
+
+class BackendState(Message, tag="stand"):
+    """A backend as the coordinator has it: a new one, or what has changed of one."""
+
+    name: str
+    number: int  # of its port
+    mark: int
+    build: int
+    speed: float
+    zone: str
+    cell: int
+    started: int
+    hung: bool
+    slow: float
+    errors: float
+    draining: bool
+    dead: bool
+
+
+class NetworkState(Message, tag="net"):
+    """All that is wrong with the network (Network.plain)."""
+
+    plain: list[Any]
+
+
+class RelayStates(Message, tag="relays"):
+    """Those that answer, and those that have been told to end and run yet."""
+
+    ready: list[int]
+    ending: list[int]
+
+
+class ArrivalsOver(Message, tag="close"):
+    """The last request has arrived: report when all are answered."""
+
+
+class Stop(Message, tag="stop"):
+    """The trial is over."""
+
+
+class BackendCrashed(Message, tag="fell"):
+    """A backend crashed under what it was sent."""
+
+    name: str
+
+
+class Violation(Message, tag="wrong"):
+    """What a relay did that no rule has a name for, in one sentence."""
+
+    text: str
+
+
+class AllAnswered(Message, tag="answered"):
+    """All clients of a member have their answers."""
+
+
+class FinalReport(Message, tag="over"):
+    """The last of a member.
+
+    `lateness` counts arrivals by how late they were sent (tenths of a ms); `lost_while_up` is which relay lost a
+    request while it was up, and when; `cpu` the processor time in seconds; `resent` the relay and number of each
+    request that was sent anew since that relay ended."""
+
+    lateness: dict[int, int]
+    lost_while_up: list[tuple[int, int]]
+    cpu: float
+    resent: list[tuple[int, int]] = []
+
+
+AnyMessage = (
+    RoleAssignment
+    | DayBegin
+    | BackendState
+    | NetworkState
+    | RelayStates
+    | ArrivalsOver
+    | Stop
+    | BackendCrashed
+    | Violation
+    | AllAnswered
+    | FinalReport
+)
+ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyMessage)
+
+
+def encode(message: Message) -> bytes:
+    """One line, with its end."""
+    return ENCODER.encode(message) + b"\n"
+
+
+def decode(line: bytes) -> AnyMessage:
+    """Raises msgspec.DecodeError."""
+    return DECODER.decode(line)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -9,7 +9,7 @@
 from hypothesis import given, strategies as st
 
 from tealsail.lab import baselines, hunt, runs
-from tealsail.lab.loopback import addresses, shifted
+from tealsail.lab.loopback import addresses, clock_offset
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.script import Unclear, read_script
 from tealsail.record.lines import Came, Done, End, Head, Life, Log, Met, Ran, Shot, Take, Told, Unit
@@ -26,7 +26,8 @@
     def test_relays_are_named_by_number_part_zone_and_what_they_do(self) -> None:
         found = read_script(
             "at 1s pause the keeper for 5s\nat 2s kill 20% of relays of zone a\nat 3s restart 2 relays\n"
-            "from 4s for 8s cut relay 3 from the list\nfrom 5s for 8s cut all relays of zone a from the others one way\n"
+            "from 4s for 8s cut relay 3 from the list\n"
+            "from 5s for 8s cut all relays of zone a from the others one way\n"
             "from 6s for 1s cut 4 relays from 3 relays of zone b\nfrom 7s for 1s notes replayed after 5s 30%\n"
             "at 8s step clocks of the judges by -3600s\nfrom 9s for 2s hold all relays to 20%"
         )
@@ -105,21 +106,21 @@
         self.assertEqual(addresses.caller(place.host), -1)  # not from a relay's own address
 
     def test_two_trials_never_share_ports(self) -> None:
-        first, second = addresses.Taken(3), addresses.Taken(3)
+        first, second = addresses.PortBlock(3), addresses.PortBlock(3)
         self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK)
         first.free(), second.free()
         with self.assertRaises(ValueError):
-            addresses.Taken(addresses.MOST_RELAYS + 1)
+            addresses.PortBlock(addresses.MOST_RELAYS + 1)
 
 
 class Clocks(unittest.TestCase):
     def test_a_clock_runs_fast_from_a_moment_and_the_wall_clock_steps_besides(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "clock"
-            path.write_bytes(2 * shifted.SHAPE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
+            path.write_bytes(2 * clock_offset.SHAPE.pack(1.2, time.monotonic() - 10, 1.0, -3600.0))
             with mock.patch.multiple(time, time=time.time, monotonic=time.monotonic, clock_gettime=time.clock_gettime):
                 monotonic, wall = time.monotonic, time.time
-                shifted.take_over(shifted.Shift(str(path)))
+                clock_offset.take_over(clock_offset.ClockOffset(str(path)))
                 ahead = time.monotonic() - monotonic()
                 self.assertAlmostEqual(ahead, 3.0, delta=0.1)  # 1 s, and a fifth of 10
                 self.assertAlmostEqual(time.time() - wall(), 3.0 - 3600, delta=0.1)
@@ -222,7 +223,8 @@
         self.assertEqual(self.look(rows((0, 100, "u0"), (10, 100, "u0")), cores=2.0).figures()["waste"], 0.0)
 
     def test_with_a_relay_that_dies_its_shots_leave_their_units(self) -> None:
-        """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the trial."""
+        """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the
+        trial."""
         lines = [
             Ran(0, 3, 1, 0, "u0", 100),
             Ran(5, 4, 2, 0, "u0", 100),
