--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -161,21 +161,24 @@
             (self.folder / "tealsail.toml").write_text(toml(setup.scenario.document))
             document = [f"--document={self.folder / 'tealsail.toml'}"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
-        program = ["-m", "tealsail"]
-        if self.moved:
-            self.move_clock(relay)
-            program = [str(Path(__file__).with_name("clock_offset.py")), str(self.clock(relay))]
         home = self.beside if relay in self.others else HOME
         process = setup.reactor.spawnProcess(
             running,
             sys.executable,
-            [sys.executable, "-B", *program, "serve", *document],
+            [sys.executable, "-B", *self.program(relay), "serve", *document],
             environment | {"EDGE_CONFIG": str(path)},
             str(home),
             childFDs={0: "w", 1: "r", 2: "r"},
         )
         self.running[relay] = running, process
 
+    def program(self, relay: int) -> list[str]:
+        """What Python runs, before `serve`."""
+        if not self.moved:
+            return ["-m", "tealsail"]
+        self.move_clock(relay)
+        return [str(Path(__file__).with_name("clock_offset.py")), str(self.clock(relay))]
+
     def told(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
         roster, state = self.day.roster, self.day.desk.state
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -10,7 +10,7 @@
 from ...record.lines import Came, Done, Ran, Shot
 from ...world.clients import TRY
 from ...world.unit import NEVER, Asked, Unit
-from ..loopback.scene import Scene
+from ..loopback.trial_setup import TrialSetup
 from .words import Backend
 
 Load = dict[str, float] | None
@@ -31,11 +31,11 @@
 class Backends:
     """Takes attempts in, wakes the machines at work and hands on their answers; `fell` is told of one that falls."""
 
-    def __init__(self, scene: Scene, machines: dict[str, Unit], fell: Callable[[str], None]) -> None:
-        self.scene, self.machines, self.fell = scene, machines, fell
+    def __init__(self, setup: TrialSetup, machines: dict[str, Unit], fell: Callable[[str], None]) -> None:
+        self.setup, self.machines, self.fell = setup, machines, fell
         self.attempted: Callable[[int, str], None] = lambda relay, name: None  # told before an attempt is recorded
-        self.kind, self.works = scene.scenario.kind(), scene.scenario.works()
-        self.builds = scene.scenario.builds_by_number()
+        self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
+        self.builds = setup.scenario.builds_by_number()
         self.timers: dict[str, Any] = {}  # backend at work -> when it is woken next
         self.places: dict[int, int] = {}  # request -> its attempts that came here
 
@@ -57,9 +57,9 @@
         machine = self.running(attempt.name)
         if machine is None:
             return False
-        now = self.scene.now()
+        now = self.setup.now()
         self.attempted(attempt.relay, attempt.name)
-        self.scene.tell(
+        self.setup.record_line(
             Shot(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
         )
         machine.take(now, Asked(attempt, attempt.number % TRY, request_class))
@@ -68,8 +68,8 @@
 
     def stop(self, attempt: Attempt) -> None:
         """Its relay waits no longer."""
-        now = self.scene.now()
-        self.scene.tell(Came(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
+        now = self.setup.now()
+        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
         machine = self.running(attempt.name)
         if machine:
             machine.stop(now, attempt)
@@ -77,7 +77,7 @@
 
     def change(self, word: Backend) -> None:
         """A backend comes up, goes, or changes."""
-        machine, now = self.machines.get(word.name), self.scene.now()
+        machine, now = self.machines.get(word.name), self.setup.now()
         if machine and (word.dead or (machine.mark, machine.started) != (word.mark, word.started)):
             del self.machines[word.name]
             machine.die(now)
@@ -97,7 +97,7 @@
                 word.cell,
                 word.started,
                 self.works,
-                self.scene.seed,
+                self.setup.seed,
             )
             self.machines[word.name] = machine
         if machine.hung != word.hung:
@@ -111,7 +111,7 @@
 
     def touch(self, machine: Unit) -> None:
         """Takes up what a machine said, and when it wants to be woken."""
-        now, tell = self.scene.now(), self.scene.tell
+        now, tell = self.setup.now(), self.setup.record_line
         taken, machine.taken = machine.taken, []
         for attempt, work in taken:
             tell(Ran(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
@@ -130,10 +130,10 @@
         timer, due = self.timers.get(machine.name), machine.due
         if due < NEVER and not machine.dead:
             if timer and timer.active():
-                timer.reset(self.scene.wait(due))
+                timer.reset(self.setup.seconds_until(due))
             else:
-                wait = self.scene.wait(due)
-                self.timers[machine.name] = self.scene.reactor.callLater(wait, self.wake, machine)
+                wait = self.setup.seconds_until(due)
+                self.timers[machine.name] = self.setup.reactor.callLater(wait, self.wake, machine)
         elif timer:
             del self.timers[machine.name]
             if timer.active():
@@ -141,5 +141,5 @@
 
     def wake(self, machine: Unit) -> None:
         if self.machines.get(machine.name) is machine:
-            machine.wake(self.scene.now())
+            machine.wake(self.setup.now())
             self.touch(machine)
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -17,15 +17,14 @@
 
 from ...facade import Facade, Standing
 from ...record.files import read
-from ...record.lines import VERSION, Close, Head, Life, Line, Take
-from ...record.lines import Unit as UnitLine
+from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
 from ...world.day import Day, Order
 from ...world.unit import Unit
-from ..loopback import words as parts
-from ..loopback.addresses import LIST, PLATFORM, UNITS, Taken
-from ..loopback.agents import PING, ListDesk, PlatformDesk
-from ..loopback.crew import widen
-from ..loopback.scene import Scene, steady
+from ..loopback import process_messages as parts
+from ..loopback.addresses import LIST, PLATFORM, UNITS, PortBlock
+from ..loopback.control_plane import PING, DiscoveryService, PlatformService
+from ..loopback.process_group import raise_descriptor_limit
+from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
 from . import words
@@ -112,7 +111,7 @@
         self.over: words.Over | None = None
         self.process = director.reactor.spawnProcess(self, sys.executable, director.program(), None)
         day = director.scenario.plain()
-        port = director.taken.port
+        port = director.port_block.port
         self.tell(words.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays))
 
     def tell(self, word: words.Word) -> None:
@@ -142,9 +141,9 @@
         self.reactor, self.scenario, self.seed, self.folder, self.plan = reactor, scenario, seed, folder, plan
         self.lines: list[Line] = []
         self.problems: list[str] = []
-        self.taken = Taken(1)  # ports: relays' addresses tell them apart
-        self.scene = Scene(reactor, scenario, seed, self.taken.port, self.tell, self.wrong, self.part_said)
-        self.scene.addresses = ScaleAddresses(self.taken.port)
+        self.port_block = PortBlock(1)  # ports: relays' addresses tell them apart
+        self.setup = TrialSetup(reactor, scenario, seed, self.port_block.port, self.tell, self.wrong, self.part_said)
+        self.setup.addresses = ScaleAddresses(self.port_block.port)
         self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
         self.numbers: dict[str, int] = {}
         self.names: list[str] = []
@@ -152,17 +151,17 @@
             self.number(name)
         self.serves: dict[int, int] = {}  # request of a real client -> the relay that took it
         self.real = real_relays(scenario, plan.real)
-        self.relays = RealRelays(self.scene, self.day, folder, self.number, self.relays_changed, self.real_gone)
+        self.relays = RealRelays(self.setup, self.day, folder, self.number, self.relays_changed, self.real_gone)
         self.relays.rate, self.relays.zero = plan.rate, plan.zero
         self.day.roles = self.relays.acting
-        self.list = ListDesk(self.scene, self.day, self.number)
-        self.platform = PlatformDesk(self.scene, self.day, self.vote)
+        self.list = DiscoveryService(self.setup, self.day, self.number)
+        self.platform = PlatformService(self.setup, self.day, self.vote)
         own = Day(
             scenario.parts(), seed, clients_of(scenario, seed)
         ).fleet.units  # of real relays; machines of the day idle
-        self.backends = Backends(self.scene, own, self.fell)
+        self.backends = Backends(self.setup, own, self.fell)
         self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
-        self.clients = RealClients(self.scene, self.real)
+        self.clients = RealClients(self.setup, self.real)
         self.groups: list[Group] = []
         self.group_of: dict[int, Group] = {}
         self.told: dict[str, words.Backend] = {}  # what was last said of each backend that changed
@@ -209,7 +208,7 @@
     # the course of a run
     def start(self) -> None:
         self.started_true = true_now()
-        scenario, port = self.scenario, self.taken.port
+        scenario, port = self.scenario, self.port_block.port
         self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
         self.reactor.listenTCP(port + LIST, self.list, CONNECTIONS)
@@ -231,18 +230,18 @@
 
     def relays_changed(self) -> None:
         if not self.over:
-            self.clients.heard(parts.Relays(self.relays.ready(), self.relays.ending()))
+            self.clients.receive(parts.RelayStates(self.relays.ready(), self.relays.ending()))
             self.begin_if_ready()
 
     def begin_if_ready(self) -> None:
         ready = all(group.ready for group in self.groups) and len(self.relays.ready()) == len(self.real)
-        if self.scene.begun or not ready or self.over:
+        if self.setup.has_begun or not ready or self.over:
             return
         zero = self.reactor.seconds() + LEAD
         for relay in self.group_of:
             self.tell(Life(0, relay, "up"))
-        self.scene.begin(zero)
-        self.clients.heard(parts.Begin(zero))
+        self.setup.begin(zero)
+        self.clients.receive(parts.DayBegin(zero))
         for group in self.groups:
             group.tell(words.Begin(zero))
         self.wake()
@@ -259,7 +258,7 @@
 
     def watch_loop(self) -> None:
         """Notes when nothing of the director ran in time."""
-        now = self.scene.now()
+        now = self.setup.now()
         if now > self.looked + LOOK_EVERY + STALL:
             self.stalls.append((self.looked + LOOK_EVERY, now))
         self.looked = now
@@ -293,13 +292,13 @@
             if relay in self.before and not self.relays.downs.get(relay):
                 self.costs.append(ProcessCost(relay, cpu - self.before[relay][0], memory, {}))
         self.relays.count()
-        self.clients.heard(parts.Close())
+        self.clients.receive(parts.ArrivalsOver())
         for group in self.groups:
             group.tell(words.Close())
         self.reactor.callLater(GRACE, self.finish)
 
     def part_said(self, word: Any) -> None:
-        if isinstance(word, parts.Answered):
+        if isinstance(word, parts.AllAnswered):
             self.one_answered()
 
     def one_answered(self) -> None:
@@ -361,14 +360,14 @@
                 group.process.signalProcess("KILL")
             except ProcessExitedAlready:
                 continue
-        self.taken.free()
+        self.port_block.free()
 
     # the day
     def wake(self) -> None:
         if self.over:
             return
-        if self.scene.now() >= self.day.due:
-            self.day.wake(self.scene.now())
+        if self.setup.now() >= self.day.due:
+            self.day.wake(self.setup.now())
             self.took_up()
         else:
             self.plan_wake()
@@ -376,10 +375,10 @@
     def plan_wake(self) -> None:
         if self.timer and self.timer.active():
             self.timer.cancel()
-        self.timer = self.reactor.callLater(min(self.scene.wait(self.day.due), 1.0), self.wake)
+        self.timer = self.reactor.callLater(min(self.setup.seconds_until(self.day.due), 1.0), self.wake)
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> str:
-        answer = self.day.vote(self.scene.now(), relay, build, stage, verdict)
+        answer = self.day.vote(self.setup.now(), relay, build, stage, verdict)
         self.reactor.callLater(0, self.took_up)
         return answer
 
@@ -387,7 +386,7 @@
         unit = self.day.fleet.units.get(name)
         if unit and not unit.dead:
             unit.fell = unit.told_fallen = True
-            self.day.fallen(self.scene.now(), unit)
+            self.day.fallen(self.setup.now(), unit)
             self.took_up()
 
     def took_up(self) -> None:
@@ -399,12 +398,12 @@
         self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.touched))
         if left.rounds and not self.list_timer:
             self.list_timer = self.reactor.callLater(self.plan.list_every, self.tell_list)
-        if self.day.moved and self.scene.now() >= self.day.desk.silent_until:
+        if self.day.moved and self.setup.now() >= self.day.desk.silent_until:
             self.day.moved = False
             self.tell_rollout()
         for order in left.relays:
             self.carry_out(order)
-        if self.scene.begun and not self.over:
+        if self.setup.has_begun and not self.over:
             self.plan_wake()
 
     def tell_backends(self, names: dict[str, None]) -> None:
@@ -444,10 +443,10 @@
             return self.relays.carry_out(order)
         match order.what:
             case "down":
-                self.tell(Life(self.scene.now(), order.relay, "down"))
+                self.tell(Life(self.setup.now(), order.relay, "down"))
                 group.tell(words.Kill(order.relay))
             case "up":
-                self.tell(Life(self.scene.now(), order.relay, "up"))
+                self.tell(Life(self.setup.now(), order.relay, "up"))
                 group.tell(words.Start(order.relay))
             case _:
                 self.wrong(f"relay {order.relay} is hollow: '{order.what}' can be done to real ones alone")
@@ -465,7 +464,7 @@
         """Requests that a real relay lost which nobody had killed, in words."""
         return [
             f"relay {relay}, which nobody had killed, lost a request at {at / TENTHS:.3f}s"
-            for relay, at in self.clients.lost_alive
+            for relay, at in self.clients.lost_while_up
             if not any(abs(at - down) < KILLED_NEAR for down in self.relays.downs.get(relay, ()))
         ]
 
@@ -482,7 +481,7 @@
                     heard_of[relay] = [one + other for one, other in zip(so_far, figures)]
         return Played(
             self.real,
-            self.scene.begun,
+            self.setup.has_begun,
             self.problems + self.lost_alive()[:10],
             [cost_with_counts(cost, self.relays.counters(cost.relay)) for cost in self.costs],
             [cost for over in overs for cost in over.costs],
@@ -545,9 +544,9 @@
     from .reading import read_run
 
     told = json.load(sys.stdin)
-    widen()
+    raise_descriptor_limit()
     plan = msgspec.convert(told["plan"], Plan)
-    director = Director(steady(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]), plan)
+    director = Director(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]), plan)
     reactor.callWhenRunning(director.start)
     try:
         reactor.run()
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -13,23 +13,21 @@
 
 from ...net import statements
 from ...net.clients import Rejected
-from ...net.discovery import Entry as Known
-from ...net.discovery import News
+from ...net.discovery import Entry as Known, News
 from ...net.platform import State
 from ...net.relay import number_of
 from ...net.start import Assignment
 from ...net.units import Value
 from ...parts import mix
 from ...record.files import Writer
-from ...record.lines import VERSION, End, Head, Take, Told
-from ...record.lines import News as NewsLine
+from ...record.lines import VERSION, End, Head, News as NewsLine, Told
 from ...world.clients import Arrival
 from ...world.day import Day
 from ...world.roster import Entry
-from ..loopback.agents import STATES
-from ..loopback.clients import PATIENCE, statement
-from ..loopback.crew import widen
-from ..loopback.scene import Scene, steady
+from ..loopback.clients import PATIENCE, statement_text, take_line
+from ..loopback.control_plane import STATES
+from ..loopback.process_group import raise_descriptor_limit
+from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
 from . import words
@@ -66,15 +64,15 @@
 class Listing:
     """The endpoint list, read once for all relays of the process; entries are shared between them."""
 
-    def __init__(self, scene: Scene, day: Day) -> None:
-        self.scene = scene
+    def __init__(self, setup: TrialSetup, day: Day) -> None:
+        self.setup = setup
         self.version = day.roster.version
         self.entries = {entry.name: self.known(entry) for entry in day.roster.whole(self.version)}
         self.names = {number_of(name): name for name in self.entries}
         self.closed: dict[str, tuple[int, Entry]] = {}  # backend that drains or is gone -> since which version
 
     def known(self, entry: Entry) -> Known:
-        started = self.scene.unix_ms(entry.started) if entry.started else 0
+        started = self.setup.unix_ms(entry.started) if entry.started else 0
         state = STATES[entry.state]
         return Known(entry.name, SOMEWHERE, entry.zone, entry.cell, state, entry.weight, started, entry.build)
 
@@ -108,15 +106,15 @@
         self.scenario: Scenario = convert(cast.scenario)
         self.writer = Writer(cast.record)
         self.writer(Head(0, VERSION, "trial", self.scenario.name, cast.seed, {}))
-        self.scene = Scene(reactor, self.scenario, cast.seed, cast.port, self.writer, self.wrong, say)
-        self.scene.addresses = ScaleAddresses(cast.port)
+        self.setup = TrialSetup(reactor, self.scenario, cast.seed, cast.port, self.writer, self.wrong, say)
+        self.setup.addresses = ScaleAddresses(cast.port)
         day = Day(self.scenario.parts(), cast.seed, clients_of(self.scenario, cast.seed))
         self.clients, self.lags = day.clients, day.roster.lag
-        self.listing = Listing(self.scene, day)
-        self.backends = Backends(self.scene, day.fleet.units, lambda name: say(words.Fell(name)))
+        self.listing = Listing(self.setup, day)
+        self.backends = Backends(self.setup, day.fleet.units, lambda name: say(words.Fell(name)))
         state = day.desk.state
         self.rollout = words.Rollout(state.build, state.stage, state.phase, state.cap, 0)
-        self.peers = [str(self.scene.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
+        self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
         self.outside = Outside(
             self.backends, self.listing.names, self.vote, self.list_anew, self.note_sent, self.note_received
         )
@@ -134,7 +132,7 @@
         self.numbers = {
             (place.host, place.port): relay
             for relay in range(self.scenario.fleet.relays)
-            for place in [self.scene.addresses.relay(relay)]
+            for place in [self.setup.addresses.relay(relay)]
         }
         self.heard_of: dict[int, list[int]] = {}  # other relay -> datagrams, bytes of it; datagrams, bytes to it
         self.closing = False
@@ -173,18 +171,18 @@
 
     def assignment(self, relay: int) -> Assignment:
         own, rollout = self.peers[relay], self.rollout
-        age = max(0, self.scene.now() - rollout.since) / 10
+        age = max(0, self.setup.now() - rollout.since) / 10
         state = State(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
-        seed = mix(self.cast.seed, relay, self.scene.now(), 17)
+        seed = mix(self.cast.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.listing.whole()
-        everyone = str(self.scene.addresses.everyone(relay))
+        everyone = str(self.setup.addresses.everyone(relay))
         return Assignment(f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts)
 
     def start(self, relay: int) -> None:
         one = HollowRelay(self.reactor, self.assignment(relay), self.outside, time.time)
         self.relays[relay], self.started[relay] = one, self.reactor.seconds()
-        self.versions[relay] = [(self.listing.version, self.scene.now())]
+        self.versions[relay] = [(self.listing.version, self.setup.now())]
         self.tell_rollout(relay)
         one.start()
 
@@ -199,7 +197,9 @@
 
     def tell_rollout(self, relay: int) -> None:
         rollout = self.rollout
-        self.scene.tell(NewsLine(self.scene.now(), relay, rollout.build, rollout.stage, rollout.phase, rollout.cap))
+        self.setup.record_line(
+            NewsLine(self.setup.now(), relay, rollout.build, rollout.stage, rollout.phase, rollout.cap)
+        )
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> None:
         self.say(words.Vote(relay, build, stage, verdict))
@@ -209,7 +209,7 @@
 
     def tell_list(self, one: HollowRelay, news: News, kind: str) -> None:
         if self.relays.get(one.index) is one:
-            self.versions[one.index].append((news.version, self.scene.now()))
+            self.versions[one.index].append((news.version, self.setup.now()))
             one.listed(news, kind)
 
     def attempted(self, relay: int, name: str) -> None:
@@ -221,7 +221,7 @@
         at = next((at for told, at in self.versions[relay] if told >= version), None)
         if at is not None:
             self.recorded.add((relay, name))
-            self.scene.tell(Told(at, relay, name, entry.build, entry.state, entry.started))
+            self.setup.record_line(Told(at, relay, name, entry.build, entry.state, entry.started))
 
     def note_sent(self, address: tuple[str, int], size: int) -> None:
         other = self.heard_of.setdefault(self.numbers.get(address, -1), [0, 0, 0, 0])
@@ -255,17 +255,17 @@
                 self.look()
 
     def begin(self, zero: float) -> None:
-        self.scene.begin(zero)
+        self.setup.begin(zero)
         self.cpu_begun = time.process_time()
         self.before = {relay: self.cost(relay, one) for relay, one in self.relays.items()}
         self.heard_of.clear()
         self.next_arrival()
-        self.reactor.callLater(self.scene.wait(TENTHS), self.count_traffic, 0)
-        self.reactor.callLater(self.scene.wait(LOOK_EVERY), self.watch)
+        self.reactor.callLater(self.setup.seconds_until(TENTHS), self.count_traffic, 0)
+        self.reactor.callLater(self.setup.seconds_until(LOOK_EVERY), self.watch)
 
     def watch(self) -> None:
         """Notes when nothing ran for longer than a loop in good order takes for a turn."""
-        now, due = self.scene.now(), self.looked + LOOK_EVERY
+        now, due = self.setup.now(), self.looked + LOOK_EVERY
         if now > due + STALL and len(self.stalls) < MOST_STALLS:
             self.stalls.append((due, now))
         self.looked = now
@@ -279,7 +279,7 @@
         self.rollout = word
         for relay, one in list(self.relays.items()):
             self.tell_rollout(relay)
-            age = max(0, self.scene.now() - word.since) / 10
+            age = max(0, self.setup.now() - word.since) / 10
             one.stood(State(word.build, word.stage, word.phase, word.cap, age))
 
     def count_traffic(self, second: int) -> None:
@@ -289,17 +289,17 @@
         self.say(words.Traffic(second, now[0] - self.datagrams[0], now[1] - self.datagrams[1]))
         self.datagrams = now
         if not self.closing:
-            self.reactor.callLater(self.scene.wait((second + 2) * TENTHS), self.count_traffic, second + 1)
+            self.reactor.callLater(self.setup.seconds_until((second + 2) * TENTHS), self.count_traffic, second + 1)
 
     # requests
     def next_arrival(self) -> None:
         due = self.clients.due
         if due is not None:
-            self.reactor.callLater(self.scene.wait(due), self.arrive)
+            self.reactor.callLater(self.setup.seconds_until(due), self.arrive)
 
     def arrive(self) -> None:
         """All that are due by now; all processes draw all arrivals, and each serves those of its relays."""
-        clients, now, own = self.clients, self.scene.now(), set(self.cast.relays)
+        clients, now, own = self.clients, self.setup.now(), set(self.cast.relays)
         while clients.due is not None and clients.due <= now:
             arrival = clients.next()
             if arrival.relay in own:
@@ -316,28 +316,18 @@
         return next((self.relays[each] for each in own[place:] + own[:place] if each in self.relays), None)
 
     def serve(self, arrival: Arrival) -> None:
-        one, now = self.chosen(arrival.relay), self.scene.now()
+        one, now = self.chosen(arrival.relay), self.setup.now()
         if one is None:
             return
-        customer = self.scene.whose[arrival.customer]
-        self.scene.tell(
-            Take(
-                now,
-                one.index,
-                arrival.number,
-                arrival.intended,
-                arrival.workload,
-                arrival.customer,
-                arrival.key,
-                arrival.give_up,
-                arrival.first,
-            )
-        )
+        customer = self.setup.tenants[arrival.customer]
+        self.setup.record_line(take_line(now, one.index, arrival))
         table = self.scenario.workload[arrival.workload]
         wait = max(1, (arrival.give_up - now) // 10)
-        text = statement(arrival, table.name, table.effect, customer, wait)
+        text = statement_text(arrival, table.name, table.effect, customer, wait)
         serving = self.serving[arrival.number] = Serving(arrival, one)
-        serving.timer = self.reactor.callLater(self.scene.wait(arrival.give_up + PATIENCE), self.leave, serving)
+        serving.timer = self.reactor.callLater(
+            self.setup.seconds_until(arrival.give_up + PATIENCE), self.leave, serving
+        )
         serving.answer = one.take(statements.read(text), one.clock())
         serving.answer.addCallbacks(self.answered, self.failed, callbackArgs=(serving,), errbackArgs=(serving,))
 
@@ -362,11 +352,11 @@
         if serving.timer.active():
             serving.timer.cancel()
         self.serving.pop(arrival.number, None)
-        self.scene.tell(End(self.scene.now(), serving.relay.index, arrival.number, answer))
-        again = self.clients.answered(self.scene.now(), arrival, answer, come_back)
+        self.setup.record_line(End(self.setup.now(), serving.relay.index, arrival.number, answer))
+        again = self.clients.answered(self.setup.now(), arrival, answer, come_back)
         if again:
             self.repeats += 1
-            self.reactor.callLater(self.scene.wait(again.at), self.again, again)
+            self.reactor.callLater(self.setup.seconds_until(again.at), self.again, again)
         self.look()
 
     def again(self, arrival: Arrival) -> None:
@@ -452,8 +442,8 @@
     from twisted.internet import reactor
     from twisted.internet.stdio import StandardIO
 
-    widen()
-    StandardIO(Ear(steady(reactor)))
+    raise_descriptor_limit()
+    StandardIO(Ear(use_shared_clock(reactor)))
     reactor.run()
 
 
--- a/tealsail/lab/scale/real.py
+++ b/tealsail/lab/scale/real.py
@@ -14,10 +14,10 @@
 
 from ...net import messages, statements
 from ...record.lines import Met, News
-from ..loopback.clients import Crowd
-from ..loopback.scene import Scene
-from ..loopback.troupe import Troupe
-from ..loopback.units import VALUES
+from ..loopback.backends import VALUES
+from ..loopback.clients import ClientPool
+from ..loopback.process_fleet import ProcessFleet
+from ..loopback.trial_setup import TrialSetup
 from .addresses import backend_number
 from .backends import Backends, Load
 
@@ -35,7 +35,7 @@
     counts: dict[str, int]
 
 
-class RealRelays(Troupe):
+class RealRelays(ProcessFleet):
     """Starts, stops, kills and ends relay processes as a trial does, on the run's clock."""
 
     rate, zero = 1.0, 0.0  # of the run's clock; 1: the system's own
@@ -47,11 +47,14 @@
 
     def told(self, relay: int) -> dict[str, Any]:
         """What was listed before the day is not recorded: the checker needs what ended alone."""
-        tell, self.scene.tell = self.scene.tell, lambda line: tell(line) if isinstance(line, News) else None
+        tell, self.setup.record_line = (
+            self.setup.record_line,
+            lambda line: tell(line) if isinstance(line, News) else None,
+        )
         try:
             return super().told(relay)
         finally:
-            self.scene.tell = tell
+            self.setup.record_line = tell
 
     def count(self) -> None:
         """All write their counters into their logs."""
@@ -81,20 +84,20 @@
         ]
 
 
-class RealClients(Crowd):
+class RealClients(ClientPool):
     """Clients of the real relays alone; hollow ones are served where they are."""
 
-    def __init__(self, scene: Scene, relays: list[int]) -> None:
-        super().__init__(scene, 0, 1)
+    def __init__(self, setup: TrialSetup, relays: list[int]) -> None:
+        super().__init__(setup, 0, 1)
         self.relays = set(relays)
 
-    def arrive(self) -> None:
-        clients, now = self.clients, self.scene.now()
+    def take_arrivals(self) -> None:
+        clients, now = self.clients, self.setup.now()
         while clients.due is not None and clients.due <= now:
             arrival = clients.next()
             if arrival.relay in self.relays:
-                self.serve(arrival)
-        self.next()
+                self.dispatch(arrival)
+        self.schedule_arrivals()
 
 
 class Held:
@@ -125,8 +128,8 @@
         if not self.listener.backends.running(self.name):
             return self.transport.abortConnection()
         self.listener.wires.setdefault(self.name, {})[self] = None
-        scene = self.listener.backends.scene
-        scene.tell(Met(scene.now(), -1, self.name))
+        setup = self.listener.backends.setup
+        setup.record_line(Met(setup.now(), -1, self.name))
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
@@ -139,7 +142,7 @@
                     self.splitter.typed = True
                     self.transport.write(messages.WELCOME)
         except (messages.Unreadable, statements.Unclear) as problem:
-            self.listener.backends.scene.wrong(f"a relay wrote what can't be read: {problem}")
+            self.listener.backends.setup.report_violation(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
@@ -155,7 +158,7 @@
         backends, number = self.listener.backends, int(statement.id)
         relay = self.listener.relay_of(number)
         held = self.held = Held(self, relay, number, backends.next_place(number), self.name)
-        request_class = backends.scene.workloads[statement.workload]
+        request_class = backends.setup.class_numbers[statement.workload]
         if not backends.take(held, request_class, int(statement.wait * 10)):
             self.transport.abortConnection()
 
