--- a/tealsail/command/main.py
+++ b/tealsail/command/main.py
@@ -24,8 +24,10 @@
   tealsail model fields
   tealsail hunt SCENARIO [--days=N] [--seed=N] [--jobs=N] [--most=LIMITS] [--json=FILE]
   tealsail trial SCENARIO [--seed=N] [--record=FILE] [--json=FILE] [--chart=FILE] [--logs=DIR]
+  tealsail capacity [--json=FILE] [--chart=FILE]
+  tealsail capacity --page=FILE [--from=FILE] [--plan=FILE]
   tealsail scale SCENARIO [--real=N] [--processes=N] [--slow=X] [--list-every=S] [--seed=N] [--json=FILE]
-                          [--chart=FILE] [--logs=DIR]
+                          [--from=FILE] [--chart=FILE] [--logs=DIR]
   tealsail record show FILE [--json=FILE]
   tealsail record import CSV FILE [--start=MS]
   tealsail record fit RECORD... [--draws=N] [--json=FILE]
@@ -50,6 +52,9 @@
   hunt           Random faults over a scenario, in virtual time: days that break a rule or a limit, each shrunk to the
                  fewest lines of script.  Exit code 1 if there is one.
   trial          Play a scenario for real: relay processes on loopback addresses.
+  capacity       What one process costs as units, relays, tenants, requests, messages and changes grow, measured on this
+                 machine; or, with --page, the tables of docs/CAPACITY.md from such a run.  Exit code 1 if a
+                 measurement gave no point.
   scale          Play a scenario with a few real relays beside hollow ones, hundreds to a process: what each role costs,
                  and what the script's faults do.  Exit code 1 if a rule was broken.
   record show    Figures and broken rules of a record.
@@ -75,6 +80,9 @@
   --record=FILE      Write the record there (.gz: packed).
   --json=FILE        Write the figures there too.
   --chart=FILE       Draw a PNG.
+  --page=FILE        Write the tables between the page's markers.
+  --from=FILE        The file of a run of capacity, docs/capacity.json if none is named.
+  --plan=FILE        The numbers to plan with, examples/capacity.toml if none is named.
   --logs=DIR         Keep the relays' logs there.
   --keep=DIR         Keep the real days there; those that are there already are not played again.
   -h --help          Show this.
@@ -96,6 +104,10 @@
 
         return serve.run(chosen, os.environ)
     try:
+        if chosen["capacity"]:
+            from . import capacity
+
+            return capacity.run(chosen)
         if chosen["scale"]:
             from . import scale
 
