--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -21,7 +21,7 @@
 from ...world.day import Day, Order
 from ...world.unit import Unit
 from ..loopback import process_messages as parts
-from ..loopback.addresses import LIST, PLATFORM, UNITS, PortBlock
+from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
 from ..loopback.control_plane import PING, DiscoveryService, PlatformService
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
@@ -213,7 +213,7 @@
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
         self.reactor.listenTCP(port + LIST, self.list, CONNECTIONS)
         self.reactor.listenTCP(port + PLATFORM, self.platform, CONNECTIONS)
-        self.reactor.listenTCP(port + UNITS, self.listener, CONNECTIONS)
+        self.reactor.listenTCP(port + BACKENDS, self.listener, CONNECTIONS)
         hollow = [relay for relay in range(scenario.fleet.relays) if relay not in set(self.real)]
         for place in range(self.plan.processes):
             group = Group(self, place, hollow[place :: self.plan.processes])
@@ -289,7 +289,7 @@
         self.closed_true = true_now()
         spent = self.relays.spent()
         for relay, (cpu, memory) in spent.items():
-            if relay in self.before and not self.relays.downs.get(relay):
+            if relay in self.before and not self.relays.killed_at.get(relay):
                 self.costs.append(ProcessCost(relay, cpu - self.before[relay][0], memory, {}))
         self.relays.count()
         self.clients.receive(parts.ArrivalsOver())
@@ -354,13 +354,13 @@
 
     def abandon(self) -> None:
         """No process outlives the director."""
-        self.relays.abandon()
+        self.relays.kill_all()
         for group in self.groups:
             try:
                 group.process.signalProcess("KILL")
             except ProcessExitedAlready:
                 continue
-        self.port_block.free()
+        self.port_block.release()
 
     # the day
     def wake(self) -> None:
@@ -428,11 +428,11 @@
         for group in self.groups:
             group.tell(words.Listed(roster.version, list(last.values())))
         for relay in self.real:
-            self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.news, relay, roster.version)
+            self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.publish, relay, roster.version)
 
     def tell_rollout(self) -> None:
         state = self.day.desk.state
-        self.platform.news()
+        self.platform.publish()
         for group in self.groups:
             group.tell(words.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
 
@@ -440,7 +440,7 @@
         """A script may kill hollow relays, which come up again; only a real one has a process that can be stopped."""
         group = self.group_of.get(order.relay)
         if group is None:
-            return self.relays.carry_out(order)
+            return self.relays.execute(order)
         match order.what:
             case "down":
                 self.tell(Life(self.setup.now(), order.relay, "down"))
@@ -465,7 +465,7 @@
         return [
             f"relay {relay}, which nobody had killed, lost a request at {at / TENTHS:.3f}s"
             for relay, at in self.clients.lost_while_up
-            if not any(abs(at - down) < KILLED_NEAR for down in self.relays.downs.get(relay, ()))
+            if not any(abs(at - down) < KILLED_NEAR for down in self.relays.killed_at.get(relay, ()))
         ]
 
     def played(self) -> Played:
--- a/tealsail/lab/scale/real.py
+++ b/tealsail/lab/scale/real.py
@@ -45,14 +45,14 @@
             return ["-m", "tealsail"]
         return [str(CLOCK), repr(self.rate), repr(self.zero), "tealsail"]
 
-    def told(self, relay: int) -> dict[str, Any]:
+    def configuration(self, relay: int) -> dict[str, Any]:
         """What was listed before the day is not recorded: the checker needs what ended alone."""
         tell, self.setup.record_line = (
             self.setup.record_line,
             lambda line: tell(line) if isinstance(line, News) else None,
         )
         try:
-            return super().told(relay)
+            return super().configuration(relay)
         finally:
             self.setup.record_line = tell
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -247,7 +247,7 @@
 class Addresses(unittest.TestCase):
     def test_twelve_thousand_backends_are_told_apart_behind_one_port(self) -> None:
         addresses = ScaleAddresses(10_000)
-        places = [addresses.unit(0, number) for number in range(0, 130_000, 7)]
+        places = [addresses.backend(0, number) for number in range(0, 130_000, 7)]
         self.assertEqual([backend_number(place.host) for place in places], list(range(0, 130_000, 7)))
         self.assertEqual({place.port for place in places}, {places[0].port})
         self.assertEqual([backend_number(each) for each in ("127.60.0.1", "10.100.0.1", "127.100.0", "")], [-1] * 4)
