--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -1,15 +1,18 @@
 """`tealsail scale`: a scale run, what it showed between its faults, and what each role cost."""
 
 import sys
+from pathlib import Path
 from typing import Any
 
 from rich.console import Console
 from rich.table import Table
 
-from ..lab.scale import runs
+from ..lab.capacity import slopes
+from ..lab.scale import foretold, runs
 from ..lab.scale.reading import NONE, RoleSeen, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import Unreadable
+from .capacity import DEFAULT_FROM
 from .lab import WIDTH, Shown, number, save
 
 
@@ -39,6 +42,7 @@
     with Shown("scale run"):
         found = runs.play(scenario, seed, real, processes, slow, list_every, chosen["--logs"])
     show(found, slow, out)
+    show_foretold(found, Path(chosen["--from"] or DEFAULT_FROM), out)
     save(chosen["--json"], found)
     if chosen["--chart"]:
         from ..lab.scale import chart
@@ -80,6 +84,26 @@
         out.print("rules: none broken")
 
 
+def show_foretold(found: Run, path: Path, out: Console) -> None:
+    """Each cost beside what the file's slopes foretell; where it is further off, the largest term and its slope."""
+    if not path.exists():
+        return out.print(f"nothing is foretold: no {path}; `tealsail capacity --json={path}` writes one")
+    table = Table(title=f"seen beside what {path} foretells at this size")
+    for place, column in enumerate(("role", "cost", "foretold", "seen", "ratio", "within 20%")):
+        table.add_column(column, justify="left" if place < 2 else "right")
+    compared = foretold.compare(found, slopes.read(path))
+    for each in compared:
+        near = "yes" if each.within else "NO"
+        amount = f"{each.foretold:.4g} ±{each.error:.2g}"
+        table.add_row(each.role, each.cost, amount, f"{each.seen:.4g}", f"{each.ratio:.2f}", near)
+    out.print(table)
+    for each in compared:
+        if not each.within:
+            out.print(
+                f"{each.role}, {each.cost}: {each.ratio:.2f} times what was foretold; most of that: {each.because}"
+            )
+
+
 def shown(value: float, form: str) -> str:
     return "-" if value == NONE else format(value, form)
 
