--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -5,6 +5,7 @@
 """
 
 import json
+import os
 import sys
 import time
 from pathlib import Path
@@ -110,6 +111,8 @@
         self.ready = self.answered = self.ended = False
         self.over: words.Over | None = None
         self.process = director.reactor.spawnProcess(self, sys.executable, director.program(), None)
+        cores = sorted(os.sched_getaffinity(0))
+        os.sched_setaffinity(self.process.pid, {cores[place % len(cores)]})  # else the system may put all on one
         day = director.scenario.plain()
         port = director.port_block.port
         self.tell(words.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays))
