--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -176,7 +176,7 @@
         self.before: dict[int, tuple[float, float]] = {}
         self.costs: list[ProcessCost] = []
         self.memory_mb = 0.0
-        self.begun_true = self.started_true = self.closed_true = 0.0
+        self.day_began = self.started_at = self.closed_at = 0.0
         self.cpu_begun = 0.0
         self.stalls: list[tuple[int, int]] = []
         self.looked = 0
@@ -210,7 +210,7 @@
 
     # the course of a run
     def start(self) -> None:
-        self.started_true = true_now()
+        self.started_at = time.monotonic()
         scenario, port = self.scenario, self.port_block.port
         self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
@@ -253,7 +253,7 @@
         self.reactor.callLater(LEAD + self.scenario.seconds, self.closing)
 
     def day_begins(self) -> None:
-        self.begun_true, self.cpu_begun = true_now(), time.process_time()
+        self.day_began, self.cpu_begun = time.monotonic(), time.process_time()
         self.before = self.relays.spent()
         self.relays.count()
         self.watch_memory()
@@ -289,7 +289,7 @@
     def closing(self) -> None:
         """The last arrival has been: on until all is answered."""
         self.waiting, self.closed = len(self.groups) + 1, True
-        self.closed_true = true_now()
+        self.closed_at = time.monotonic()
         spent = self.relays.spent()
         for relay, (cpu, memory) in spent.items():
             if relay in self.before and not self.relays.downs.get(relay):
@@ -502,8 +502,8 @@
             time.process_time() - self.cpu_begun,
             self.memory_mb,
             1 + len(self.groups) + len(self.real),
-            self.begun_true - self.started_true,
-            self.closed_true - self.begun_true,
+            (self.day_began - self.started_at) / self.plan.rate,
+            (self.closed_at - self.day_began) / self.plan.rate,
         )
 
 
@@ -535,11 +535,6 @@
     )
 
 
-def true_now() -> float:
-    """The system's own steady clock, whatever the run's is."""
-    return time.clock_gettime(time.CLOCK_MONOTONIC)
-
-
 def main() -> None:
     """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
     from twisted.internet import reactor
--- a/tealsail/lab/scale/foretold.py
+++ b/tealsail/lab/scale/foretold.py
@@ -48,7 +48,8 @@
 def compare(run: Run, slopes: Slopes) -> list[Compared]:
     """For each role seen: processor time, memory, and datagrams with their bytes."""
     costs = {cost.role: cost for cost in foretell(size_of(run), slopes)}
-    return [each for seen in run.roles for each in of_role(seen, costs[ROLES[seen.role]])]
+    known = [seen for seen in run.roles if seen.role in ROLES]  # who is next in line has no row of its own
+    return [each for seen in known for each in of_role(seen, costs[ROLES[seen.role]])]
 
 
 def of_role(seen: RoleSeen, cost: RoleCost) -> list[Compared]:
--- a/tealsail/lab/scale/reading.py
+++ b/tealsail/lab/scale/reading.py
@@ -10,7 +10,7 @@
 from ...world.rules import Slack
 from ..runs import Judged
 from ..scenario import Scenario
-from .director import Played
+from .director import Played, duty_owners
 
 SECOND = 10_000  # tenths of a ms
 SLACK = Slack(time=1_500, shots=2, part=0.04)  # as a trial's: what sockets add
@@ -318,7 +318,9 @@
         {kind: sum(cost.cpu.get(kind, 0.0) / cost.lived for cost in whole) / len(whole) for kind in sorted(kinds)},
     )
     named = {"load tracker": [tracker], "judge": [relay for relay in judges if relay != tracker]}
-    named["relay, real"] = [relay for relay in played.real if relay not in (tracker, *judges)]
+    standing_by = [relay for relay in duty_owners(scenario) if relay not in (tracker, *judges)]  # hear what owners hear
+    named["next in line"] = [relay for relay in played.real if relay in standing_by]
+    named["relay, real"] = [relay for relay in played.real if relay not in (tracker, *judges, *standing_by)]
     found = [hollow, *(real_role(name, relays, scenario.seconds, played) for name, relays in named.items())]
     return [role for role in found if role.many]
 
--- a/tealsail/lab/scale/slow_clock.py
+++ b/tealsail/lab/scale/slow_clock.py
@@ -13,13 +13,15 @@
 import time
 from typing import Any
 
+EVEN_CLOCKS = (time.CLOCK_REALTIME, time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)
+
 
 class SlowClock:
     """Even and wall time, and how long true time is for a time on the slow clock."""
 
     def __init__(self, rate: float, zero: float) -> None:
         self.rate, self.zero = rate, zero
-        self.true_monotonic, self.true_wall = time.monotonic, time.time
+        self.true_monotonic, self.true_wall, self.true_gettime = time.monotonic, time.time, time.clock_gettime
 
     def monotonic(self) -> float:
         return self.zero + (self.true_monotonic() - self.zero) * self.rate
@@ -27,6 +29,12 @@
     def wall(self) -> float:
         return self.true_wall() - self.true_monotonic() + self.monotonic()
 
+    def gettime(self, clock: int) -> float:
+        """Any of the system's clocks (relays keep even time by CLOCK_BOOTTIME); those of processor time are true."""
+        if clock not in EVEN_CLOCKS:
+            return self.true_gettime(clock)
+        return self.true_gettime(clock) - self.true_monotonic() + self.monotonic()
+
     def true_span(self, seconds: float) -> float:
         """A wait on the slow clock, in true seconds."""
         return seconds / self.rate
@@ -50,6 +58,7 @@
     true_epoll = select.epoll
     time.monotonic = clock.monotonic
     time.time = clock.wall
+    time.clock_gettime = clock.gettime
     select.epoll = lambda *arguments: SlowPoll(clock, true_epoll(*arguments))
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,6 +18,7 @@
 from tealsail.lab.scale.director import Plan
 from tealsail.lab.scale.hollow import HollowRelay, Outside
 from tealsail.lab.scale.reading import windows
+from tealsail.lab.scale.real import CLOCK
 from tealsail.lab.scale.runs import MARK
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
@@ -265,6 +266,22 @@
             poll.poll(wait)
         self.assertEqual(waits, [4.0, 0, -1])
 
+    def test_all_clocks_that_a_relay_reads_go_at_one_rate(self) -> None:
+        """A relay keeps even time by CLOCK_BOOTTIME, which was left true: its requests ran out of time."""
+        program = (
+            "import time; names = (time.CLOCK_REALTIME, time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)\n"
+            "read = lambda: [time.time(), time.monotonic(), *map(time.clock_gettime, names)]\n"
+            "before = read(); time.sleep(0.5); print(*(b - a for a, b in zip(before, read())))"
+        )
+        with tempfile.TemporaryDirectory() as folder:
+            (Path(folder) / "clocks_read.py").write_text(program)
+            command = [sys.executable, "-B", str(CLOCK), "0.1", repr(time.monotonic()), "clocks_read"]
+            out = subprocess.run(command, cwd=folder, capture_output=True, check=True).stdout
+        spans = [float(each) for each in out.split()]
+        self.assertEqual(len(spans), 5)
+        self.assertGreaterEqual(min(spans), 0.05)
+        self.assertLess(max(spans) - min(spans), 0.01)
+
 
 class Windows(unittest.TestCase):
     def test_lines_of_the_script_that_say_the_same_are_one_fault_and_all_is_as_before_after_two_calm_seconds(
