--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -5,6 +5,7 @@
 """
 
 import json
+import os
 import sys
 import time
 from pathlib import Path
@@ -39,7 +40,7 @@
 LAST_LINE = 4  # judges, and the next in line
 CONNECTIONS = 512  # that wait to be taken
 KILLED_NEAR = TENTHS  # what is lost so near a kill is lost by it
-LOOK_EVERY, STALL = 200, 500  # tenths of a ms: between looks at the loop; later than that is a stall
+LOOK_EVERY, STALL = 200, 200  # tenths of a ms: between looks at the loop; later than that is a stall
 MOST_PROBLEMS = 100
 PAGE_MB = 4096 / (1 << 20)
 
@@ -110,6 +111,8 @@
         self.ready = self.answered = self.ended = False
         self.over: words.Over | None = None
         self.process = director.reactor.spawnProcess(self, sys.executable, director.program(), None)
+        cores = sorted(os.sched_getaffinity(0))
+        os.sched_setaffinity(self.process.pid, {cores[place % len(cores)]})  # else the system may put all on one
         day = director.scenario.plain()
         port = director.port_block.port
         self.tell(words.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays))
@@ -173,7 +176,7 @@
         self.before: dict[int, tuple[float, float]] = {}
         self.costs: list[ProcessCost] = []
         self.memory_mb = 0.0
-        self.begun_true = self.started_true = self.closed_true = 0.0
+        self.day_began = self.started_at = self.closed_at = 0.0
         self.cpu_begun = 0.0
         self.stalls: list[tuple[int, int]] = []
         self.looked = 0
@@ -207,7 +210,7 @@
 
     # the course of a run
     def start(self) -> None:
-        self.started_true = true_now()
+        self.started_at = time.monotonic()
         scenario, port = self.scenario, self.port_block.port
         self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
@@ -250,7 +253,7 @@
         self.reactor.callLater(LEAD + self.scenario.seconds, self.closing)
 
     def day_begins(self) -> None:
-        self.begun_true, self.cpu_begun = true_now(), time.process_time()
+        self.day_began, self.cpu_begun = time.monotonic(), time.process_time()
         self.before = self.relays.spent()
         self.relays.count()
         self.watch_memory()
@@ -286,7 +289,7 @@
     def closing(self) -> None:
         """The last arrival has been: on until all is answered."""
         self.waiting, self.closed = len(self.groups) + 1, True
-        self.closed_true = true_now()
+        self.closed_at = time.monotonic()
         spent = self.relays.spent()
         for relay, (cpu, memory) in spent.items():
             if relay in self.before and not self.relays.killed_at.get(relay):
@@ -499,8 +502,8 @@
             time.process_time() - self.cpu_begun,
             self.memory_mb,
             1 + len(self.groups) + len(self.real),
-            self.begun_true - self.started_true,
-            self.closed_true - self.begun_true,
+            (self.day_began - self.started_at) / self.plan.rate,
+            (self.closed_at - self.day_began) / self.plan.rate,
         )
 
 
@@ -532,11 +535,6 @@
     )
 
 
-def true_now() -> float:
-    """The system's own steady clock, whatever the run's is."""
-    return time.clock_gettime(time.CLOCK_MONOTONIC)
-
-
 def main() -> None:
     """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
     from twisted.internet import reactor
