--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -217,6 +217,17 @@
         net.run(net.now + SETTLES + 2 * SECOND)
         self.assertTrue(machine.owner.units)  # and goes on
 
+    def test_a_stop_shorter_than_a_reports_life_is_a_stop_too(self):
+        net = self.net()
+        net.run(4 * SECOND)
+        owner = net.machines[1].rendezvous.ranked(self.units[0])[0]
+        self.assertTrue(net.machines[owner].owner.units)
+        net.stopped = {owner}
+        net.run(net.now + 2 * STOPPED)
+        net.stopped = set()
+        net.run(net.now + 50)
+        self.assertEqual(net.machines[owner].owner.units, {})
+
     def test_others_go_to_the_standby_meanwhile(self):
         net = self.net()
         net.run(4 * SECOND)
