--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -1,43 +1,93 @@
 """Every decision of tealsail.  A host (tealsail/host.py) builds a `Relay(host, facts, seed, now)`, sets `now`
 and calls `on_...`.  `facts` is a plain map (names: tealsail/settings.py); times are tenths of a ms."""
+
 from collections import defaultdict
 from itertools import islice
 from math import log, sqrt
 from typing import Any
 
-from .host import Host
 from . import notes
-from .parts import (Chance, Invocation, Load, Ring, Shot, Stage, Tries, Unit, Windows, Workload, forget,
-                    in_rows, link, lone, median, mix, part, slower, surplus, unexplained)
+from .host import Host
+from .parts import (
+    Chance,
+    Invocation,
+    Load,
+    Ring,
+    Shot,
+    Stage,
+    Tries,
+    Unit,
+    Windows,
+    Workload,
+    forget,
+    in_rows,
+    link,
+    lone,
+    median,
+    mix,
+    part,
+    slower,
+    surplus,
+    unexplained,
+)
 
 SECOND = 10_000
 ABSENT: dict[str, Any] = dict(
-    index=0, zone=0, relays=1, workloads=[], customers=[], caps=[0.0], stage_shares=[1.0], on_votes=0,
-    back_votes=0, vote_life=6 * SECOND, vote_wait=SECOND, votes_per_second=50, control="any", free_shots=0,
-    layout="in_place", exposure_per="all", exposure_span=2 * SECOND, guarded_stages=0, may_cancel=False,
-    may_tell=False, may_advise=False, longest_advice=0, most_shots=1, cold_from=0.25, warm_up=5 * SECOND,
-    drain_grace=0, bake=SECOND, promised=SECOND, effect="one-shot", group="all", memory=0, payoff=1.0)
+    index=0,
+    zone=0,
+    relays=1,
+    workloads=[],
+    customers=[],
+    caps=[0.0],
+    stage_shares=[1.0],
+    on_votes=0,
+    back_votes=0,
+    vote_life=6 * SECOND,
+    vote_wait=SECOND,
+    votes_per_second=50,
+    control="any",
+    free_shots=0,
+    layout="in_place",
+    exposure_per="all",
+    exposure_span=2 * SECOND,
+    guarded_stages=0,
+    may_cancel=False,
+    may_tell=False,
+    may_advise=False,
+    longest_advice=0,
+    most_shots=1,
+    cold_from=0.25,
+    warm_up=5 * SECOND,
+    drain_grace=0,
+    bake=SECOND,
+    promised=SECOND,
+    effect="one-shot",
+    group="all",
+    memory=0,
+    payoff=1.0,
+)
 ON, BACK, ON_TRIAL, GOING_BACK, RELEASED = 1, 3, 0, 1, 2  # verdicts of a vote; phases
-NEVER_RAN, NO_ROOM = {"full", "unreachable", "moot"}, 255        # outcomes that prove it; a keeper's answer
+NEVER_RAN, NO_ROOM = {"full", "unreachable", "moot"}, 255  # outcomes that prove it; a keeper's answer
 GROUPS, EDGES = ("canary", "baseline", "before"), (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)
-TOLD = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]          # canary and baseline: failures, outcomes
-ROW, BUCKETS = 2 + len(EDGES) + 1, 20            # served, failed, times in parts of the promise; of each ring
-TRIAL_PART, BEAR = 0.9, 1.3                      # of the allowance; over an even share, for a while
-CROWD, THINNEST, FULL = 1000, 7, 1 << 31         # relays; turns of telling, less one; counts told
-JUDGES, FRESH, SPARE = 3, 3 * SECOND, 1.25       # silent for so long: dead; voters over the need
-EARLY_MARGIN, EARLY_EXCESS, CHANCE = 0.015, 4.0, 3.0     # over what the baseline explains, and its deviations
-BRIEF, WIDE = 4, 3                               # beats, if so many units of a build fail of late; where
-BROAD, BEYOND, STEADY = 4, 2.8, 5 * SECOND       # one in so many does: deviations beyond chance, more
+TOLD = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]  # canary and baseline: failures, outcomes
+ROW, BUCKETS = 2 + len(EDGES) + 1, 20  # served, failed, times in parts of the promise; of each ring
+TRIAL_PART, BEAR = 0.9, 1.3  # of the allowance; over an even share, for a while
+CROWD, THINNEST, FULL = 1000, 7, 1 << 31  # relays; turns of telling, less one; counts told
+JUDGES, FRESH, SPARE = 3, 3 * SECOND, 1.25  # silent for so long: dead; voters over the need
+EARLY_MARGIN, EARLY_EXCESS, CHANCE = 0.015, 4.0, 3.0  # over what the baseline explains, and its deviations
+BRIEF, WIDE = 4, 3  # beats, if so many units of a build fail of late; where
+BROAD, BEYOND, STEADY = 4, 2.8, 5 * SECOND  # one in so many does: deviations beyond chance, more
 # of them the longer a build is looked at: else, of looks twice a second, chance alone passes within minutes
 SLOWER, UNEVEN, WORKED, REJECT_AT, LEAST = 1.6, 0.3, 0.25, 0.01, 20  # ratio, of few, by idle; level, outcomes
-HORIZON, PATIENCE = 3 * SECOND + SECOND // 4, SECOND      # after the newest listed start; and if thin
-WITNESSES, MATCHED, OWN, USUAL = 20, 20, 0.3, 1.3   # due to others; far shots alone; its own: failing, slow
-SKIP, LISTED, LAUNCH, NAMED = 2 * SECOND, 0.7, 8 * SECOND, 0.3   # new unit's; stage's; by then all; of late
+HORIZON, PATIENCE = 3 * SECOND + SECOND // 4, SECOND  # after the newest listed start; and if thin
+WITNESSES, MATCHED, OWN, USUAL = 20, 20, 0.3, 1.3  # due to others; far shots alone; its own: failing, slow
+SKIP, LISTED, LAUNCH, NAMED = 2 * SECOND, 0.7, 8 * SECOND, 0.3  # new unit's; stage's; by then all; of late
 
 
 class Intake(Stage):
     """Takes invocations and gives each its one final answer, at once where nothing can be sent."""
-    FURTHER, purse = 0.2, 1.0                    # doubtful further shots an invocation; no storm of repeats
+
+    FURTHER, purse = 0.2, 1.0  # doubtful further shots an invocation; no storm of repeats
 
     def forward(self, invocation: Invocation) -> None:
         self.purse = min(20.0, self.purse + (0 if invocation.shots else self.FURTHER))
@@ -74,16 +124,17 @@
 class Admission(Stage):
     """Keeps queues short: a limit on this relay's shots out there falls with late answers, rises with those
     in time; less for what pays little or is of a customer beyond its share.  Guards against any overload."""
-    LATE, EASY, RISE, CUT = 1.0, 0.5, 0.1, 0.4   # late, and with no queue: parts of the promise
-    FEW, LEAST = 3, 0.15                         # under so few the limit is a share taken, at least this one
+
+    LATE, EASY, RISE, CUT = 1.0, 0.5, 0.1, 0.4  # late, and with no queue: parts of the promise
+    FEW, LEAST = 3, 0.15  # under so few the limit is a share taken, at least this one
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
         self.limit, self.peak, self.cut, self.cut_at = 40.0, 1.0, 0, 0
-        self.shots = self.stuck = 0              # out there, and those with units that are hung
+        self.shots = self.stuck = 0  # out there, and those with units that are hung
         self.taken = Ring(4 * SECOND, BUCKETS)
         self.by_customer = [Ring(4 * SECOND, BUCKETS) for _ in self.facts["customers"] or [{}]]
-        for workload in relay.workloads:         # latencies, until some are seen
+        for workload in relay.workloads:  # latencies, until some are seen
             workload.mean, workload.deviation = workload.promised / 5, workload.promised / 10
 
     def patience(self, workload: Workload) -> int:
@@ -112,7 +163,7 @@
         workload, latency_for_size = shot.invocation.workload, latency / max(1.0, shot.invocation.size)
         late = latency_for_size > self.LATE * workload.promised and shot.unit.waiting >= shot.sent
         out = self.shots - self.stuck + 1
-        if late and shot.sent >= self.cut_at:    # of what is in use; a cut by a third is given time to show
+        if late and shot.sent >= self.cut_at:  # of what is in use; a cut by a third is given time to show
             used, self.cut = min(self.limit, 2 * max(out, self.peak)), self.cut + 1
             self.limit = max(self.FEW * self.LEAST, used - min(1.0, self.CUT * used))
             if self.cut > self.limit / 2:
@@ -136,7 +187,7 @@
 
     def new_build(self, build: int) -> None:
         self.build = build
-        self.owed = defaultdict(float)           # how far the canary group is ahead of the baseline, by tier
+        self.owed = defaultdict(float)  # how far the canary group is ahead of the baseline, by tier
         self.groups = {name: [int(count) * (name == "before") for count in self.lately] for name in GROUPS}
 
     def weigh(self) -> None:
@@ -155,20 +206,22 @@
         if relay.beside:
             mine -= cold[1] * len(new) / max(1, len(new) + len(old)) * relay.room
         self.share = min(1.0, mine / (mine * (not relay.beside) + others * max(1.0, slow / max(0.01, usual))))
-        if relay.judge.verdict == BACK or relay.phase == GOING_BACK:     # others get what they can bear
+        if relay.judge.verdict == BACK or relay.phase == GOING_BACK:  # others get what they can bear
             self.share = max(0.0, 1 - BEAR * (1 - self.share)) * (not relay.beside)
-        relay.cold_share = [(each / 2, each / max(0.01, drawn))  # if drawn for the other row, or for this one
-                            for each, drawn in zip(cold, (1 - self.share, self.share))]
+        relay.cold_share = [
+            (each / 2, each / max(0.01, drawn))  # if drawn for the other row, or for this one
+            for each, drawn in zip(cold, (1 - self.share, self.share))
+        ]
 
     def forward(self, invocation: Invocation) -> bool:
         relay, (old, new) = self.relay, self.relay.rows
         if not relay.warm_room and not invocation.shots:
             relay.gate.even += invocation.size / relay.room
-        if invocation.asked <= len(invocation.shots):            # else drawn already
-            invocation.drawn = None if invocation.shots else bool(new) and (
-                not old or relay.chance.share() < self.share)
-        wanted = invocation.drawn and new and old and (
-            relay.gate.allowance(invocation, new[0].build, TRIAL_PART) >= 1)
+        if invocation.asked <= len(invocation.shots):  # else drawn already
+            invocation.drawn = (
+                None if invocation.shots else bool(new) and (not old or relay.chance.share() < self.share)
+            )
+        wanted = invocation.drawn and new and old and (relay.gate.allowance(invocation, new[0].build, TRIAL_PART) >= 1)
         # Departure: what earlier units cannot take (none left, cold ones full) may use the whole allowance.
         return any(self.next.forward(invocation, row) for row in ((new, old) if wanted else (old, new)))
 
@@ -178,7 +231,7 @@
         if unit.build > self.build or name == "baseline" and self.owed[tier] <= 2 * self.relay.chance.share():
             return None
         if name == "canary" and tier and self.owed[tier] >= MATCHED:
-            return None                          # no earlier unit as far away to hold it against
+            return None  # no earlier unit as far away to hold it against
         self.owed[tier] = min(50.0, self.owed[tier] + (1 if name == "canary" else -1))
         return self.groups[name]
 
@@ -186,15 +239,15 @@
         workload, unit = shot.invocation.workload, shot.unit
         times = latency * shot.warmth / workload.promised
         bucket = workload.row.start + 2 + sum(times > edge for edge in EDGES)
-        if shot.group and not shot.invocation.repeat:            # one client's repeats are no evidence
+        if shot.group and not shot.invocation.repeat:  # one client's repeats are no evidence
             shot.group[workload.row.start] += outcome == "served"
-            failed = outcome == "error" and not (
-                unit.build == self.build and self.relay.choice.stands_out(unit))
+            failed = outcome == "error" and not (unit.build == self.build and self.relay.choice.stands_out(unit))
             # Departure: with no earlier machine left to fail alike, it counts once another unit serves it
-            shot.group[workload.row.start + 1] += (shot.invocation.blamed and outcome == "served"
-                                                   if self.relay.alone else failed)
+            shot.group[workload.row.start + 1] += (
+                shot.invocation.blamed and outcome == "served" if self.relay.alone else failed
+            )
             shot.invocation.blamed |= self.relay.alone and failed
-            early = not self.relay.stage and self.relay.now - unit.started > SKIP    # no warm canary yet
+            early = not self.relay.stage and self.relay.now - unit.started > SKIP  # no warm canary yet
             shot.group[bucket] += outcome == "served" and (shot.warmth >= 1 or early)
         if outcome == "served" and shot.warmth >= 1 and not self.relay.on_trial(unit.build):
             self.lately[bucket] += 1
@@ -204,8 +257,9 @@
 class Choice(Stage):
     """Which unit: two random choices in the build among few units, in an order drawn by this relay's number,
     one more whenever those are all busy: with little traffic it opens few connections and knows its units."""
-    REST, LONGEST_REST, FEW, NEW = SECOND // 2, 4 * SECOND, 4, 8         # NEW: what a new connection costs,
-    few, cut_off = FEW, 0.0                      # where shots of late found none (dear or few connections)
+
+    REST, LONGEST_REST, FEW, NEW = SECOND // 2, 4 * SECOND, 4, 8  # NEW: what a new connection costs,
+    few, cut_off = FEW, 0.0  # where shots of late found none (dear or few connections)
 
     def forward(self, invocation: Invocation, row: list[Unit]) -> bool:
         used, pick, guide = [shot.unit for shot in invocation.shots], self.relay.chance.pick, self.relay.guide
@@ -213,7 +267,7 @@
         side = bool(row) and self.relay.on_trial(row[0].build)
         if self.relay.gate.lucky(invocation, side):
             cold = [unit for unit in row if self.relay.warmth(unit) < 1]
-            if cold:                             # else warmed since, or in other zones
+            if cold:  # else warmed since, or in other zones
                 row, few = cold + row, min(few, len(cold))
         fit = (unit for unit in row if self.fit(unit) and unit not in used)
         near = list(islice(fit, few))
@@ -229,7 +283,7 @@
             if self.next.forward(invocation, unit):
                 return True
             near.remove(unit)
-            near += islice(fit, 1)               # cold, say: the next in the row
+            near += islice(fit, 1)  # cold, say: the next in the row
         return any(self.next.forward(invocation, unit) for unit in row if unit in used or not self.fit(unit))
 
     def cost(self, unit: Unit) -> float:
@@ -242,15 +296,20 @@
     def fit(self, unit: Unit) -> bool:
         """Not resting, one shot at a time after a rest, and not silent for longer than answers take."""
         return self.relay.now >= unit.rest_until and not (
-            unit.out and (unit.rest or self.relay.now - unit.waiting > self.relay.patience))
+            unit.out and (unit.rest or self.relay.now - unit.waiting > self.relay.patience)
+        )
 
     def stands_out(self, unit: Unit) -> bool:
         """Its errors are its own: its build's other units do much better and earlier units fail too or, with
         none left, under a third of the build's.  Few that fail in a build on trial alone count against it."""
-        seen = [other for other in self.relay.units.values()
-                if other is not unit and other.met > self.relay.now - 10 * SECOND]
-        others, elsewhere = ([other.failing for other in seen if (other.build == unit.build) == here]
-                             for here in (True, False))
+        seen = [
+            other
+            for other in self.relay.units.values()
+            if other is not unit and other.met > self.relay.now - 10 * SECOND
+        ]
+        others, elsewhere = (
+            [other.failing for other in seen if (other.build == unit.build) == here] for here in (True, False)
+        )
         few = max(elsewhere) > 0.1 if elsewhere else 3 * sum(each > 0.05 for each in others) < len(others)
         return len(others) > 1 and few and unit.failing > max(OWN, 3 * sum(others) / len(others))
 
@@ -270,11 +329,15 @@
         unit.missed += (outcome in ("reset", "unreachable")) * (1 + (latency > SECOND // 10))
         if outcome == "served":
             unit.rest = 0
-        elif outcome == "full" or unit.missed > 1 or (late and unit.waiting <= shot.sent) \
-                or (outcome == "error" and self.stands_out(unit)):
+        elif (
+            outcome == "full"
+            or unit.missed > 1
+            or (late and unit.waiting <= shot.sent)
+            or (outcome == "error" and self.stands_out(unit))
+        ):
             unit.rest = min(self.LONGEST_REST, 2 * unit.rest or self.REST)
-            unit.rest_until = now + unit.rest    # dead, drained, silent or failing alone: it rests, and goes
-            for row in self.relay.rows:          # to the end of the row
+            unit.rest_until = now + unit.rest  # dead, drained, silent or failing alone: it rests, and goes
+            for row in self.relay.rows:  # to the end of the row
                 row.sort(key=lambda other: other is unit)
         super().backward(shot, outcome, latency)
 
@@ -282,16 +345,17 @@
 class Guide:
     """Stands in for load reports that are missing, late or false: a relay drawn by hash is told of each shot,
     and asked which of a few units has the least at hand.  A silent one is left out a while."""
+
     SEATS, FEW, HELD, NEARER, WAIT, MUTE, LIFE = 3, 8, 0.7, 0.06, SECOND // 10, 2 * SECOND, 5 * SECOND
 
     def __init__(self, relay: "Relay") -> None:
         self.relay, facts = relay, relay.facts
         self.on = facts["may_tell"] and facts["relays"] > 1
-        self.order = sorted(range(facts["relays"]), key=lambda at: mix(0, at))[:self.SEATS]
-        self.mute = dict.fromkeys(self.order, 0)                 # until when each is left out
-        self.asked: dict[int, Invocation] = {}   # kept until the answer or the end of the wait
+        self.order = sorted(range(facts["relays"]), key=lambda at: mix(0, at))[: self.SEATS]
+        self.mute = dict.fromkeys(self.order, 0)  # until when each is left out
+        self.asked: dict[int, Invocation] = {}  # kept until the answer or the end of the wait
         self.missed, self.told, self.began, self.ends = 0, 0, 0, Ring(2 * SECOND, BUCKETS)
-        self.loads: defaultdict[int, Load] = defaultdict(Load)   # the keeper's: what all have at a unit
+        self.loads: defaultdict[int, Load] = defaultdict(Load)  # the keeper's: what all have at a unit
 
     def keeper(self) -> int:
         return next((at for at in self.order if self.on and self.mute[at] <= self.relay.now), -1)
@@ -301,7 +365,7 @@
         keeper, relay = self.keeper(), self.relay
         if keeper < 0 or len(near) < 2 or invocation.asked > len(invocation.shots):
             return False
-        near.sort(key=lambda unit: unit.zone != relay.facts["zone"])     # its own first, all else being equal
+        near.sort(key=lambda unit: unit.zone != relay.facts["zone"])  # its own first, all else being equal
         invocation.asked, invocation.near = len(invocation.shots) + 1, near
         self.asked[invocation.number] = invocation
         relay.host.wake(min(relay.now + self.WAIT, invocation.give_up), relay.WAKE_ASKED + invocation.number)
@@ -331,13 +395,17 @@
     def least(self, sender: int, keys: tuple[int, ...]) -> int:
         loads, now, since = [self.loads[key] for key in keys], self.relay.now, self.relay.now - self.WAIT
         usual = sorted(load.failing for load in loads)[len(loads) // 2]
-        costs = [(load.at_hand(since, NAMED) + 0.5 + self.NEARER * place) * max(1.0, load.pace / USUAL)
-                 * (1 + 20 * max(0.0, load.failing - OWN - 2 * usual)) for place, load in enumerate(loads)]
+        costs = [
+            (load.at_hand(since, NAMED) + 0.5 + self.NEARER * place)
+            * max(1.0, load.pace / USUAL)
+            * (1 + 20 * max(0.0, load.failing - OWN - 2 * usual))
+            for place, load in enumerate(loads)
+        ]
         place = costs.index(min(costs))
         promise = min([each.promised for each in self.relay.workloads], default=SECOND)
         pace = max(LEAST, self.ends.total(now)) / (len(self.loads) * self.ends.span)
         if loads[place].out > self.HELD * promise * pace and now - self.began > 2 * self.ends.span:
-            return NO_ROOM                       # not by one that has just begun to be told
+            return NO_ROOM  # not by one that has just begun to be told
         loads[place].given.append((sender, now))
         return place
 
@@ -355,19 +423,25 @@
 
 class Gate(Stage):
     """Every send passes here; each of the five rules is kept at one place of it."""
-    COLD_PART = 1.5                              # of an even share, for what a cold unit can do now
+
+    COLD_PART = 1.5  # of an even share, for what a cold unit can do now
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
         self.taken = [Ring(self.facts["exposure_span"], BUCKETS) for _ in relay.workloads]
-        self.tried = defaultdict(lambda: [Tries(ring.span, BUCKETS) for ring in self.taken])     # by build
-        self.even = 0.0                          # sent to warm units so far, for a weight of one
-        self.sound = 1.0                         # part of the latest shots that came to an answer
+        self.tried = defaultdict(lambda: [Tries(ring.span, BUCKETS) for ring in self.taken])  # by build
+        self.even = 0.0  # sent to warm units so far, for a weight of one
+        self.sound = 1.0  # part of the latest shots that came to an answer
 
     def forward(self, invocation: Invocation, unit: Unit) -> bool:
         relay, now = self.relay, self.relay.now
-        if not (self.answerable(invocation) and self.may_repeat(invocation, unit) and self.listed(unit)
-                and self.warm_enough(invocation, unit) and self.exposed(invocation, unit)):
+        if not (
+            self.answerable(invocation)
+            and self.may_repeat(invocation, unit)
+            and self.listed(unit)
+            and self.warm_enough(invocation, unit)
+            and self.exposed(invocation, unit)
+        ):
             return False
         shot = Shot(invocation, unit, now, relay.trial.group_of(unit), relay.warmth(unit))
         invocation.shots.append(shot)
@@ -380,8 +454,11 @@
         unit.credit -= invocation.size
         self.tried[unit.build][invocation.workload.place].add(now)
         left, patience = invocation.give_up - now, self.relay.admission.patience(invocation.workload)
-        if invocation.workload.effect == "harmless" and left > 2 * patience \
-                and len(invocation.shots) < self.facts["most_shots"]:
+        if (
+            invocation.workload.effect == "harmless"
+            and left > 2 * patience
+            and len(invocation.shots) < self.facts["most_shots"]
+        ):
             if self.facts["may_cancel"]:
                 relay.host.wake(now + patience, relay.WAKE_LATE + invocation.number)
             else:
@@ -398,16 +475,20 @@
     def may_repeat(self, invocation: Invocation, unit: Unit | None = None) -> bool:
         workload, first = invocation.workload, invocation.may_have_run()
         if workload.effect == "harmless" or first is None or invocation.out():
-            return not invocation.out()          # one shot at a time, also where two are allowed
+            return not invocation.out()  # one shot at a time, also where two are allowed
         if workload.effect != "stamped" or self.relay.now >= first.sent + workload.memory:
             return False
-        return unit is None or workload.group == "all" or (
-            unit.cell == first.unit.cell if workload.group == "cell" else unit.zone == first.unit.zone)
+        return (
+            unit is None
+            or workload.group == "all"
+            or (unit.cell == first.unit.cell if workload.group == "cell" else unit.zone == first.unit.zone)
+        )
 
     def may_reject(self, invocation: Invocation) -> bool:
         workload, first = invocation.workload, invocation.may_have_run()
-        return workload.effect == "harmless" or first is None or (
-            workload.group == "all" and self.may_repeat(invocation))
+        return (
+            workload.effect == "harmless" or first is None or (workload.group == "all" and self.may_repeat(invocation))
+        )
 
     # Drains kept: a unit that drains or is gone leaves `relay.units` at once; only what is there gets shots.
     def listed(self, unit: Unit) -> bool:
@@ -455,18 +536,20 @@
 
     def __init__(self, relay: "Relay") -> None:
         self.relay, self.facts, self.beat, self.cast_at, self.busy_until = relay, relay.facts, 0, 0, 0
-        self.voted = self.cast = (-1, 0, 0)      # the vote last sent, and the one known to stand
+        self.voted = self.cast = (-1, 0, 0)  # the vote last sent, and the one known to stand
         votes = ("back_votes",) if self.facts["control"] == "timer" else ("on_votes", "back_votes")
-        needed = max(int(self.facts[name]) for name in votes)    # no 'on' moves a stage under a timer
+        needed = max(int(self.facts[name]) for name in votes)  # no 'on' moves a stage under a timer
         self.voters = JUDGES if needed <= JUDGES else int(needed * SPARE) + 1
         self.new_build()
 
     def new_build(self) -> None:
         size = len(self.relay.trial.lately)
-        kinds = [[group * size + row + column for row in range(0, size, ROW) for column in columns]
-                 for group, columns in TOLD]
-        self.pooled = notes.Pool(len(GROUPS) * size, kinds)            # what the others told
-        self.heard: dict[int, int] = {}          # sender -> when
+        kinds = [
+            [group * size + row + column for row in range(0, size, ROW) for column in columns]
+            for group, columns in TOLD
+        ]
+        self.pooled = notes.Pool(len(GROUPS) * size, kinds)  # what the others told
+        self.heard: dict[int, int] = {}  # sender -> when
         self.windows = Windows(BRIEF)
         self.begun, self.born, self.base = self.relay.now, self.relay.born, [0] * len(self.pooled.sums)
         self.told = list(self.base)
@@ -474,15 +557,17 @@
 
     def draw(self) -> None:
         relay = self.relay
-        self.order = sorted(range(max(self.facts["relays"], relay.index + 1)),
-                            key=lambda at: -mix(relay.build, at))
+        self.order = sorted(range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -mix(relay.build, at))
         self.place, self.verdict = self.order.index(relay.index), 0
 
     def sitting(self) -> bool:
         """One of the judges, or the next in line for one that has not been heard of lately."""
         relay = self.relay
-        alive = [index for index in self.order[:JUDGES + 1] if index == relay.index
-                 or relay.now - self.heard.get(index, relay.since) < FRESH]
+        alive = [
+            index
+            for index in self.order[: JUDGES + 1]
+            if index == relay.index or relay.now - self.heard.get(index, relay.since) < FRESH
+        ]
         return relay.index in alive[:JUDGES] or (self.place < self.voters and not self.facts["may_tell"])
 
     def tell(self) -> None:
@@ -490,23 +575,23 @@
         all; new failures each half: what turns bad late must go before the next build is due.  The baseline's
         too: else a judge of many hears first of whoever saw the canary fail, and sends a good build back."""
         relay, trial, tell = self.relay, self.relay.trial, self.relay.host.tell
-        counts = [count for name in GROUPS for count in trial.groups[name]]     # the canary's first
+        counts = [count for name in GROUPS for count in trial.groups[name]]  # the canary's first
         counts = [count - base for count, base in zip(counts, self.base)]
-        matched = 2 * len(trial.lately)          # cells of canary and baseline
+        matched = 2 * len(trial.lately)  # cells of canary and baseline
         pressing = any(counts[at] > self.told[at] for at in range(1, matched, ROW))
         thin = 1 + min(THINNEST, self.facts["relays"] // CROWD)  # else thousands of relays drown their judges
         turn = (self.beat // 2 + relay.index) % thin == 0 or self.place <= JUDGES
         if trial.build < 0 or not self.facts["may_tell"] or not (turn and (self.beat % 2 or pressing)):
             return
         if self.verdict and self.voters > JUDGES and self.sitting():
-            tell(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))      # if it was lost
+            tell(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # if it was lost
         whole = (self.beat // 2 + relay.index) % 4 == 0
         cells, self.told = notes.new_cells(counts, [] if whole else self.told, ROW), counts
         for data in notes.count_notes(trial.build, self.born, cells, len(counts)):
-            for index in self.order[:JUDGES + 1] if cells or self.place <= JUDGES else ():
+            for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
                 if index != relay.index:
                     tell(index, data)
-        if max(counts, default=0) > FULL:        # from here on as if it had started anew
+        if max(counts, default=0) > FULL:  # from here on as if it had started anew
             self.base, self.born = [base + count for base, count in zip(self.base, counts)], relay.now
             self.told = [0] * len(counts)
 
@@ -517,8 +602,11 @@
         if len(figures) > 3:
             self.heard[sender] = relay.now
             self.pooled.add(sender, figures[1], figures[4:])
-        elif sender in self.order[:JUDGES + 1] and figures[2] > self.verdict and \
-                (figures[1] == relay.stage or figures[2] == BACK):       # a judge's word
+        elif (
+            sender in self.order[: JUDGES + 1]
+            and figures[2] > self.verdict
+            and (figures[1] == relay.stage or figures[2] == BACK)
+        ):  # a judge's word
             self.verdict, crowd = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
             self.busy_until = relay.now + int(max(0.0, crowd) * relay.chance.share() * SECOND)
             if self.place < self.voters:
@@ -545,27 +633,29 @@
     def fails(self, canary: list[list[int]], baseline: list[list[int]]) -> bool:
         """The crude margin on failures that the baseline does not explain, for each workload and for all; and
         beyond chance, where many are due: relays with failures tell first, and so a judge hears of many."""
-        return any(bad - due > max(EARLY_EXCESS + EARLY_MARGIN * many, CHANCE * sqrt(2 * due))
-                   for many, bad, due in unexplained(canary, baseline))
+        return any(
+            bad - due > max(EARLY_EXCESS + EARLY_MARGIN * many, CHANCE * sqrt(2 * due))
+            for many, bad, due in unexplained(canary, baseline)
+        )
 
     def worse(self, canary: list, baseline: list, before: list) -> bool:
         """Slower than the earlier build.  Departure: where earlier machines stay they idle, and a sound build
         looks slow beside them; so it has to be slower than they were before the trial, too."""
         level, relay = REJECT_AT / len(self.facts["stage_shares"]), self.relay
         units = [unit for unit in relay.units.values() if unit.build == relay.build]
-        warm = sum(relay.warmth(unit) >= 1 for unit in units) or 1       # few may be slow machines
+        warm = sum(relay.warmth(unit) >= 1 for unit in units) or 1  # few may be slow machines
         margin = SLOWER * (1 + UNEVEN / sqrt(warm)) * relay.crowd * (1 + WORKED * relay.beside)
-        held = (baseline, before)[:1 + relay.beside]
+        held = (baseline, before)[: 1 + relay.beside]
         return all(slower(canary, each, EDGES, LEAST, margin, level) for each in held)
 
     def due(self) -> int:
-        relay, shares = self.relay, self.facts["stage_shares"]   # the horizon: after the newest listed start
+        relay, shares = self.relay, self.facts["stage_shares"]  # the horizon: after the newest listed start
         starts = [unit.started for unit in relay.units.values() if unit.build == relay.build]
-        fleet = len(relay.units) - relay.beside * len(starts)    # earlier machines that stay are the places
+        fleet = len(relay.units) - relay.beside * len(starts)  # earlier machines that stay are the places
         places = shares[min(relay.stage, len(shares) - 1)] * fleet
-        stale = len(starts) < max(1, LISTED * places)    # what other units show is no evidence for these
+        stale = len(starts) < max(1, LISTED * places)  # what other units show is no evidence for these
         newest = min(max([relay.since, *starts]), relay.since + LAUNCH) + SECOND * (len(starts) < int(places))
-        quick = min(1.0, self.facts["bake"] / SECOND)    # where the platform's times are short, so is this
+        quick = min(1.0, self.facts["bake"] / SECOND)  # where the platform's times are short, so is this
         return int(HORIZON * quick) + (relay.since + 2 * LAUNCH if stale else newest)
 
     def consider(self) -> None:
@@ -581,14 +671,17 @@
         recent, brief, minute = self.windows.take(self.beat, pooled)
         seen = [unit.failing for unit in relay.units.values() if unit.build == relay.build]
         wide, broad = sum(each > 0.03 for each in seen) >= WIDE, BROAD * sum(each > 0.002 for each in seen)
-        known = sum(row[0] + row[1] for row in pooled[1]) >= LEAST // 2    # else nothing to be held against
+        known = sum(row[0] + row[1] for row in pooled[1]) >= LEAST // 2  # else nothing to be held against
         before, thin = self.verdict, sum(row[0] + row[1] for row in pooled[0]) < LEAST
         heard = 1 + 2 * sum(relay.now - at < 2 * FRESH for at in self.heard.values())
-        deaf = self.facts["may_tell"] and heard < self.facts["relays"]   # then what is thin was lost
+        deaf = self.facts["may_tell"] and heard < self.facts["relays"]  # then what is thin was lost
         # Departure: fewer failures, beyond chance and on a quarter of its units: a build that turns bad late
-        chance = sqrt(BEYOND ** 2 + 2 * log(max(1.0, (relay.now - self.begun) / STEADY)))
-        failing = any(self.fails(each, pooled[1]) for each in (pooled[0], recent[0], brief[0])[:2 + wide]) \
-            or broad > max(len(seen), 8) and max(surplus(pooled, each) for each in (brief, minute)) > chance
+        chance = sqrt(BEYOND**2 + 2 * log(max(1.0, (relay.now - self.begun) / STEADY)))
+        failing = (
+            any(self.fails(each, pooled[1]) for each in (pooled[0], recent[0], brief[0])[: 2 + wide])
+            or broad > max(len(seen), 8)
+            and max(surplus(pooled, each) for each in (brief, minute)) > chance
+        )
         rest = self.contradicted(0) or self.contradicted(1)
         # that relay's word counts no more, nor what came of it; who told of a million served hides nothing
         failing = self.fails(*(rest or self.others(self.told_by(0, 0, 1)))[:2]) or failing and not rest
@@ -598,10 +691,12 @@
             known = not thin or (relay.now >= self.due() + PATIENCE and not deaf)
             self.verdict = BACK if self.worse(*pooled) else ON * known
         if self.verdict != before:
-            if self.voters > JUDGES:             # at once: until the next beat a build waits for its voters
+            if self.voters > JUDGES:  # at once: until the next beat a build waits for its voters
                 relay.host.tell(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))
-            relay.host.log(f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:" + "".join(
-                f" {row[0]}-{row[1]}@{median(row[2:], EDGES):.2f}" for rows in pooled for row in rows))
+            relay.host.log(
+                f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:"
+                + "".join(f" {row[0]}-{row[1]}@{median(row[2:], EDGES):.2f}" for rows in pooled for row in rows)
+            )
 
     def vote(self) -> None:
         relay, now, ballot = self.relay, self.relay.now, (self.relay.build, self.relay.stage, self.verdict)
@@ -615,12 +710,13 @@
         self.busy_until = self.relay.now
         if answer == "ok":
             self.cast, self.cast_at = self.voted, self.relay.now
-        elif answer != "timeout":                # moot, full or an error: it does not count; soon again
+        elif answer != "timeout":  # moot, full or an error: it does not count; soon again
             self.busy_until += int((0.2 + 0.3 * self.relay.chance.share()) * SECOND)
 
 
 class Relay:
     """One instance: what it knows, and the door through which events come in."""
+
     WAKE_BEAT, WAKE_LATE, WAKE_ASKED = 0, 1 << 32, 1 << 40
 
     def __init__(self, host: Host, facts: dict[str, Any], seed: int, now: int) -> None:
@@ -629,19 +725,19 @@
         self.chance, self.index = Chance(seed), self.facts["index"]
         self.workloads = [Workload(at, ROW, ABSENT | each) for at, each in enumerate(self.facts["workloads"])]
         self.units: dict[int, Unit] = {}
-        self.leaving: set[int] = set()           # those that drain: their successors may share their machines
-        self.rows: tuple[list[Unit], ...] = ([], [])             # of earlier builds, and on trial
-        self.known: dict[int, Invocation] = {}   # taken, and not over or with shots still out
+        self.leaving: set[int] = set()  # those that drain: their successors may share their machines
+        self.rows: tuple[list[Unit], ...] = ([], [])  # of earlier builds, and on trial
+        self.known: dict[int, Invocation] = {}  # taken, and not over or with shots still out
         self.build, self.stage, self.phase, self.told_cap = -1, 0, RELEASED, 1.0
-        self.lowered, self.higher_cap = 0, 0.0   # when a cap was lowered, and from what
-        self.usual_work, self.patience, self.cold_share = 0.0, SECOND, [(0.0, 0.0)] * 2      # the last by row
-        self.room, self.warm_room, self.crowd = 0.01, 0.0, 1.0   # weights: all, warm; units over machines
-        self.beside, self.alone = self.facts["layout"] == "beside", False    # earlier ones stay; none left
+        self.lowered, self.higher_cap = 0, 0.0  # when a cap was lowered, and from what
+        self.usual_work, self.patience, self.cold_share = 0.0, SECOND, [(0.0, 0.0)] * 2  # the last by row
+        self.room, self.warm_room, self.crowd = 0.01, 0.0, 1.0  # weights: all, warm; units over machines
+        self.beside, self.alone = self.facts["layout"] == "beside", False  # earlier ones stay; none left
         self.choice, self.admission, self.gate = Choice(self), Admission(self), Gate(self)
         self.intake, self.trial = Intake(self), Trial(self)
         self.judge, self.guide = Judge(self), Guide(self)
-        self.seats: list[Any] = []               # stages of other choices, before the choice of unit
-        self.tier = lambda unit: 0               # how far a unit is, where a seat knows
+        self.seats: list[Any] = []  # stages of other choices, before the choice of unit
+        self.tier = lambda unit: 0  # how far a unit is, where a seat knows
         self.on_vote_answer = self.judge.answered
         link(self.intake, self.admission, self.trial, self.choice, self.gate)
         host.wake(now + int((1 + self.chance.share()) * SECOND / 4), self.WAKE_BEAT)
@@ -649,7 +745,7 @@
     def seat(self, stage: Any) -> None:
         """A stage between the choice of build and that of the unit; it is told of the list and of time."""
         self.seats.append(stage)
-        self.guide.on = False                    # who keeps to zones chooses alone
+        self.guide.on = False  # who keeps to zones chooses alone
         link(self.trial, *self.seats, self.choice)
 
     def warmth(self, unit: Unit) -> float:
@@ -690,8 +786,9 @@
         self.units = {number: unit for number, unit in kept.items() if unit.open}
         self.arrange()
 
-    def on_invocation(self, number: int, workload: int, customer: int, key: str | None, give_up: int,
-                      work: int, repeat: bool) -> None:
+    def on_invocation(
+        self, number: int, workload: int, customer: int, key: str | None, give_up: int, work: int, repeat: bool
+    ) -> None:
         self.usual_work += 0.01 * (work - self.usual_work) if self.usual_work else work
         size = work / self.usual_work if work else 1.0
         invocation = Invocation(number, self.workloads[workload], customer, key, give_up, size, repeat)
@@ -702,8 +799,9 @@
             tries[workload].add(self.now, -self.cap(build))
         self.intake.forward(invocation)
 
-    def on_outcome(self, number: int, place: int, outcome: str, over: bool, latency: int,
-                   load: dict[str, float] | None) -> None:
+    def on_outcome(
+        self, number: int, place: int, outcome: str, over: bool, latency: int, load: dict[str, float] | None
+    ) -> None:
         invocation = self.known.get(number)
         if invocation is None:
             return
@@ -716,7 +814,7 @@
 
     def on_started(self, number: int, place: int) -> None:
         if number in self.known:
-            self.known[number].over = True       # an answer's stream has begun: nothing more may be sent
+            self.known[number].over = True  # an answer's stream has begun: nothing more may be sent
 
     def stands(self, number: int, place: int) -> bool:
         """Whether a shot may go out once its connection is up: guards against a list or cap changed since."""
@@ -728,23 +826,23 @@
         if invocation and not invocation.over:
             invocation.over = True
             if invocation.out() and self.facts["may_cancel"]:
-                self.host.cancel(number, len(invocation.shots) - 1)     # nobody waits for it any more
+                self.host.cancel(number, len(invocation.shots) - 1)  # nobody waits for it any more
 
     def on_wake(self, token: int) -> None:
         if token == self.WAKE_BEAT:
-            due, after = self.judge.due(), self.now + SECOND // 2        # no wait is lost at the horizon
+            due, after = self.judge.due(), self.now + SECOND // 2  # no wait is lost at the horizon
             self.host.wake(due if self.now < due < after else after, self.WAKE_BEAT)
             self.known = {number: each for number, each in self.known.items() if not each.over or each.out()}
             self.patience = max([self.admission.patience(each) for each in self.workloads], default=SECOND)
             busy = (unit for unit in self.units.values() if unit.out)
             self.admission.stuck = sum(unit.out for unit in busy if not self.choice.fit(unit))
-            for unit in self.units.values():     # what is not tried again is slowly forgiven
+            for unit in self.units.values():  # what is not tried again is slowly forgiven
                 if unit.failing or unit.pace != 1:
                     unit.pace, unit.failing = unit.pace + 0.03 * (1 - unit.pace), 0.97 * unit.failing
             self.trial.lately = [count * (1 if self.rows[1] else 0.92) for count in self.trial.lately]
             self.choice.few = max(self.choice.FEW, 0.99 * self.choice.few)
             self.judge.consider()
-            (self.trial.weigh if self.judge.beat % 40 else self.arrange)()   # who went to the end is forgiven
+            (self.trial.weigh if self.judge.beat % 40 else self.arrange)()  # who went to the end is forgiven
             self.judge.tell()
             self.guide.loads = forget(self.guide.loads, self.now - self.guide.LIFE)
             for seat in self.seats:
@@ -766,7 +864,7 @@
             self.trial.new_build(build)
             self.judge.new_build()
             for each in [each for each in self.gate.tried if each < build]:
-                del self.gate.tried[each]        # a relay outlives many builds
+                del self.gate.tried[each]  # a relay outlives many builds
         if (build, stage, phase) != earlier:
             self.since = self.now - age
             self.judge.draw()
@@ -774,7 +872,7 @@
 
     def on_flag(self, unit: int, workload: int, age: int) -> None:
         build, share = self.units[unit].build if unit in self.units else 0, self.trial.share
-        mine = build == self.build               # some reports are false: of both builds they count alike
+        mine = build == self.build  # some reports are false: of both builds they count alike
         if mine or build and self.rows[1] and self.chance.share() * (1 - share) < share:
             group = self.trial.groups["canary" if mine else "baseline"]
             group[self.workloads[workload].row.start + 1] += 1
