--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -80,6 +80,9 @@
     for invocation in relay.known.values():
         for shot in invocation.shots:
             shot.group = None  # no evidence
-    relay.admission.cut_at = now
+    relay.admission.limit_cut_at = now
     for unit in relay.units.values():
-        unit.waiting, unit.missed = now, min(unit.missed, -2)  # a connection that failed meanwhile is no news
+        unit.silent_since, unit.connection_failures = (
+            now,
+            min(unit.connection_failures, -2),
+        )  # a connection that failed meanwhile is no news
--- a/tealsail/choices/pauses.py
+++ b/tealsail/choices/pauses.py
@@ -4,7 +4,7 @@
 than the list of units could answer at any one time, so nobody was ever answered.
 """
 
-from ..parts import Chance
+from ..parts import RandomGenerator
 
 AGAIN, LONGEST_AGAIN = 0.1, 2.0  # seconds: after a connection's end, and at the most
 FIRST, EACH, LONGEST_EACH = 0.1, 0.05, 1.0  # for each relay of the fleet: until a first question; after being turned
@@ -23,7 +23,11 @@
     """
 
     def __init__(
-        self, chance: Chance, first: float = AGAIN, longest: float = LONGEST_AGAIN, limit: float = LONGEST_AGAIN
+        self,
+        chance: RandomGenerator,
+        first: float = AGAIN,
+        longest: float = LONGEST_AGAIN,
+        limit: float = LONGEST_AGAIN,
     ) -> None:
         self.chance, self.first, self.longest, self.limit = chance, first, longest, limit
         self.bound = first
@@ -38,7 +42,7 @@
         self.bound = self.first
 
 
-def by_fleet(chance: Chance, relays: int, within: float) -> Pauses:
+def by_fleet(chance: RandomGenerator, relays: int, within: float) -> Pauses:
     """After having been turned away for too much asked by all: what the fleet asks a second stays the same however many
     relays it has, but for the limit: a relay has to ask again `within` so many seconds, or counts as told all the
     same."""
@@ -47,7 +51,7 @@
     return Pauses(chance, min(max(AGAIN, EACH * relays), longest), longest, limit)
 
 
-def first_question(chance: Chance, relays: int, within: float, on_request: bool, known: bool) -> float | None:
+def first_question(chance: RandomGenerator, relays: int, within: float, on_request: bool, known: bool) -> float | None:
     """Seconds until a relay that starts asks for what is new since the list it was told; None: for the whole list, at
     once.
 
--- a/tealsail/choices/switch.py
+++ b/tealsail/choices/switch.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ..policy import Relay
-from ..settings import NAMES
+from ..settings import NAMES_BY_PATH
 
-PATHS = {name: path for path, name in NAMES.items()}
+PATHS = {name: path for path, name in NAMES_BY_PATH.items()}
 # what a running relay is built on: judges' order, windows, places of zones, connections
 FIXED = (
     "relays",
@@ -118,7 +118,11 @@
     def open(self, numbers: Iterable[int]) -> set[int]:
         """Those that are not over, or have shots out there."""
         known = self.relay.known
-        return {number for number in numbers if number in known and (not known[number].over or known[number].out())}
+        return {
+            number
+            for number in numbers
+            if number in known and (not known[number].is_over or known[number].open_shots())
+        }
 
     def settle(self) -> None:
         """Asked now and then: once all that was taken before is over, the new settings alone hold."""
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -81,7 +81,7 @@
 
     try:
         found = document.read(path)
-        found.seats(facts)  # whether it fits what the platform told
+        found.extra_stages(facts)  # whether it fits what the platform told
         return found
     except document.BadDocument as problem:
         raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -14,7 +14,7 @@
 
 import numpy
 
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from ..record.lines import Done, Head, Ran
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
@@ -34,7 +34,7 @@
     """Each by its name; what a relay knows by itself is what it has out at each unit (`own`)."""
 
     def __init__(self, units: Sequence[Unit], relays: int, seed: int) -> None:
-        self.units, self.chance = units, Chance(mix(seed, 17))
+        self.units, self.chance = units, RandomGenerator(stable_hash(seed, 17))
         self.own = [Counter() for _ in range(relays)]
         self.turn = [int(self.chance.share() * len(units)) for _ in range(relays)]
         self.subsets = [self.some(FEW) for _ in range(relays)]
--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -43,17 +43,17 @@
         return f"{self.module.replace('.', '/')}.py:{self.line()} {self.function}: {self.text}"
 
 
-BEAT = Cause("parts", "part", "for unit in row")
+BEAT = Cause("parts", "warm_and_cold_capacity", "for unit in row")
 LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
 READING = Cause("net.relay", "number_of", "blake2b(")
 CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
 POOL = Cause("notes", "Pool.add", "for cell, count in zip")
-SENDERS = Cause("parts", "lone", "min(most, many)")
+SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
 SERVING = Cause("net.relay", "Serving.shoot", "relay.units.shoot(")
-TELLING = Cause("policy", "Guide.tell", "self.send(keeper")
+TELLING = Cause("policy", "LoadTracking.report_shot", "self.send(tracker_index")
 HEARING = Cause("net.relay", "Relay.heard", "self.schedule()")
-LOADS = Cause("policy", "Relay.on_wake", "forget(self.guide.loads")
+LOADS = Cause("policy", "Relay.on_wake", "drop_stale_senders(self.load_tracking.loads")
 UNITS = Cause("parts", "Unit.__init__", "self.number, self.build")
 
 CAUSES: dict[tuple[Name, Axis, Cost], Cause] = {
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ...choices.flood import SHOTS
-from ...notes import LOW
+from ...notes import UINT16_MAX
 from .causes import Place
 from .points import Axis, Cost, Name, Side
 from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, foretell, more, tellings
@@ -125,19 +125,19 @@
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
 SWITCH = Place("choices.switch", "Switch.change")
-ASKING = Place("policy", "Guide.keeps")
-TELLING = Place("policy", "Guide.tell")
-HEARING = Place("policy", "Guide.hear")
+ASKING = Place("policy", "LoadTracking.ask")
+TELLING = Place("policy", "LoadTracking.report_shot")
+HEARING = Place("policy", "LoadTracking.receive")
 SERVING = Place("net.relay", "Relay.take")
-CUSTOMERS = Place("policy", "Admission.part")
+CUSTOMERS = Place("policy", "Admission.limit_share")
 POOLING = Place("notes", "Pool.add")
-JUDGING = Place("policy", "Judge.judge")
+JUDGING = Place("policy", "Judge.update_verdict")
 NEWS = Place("net.platform", "Platform.came")
 WATCHING = Place("net.discovery", "Discovery.came")
 RELOADS = Place("command.serve", "Reloads.read")
 SHEDDING = Place("choices.flood", "Flood.allows")
 ARRANGING = Place("policy", "Relay.arrange")
-JUDGES_TOLD = Place("policy", "Judge.tell")
+JUDGES_TOLD = Place("policy", "Judge.send_counts")
 STARTING = Place("net.relay", "Relay.start")
 CARRIED = {
     "the process itself": STARTING,
@@ -280,10 +280,10 @@
     fleet = plan.fleet
     messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
     yield Need(Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOTS.all), "three a request", SHEDDING)
-    marks = LOW + 1
+    marks = UINT16_MAX + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
-    where = Place("notes", "state_note")
+    where = Place("notes", "load_note")
     yield Need(Role.TRACKER, "units that share their 16 bits", alike, 0.0, "", None, source, where, "0 are wanted")
 
 
@@ -411,7 +411,7 @@
             None,
             "not measured",
             "65,536 units x relays; messages taken in 5 s",
-            Place("parts", "forget"),
+            Place("parts", "drop_stale_senders"),
         ),
     ]
 
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -15,7 +15,7 @@
 import numpy
 
 from ..choices.load_digests import LoadDigests
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from ..record.lines import Done, Head, Ran
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
@@ -74,12 +74,16 @@
     """One relay: its own order of units, what it knows, and its digest machine if it has one."""
 
     def __init__(self, number: int, units: Sequence[Unit], seed: int, relays: int, has_digests: bool) -> None:
-        self.number, self.chance = number, Chance(mix(seed, number, 23))
-        self.order = sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.some(units)
+        self.number, self.chance = number, RandomGenerator(stable_hash(seed, number, 23))
+        self.order = (
+            sorted(units, key=lambda unit: stable_hash(number, unit.mark)) if len(units) < 1_000 else self.some(units)
+        )
         self.known: dict[str, Known] = {}
         self.few = float(FEW)
         self.usual = 0.0  # ms that an answer takes
-        self.digests = LoadDigests(number, relays, 0, Chance(mix(seed, number, 29))) if has_digests else None
+        self.digests = (
+            LoadDigests(number, relays, 0, RandomGenerator(stable_hash(seed, number, 29))) if has_digests else None
+        )
         self.bytes = 0
 
     def some(self, units: Sequence[Unit]) -> list[Unit]:
@@ -132,7 +136,7 @@
     def __init__(self) -> None:
         self.out: Counter[str] = Counter()
 
-    def least(self, units: Sequence[Unit], chance: Chance) -> Unit:
+    def least(self, units: Sequence[Unit], chance: RandomGenerator) -> Unit:
         lowest = min(self.out[unit.name] for unit in units)
         return chance.pick([unit for unit in units if self.out[unit.name] == lowest])
 
@@ -145,7 +149,7 @@
         self.scenario, self.name, self.trouble = scenario, name, trouble
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
         self.units = list(self.fleet.units.values())
-        self.way, self.chance = parts.paths.near, Chance(mix(seed, 31))
+        self.way, self.chance = parts.paths.near, RandomGenerator(stable_hash(seed, 31))
         least, most = scenario.network.notes_ms
         self.note_least, self.note_span = int(least * 10), int((most - least) * 10)
         count = scenario.fleet.relays
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ..parts import mix
+from ..parts import stable_hash
 from ..record.files import Writer, read
 from ..record.lines import Any_Line, Close
 from ..setup.document import convert
@@ -23,7 +23,7 @@
 
 def day_seed(scenario: Scenario, replica: int) -> int:
     """The seed of one replica; two options with one scenario seed share it."""
-    return mix(scenario.seed, replica, 11) >> 2
+    return stable_hash(scenario.seed, replica, 11) >> 2
 
 
 class Judged:
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -18,7 +18,7 @@
 from ...net.relay import number_of
 from ...net.start import Assignment
 from ...net.units import Value
-from ...parts import mix
+from ...parts import stable_hash
 from ...record.files import Writer
 from ...record.lines import VERSION, End, Head, News as NewsLine, Told
 from ...world.clients import Arrival
@@ -173,7 +173,7 @@
         own, rollout = self.peers[relay], self.rollout
         age = max(0, self.setup.now() - rollout.since) / 10
         state = State(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
-        seed = mix(self.cast.seed, relay, self.setup.now(), 17)
+        seed = stable_hash(self.cast.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.listing.whole()
         everyone = str(self.setup.addresses.everyone(relay))
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..settings import facts, nested
+from ..settings import facts, nested_leaves
 from ..setup.document import BadDocument, Document, convert as read_document
 from ..world.builds import Build
 from ..world.clients import STREAM, Habits, Workload, weights
@@ -382,7 +382,7 @@
 
     def facts(self, relay: int) -> dict[str, Any]:
         """The same under the module's names."""
-        return facts(nested(self.relay_settings(relay)))
+        return facts(nested_leaves(self.relay_settings(relay)))
 
 
 def tenths(milliseconds: float) -> int:
@@ -490,7 +490,7 @@
             wrong(f"network.distances_ms.{pair}", "not two of fleet.zones")
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
-            scenario.operators().seats(scenario.facts(relay))
+            scenario.operators().extra_stages(scenario.facts(relay))
     except BadDocument as problem:
         wrong("document", str(problem))
     if scenario.operators().recording:
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -9,9 +9,22 @@
 from typing import Any
 
 from ..choices.clock import GAP, TENTHS, disregard
-from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
+from ..facade import (
+    CancelShot,
+    Facade,
+    Forfeit,
+    NoteReceived,
+    Outcome,
+    Reject,
+    RolloutState,
+    SendShot,
+    Step,
+    UnitEntry,
+    Units,
+    VoteAnswered,
+)
 from ..net.relay import number_of
-from ..parts import mix
+from ..parts import stable_hash
 from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
 from ..world.day import Day, Order
@@ -57,7 +70,9 @@
         self.stopped, self.notes = -1, 0  # since when its process does not run; notes that wait for it
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.duties = ""  # who acts for the fleet, as it last logged
-        self.facade = Facade(facts, mix(model.seed, index, start, 7), self.clock, model.document.seats(facts))
+        self.facade = Facade(
+            facts, stable_hash(model.seed, index, start, 7), self.clock, model.document.extra_stages(facts)
+        )
         self.serving: dict[int, Serving] = {}
         self.kept: dict[str, list[int]] = {}  # unit -> idle connections, and when one was last used
         self.timer = NEVER
@@ -139,9 +154,9 @@
         self.schedule()
 
     def follow(self, serving: Serving, step: Step) -> None:
-        if type(step) is Shoot and serving.over:
+        if type(step) is SendShot and serving.over:
             self.facade.report(Outcome(serving.number, step.place, "moot"))
-        elif type(step) is Shoot:
+        elif type(step) is SendShot:
             self.shoot(serving, step)
         elif type(step) is Reject:
             self.end(serving, "rejected", step.come_back)
@@ -159,7 +174,7 @@
         else:
             model.answered(self.index, serving.arrival, answer, come_back)
 
-    def shoot(self, serving: Serving, step: Shoot) -> None:
+    def shoot(self, serving: Serving, step: SendShot) -> None:
         model, now = self.model, self.model.now
         name = model.unit_names[step.unit]
         believed = self.facade.relay.units[step.unit].build
@@ -235,8 +250,8 @@
         facade = self.facade
         if self.stopped >= 0:
             return  # it looks when it runs again
-        wants = facade.wants
-        if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
+        actions = facade.actions
+        if actions.votes or actions.notes or actions.cancellations or actions.lines or actions.steps:
             return self.ticked()
         due = facade.wakes[0][0] if facade.wakes else NEVER
         if due < self.timer:
@@ -249,30 +264,30 @@
             self.ticked()
 
     def ticked(self) -> None:
-        model, wants = self.model, self.facade.tick()
-        guide, judges = self.facade.relay.guide, self.facade.relay.judge.order[:3]
-        duties = f"duties keeper={guide.keeper()} judges={','.join(str(each) for each in judges)}"
+        model, actions = self.model, self.facade.tick()
+        load_tracking, judges = self.facade.relay.load_tracking, self.facade.relay.judge.order[:3]
+        duties = f"duties keeper={load_tracking.tracker_index()} judges={','.join(str(each) for each in judges)}"
         if duties != self.duties:
             self.duties = duties
             model.tell(Log(model.now, self.index, duties))
-        for text in wants.lines:
+        for text in actions.lines:
             model.tell(Log(model.now, self.index, text))
-        for number, step in wants.steps:
+        for number, step in actions.steps:
             if number in self.serving:
                 self.follow(self.serving[number], step)
-            elif type(step) is Shoot:
+            elif type(step) is SendShot:
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for to, data in wants.notes:
+        for to, data in actions.notes:
             for other in range(len(model.doors)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
                     model.later(model.now + wait, model.note, other, self.index, data)
-        for vote in wants.votes:
+        for vote in actions.votes:
             model.later(model.now + model.news_wait, model.vote, self, *vote)
-        for what in wants.calls_off:
+        for what in actions.cancellations:
             self.call_off(what)
         self.schedule()
 
-    def call_off(self, what: CallOff) -> None:
+    def call_off(self, what: CancelShot) -> None:
         serving = self.serving.get(what.number)
         if serving and what.place in serving.outs:
             self.give_up(serving.outs[what.place], "cancelled")
@@ -300,7 +315,7 @@
         if self.waits(1, self.stood):
             return
         model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, model.now - state.since))
+        self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, model.now - state.since))
         self.schedule()
 
 
@@ -401,7 +416,9 @@
             if door:
                 relay = door.facade.relay
                 for each in (
-                    [relay.guide.keeper()] if name == "keeper" else relay.judge.order[: 3 if name == "judges" else 1]
+                    [relay.load_tracking.tracker_index()]
+                    if name == "keeper"
+                    else relay.judge.order[: 3 if name == "judges" else 1]
                 ):
                     words[each] = words.get(each, 0) + 1
         best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
@@ -458,7 +475,7 @@
             if door.notes <= BUFFER:
                 door.waits(1, self.note, to, sender, data)
         elif door:
-            door.facade.report(Heard(sender, data))
+            door.facade.report(NoteReceived(sender, data))
             door.schedule()
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
@@ -472,7 +489,7 @@
 
     def counted(self, door: Door, answer: str) -> None:
         if self.doors[door.index] is door and not door.waits(1, self.counted, door, answer):
-            door.facade.report(Counted(answer))
+            door.facade.report(VoteAnswered(answer))
             door.schedule()
 
     # clients
@@ -595,9 +612,9 @@
         ):
             self.doors[relay].stood()
 
-    def listed(self, entry: Entry) -> Listed:
+    def listed(self, entry: Entry) -> UnitEntry:
         number = number_of(entry.name)
         self.unit_names[number] = entry.name
-        return Listed(
+        return UnitEntry(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
         )
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -5,7 +5,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ..choices.flood import SHOTS, Flood
-from ..notes import of_shots
+from ..notes import is_tracker_note
 from .counters import Counters
 
 LONGEST = 256
@@ -41,7 +41,7 @@
         number = self.numbers.get(address)
         if number is None or len(data) > LONGEST:
             self.counters.add("peers.dropped")
-        elif not (self.shots if of_shots(data) else self.flood).allows(number, self.clock()):
+        elif not (self.shots if is_tracker_note(data) else self.flood).allows(number, self.clock()):
             self.counters.add("peers.shed")
         else:
             self.counters.add("peers.heard")
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -14,20 +14,20 @@
 from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
 from ..choices.switch import Fixed, Switch
 from ..facade import (
-    Counted,
-    Departed,
+    ClientLeft,
     Facade,
     Forfeit,
-    Heard,
-    Listed,
+    NoteReceived,
     Outcome,
     Reject,
-    Shoot,
-    Standing,
+    RolloutState,
+    SendShot,
     Step,
+    UnitEntry,
     Units as Listing,
+    VoteAnswered,
 )
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
 from .counters import Counters
@@ -80,9 +80,9 @@
 
     def follow(self, step: Step) -> None:
         match step:
-            case Shoot(_, place, _) if self.over:
+            case SendShot(_, place, _) if self.over:
                 self.relay.facade.report(Outcome(self.number, place, "moot"))
-            case Shoot(unit, place, wait):
+            case SendShot(unit, place, wait):
                 self.shoot(unit, place, wait)
             case Reject(come_back):
                 self.end(Rejected(come_back))
@@ -97,7 +97,7 @@
             unit,
             lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
             wait / TENTHS,
-            lambda: relay.facade.stands(self.number, place),
+            lambda: relay.facade.may_still_send(self.number, place),
         )
         if shot is None:
             self.came(Came("moot"), place)
@@ -137,7 +137,7 @@
         self.over = True
         if self.relay.record:
             self.relay.record.ended(self.number, None)
-        self.relay.facade.report(Departed(self.number))
+        self.relay.facade.report(ClientLeft(self.number))
         self.relay.ticked()
         self.forget()
 
@@ -164,7 +164,7 @@
         self.clock, self.due = Clock(reactor.seconds, wall or reactor.seconds, self.woke), 0
         self.stamps = Stamps(self.clock)
         facts = told.facts
-        self.facade = Facade(facts, told.seed, self.clock, document.seats(facts) if document else ())
+        self.facade = Facade(facts, told.seed, self.clock, document.extra_stages(facts) if document else ())
         self.switch = Switch(self.facade.relay, facts)
         room = max(FEWEST, told.sockets - SPARE) // 2
         self.units = Units(
@@ -175,7 +175,7 @@
             room,
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, room)
-        chance = Chance(mix(told.seed, facts.get("index", 0)))
+        chance = RandomGenerator(stable_hash(told.seed, facts.get("index", 0)))
         self.fleet = facts.get("relays", 1), facts.get("ask_within", WITHIN * TENTHS) / TENTHS
         self.chance = chance  # of what all relays do: apart from the module's
         self.discovery = Discovery(
@@ -268,7 +268,7 @@
     def say_duties(self) -> None:
         """Who acts for the fleet as far as this relay knows, whenever that has changed."""
         relay = self.facade.relay
-        duties = relay.guide.keeper(), *relay.judge.order[:JUDGES]
+        duties = relay.load_tracking.tracker_index(), *relay.judge.order[:JUDGES]
         if duties != self.duties:
             self.duties = duties
             logger.info("duties keeper={} judges={}", duties[0], ",".join(str(each) for each in duties[1:]))
@@ -344,9 +344,9 @@
             self.open()
         self.schedule()
 
-    def entry(self, entry: Entry) -> Listed:
+    def entry(self, entry: Entry) -> UnitEntry:
         number = number_of(entry.id)
-        return Listed(
+        return UnitEntry(
             number,
             entry.build,
             OPEN.get(entry.state, entry.state),
@@ -359,15 +359,15 @@
     def stood(self, state: State) -> None:
         if self.record:
             self.record.stood(state)
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
+        self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
         self.schedule()
 
     def counted(self, answer: str) -> None:
-        self.facade.report(Counted(answer))
+        self.facade.report(VoteAnswered(answer))
         self.schedule()
 
     def heard(self, number: int, data: bytes) -> None:
-        self.facade.report(Heard(number, data))
+        self.facade.report(NoteReceived(number, data))
         self.schedule()
 
     def schedule(self) -> None:
@@ -381,21 +381,21 @@
         self.timer = self.reactor.callLater(min(max(0, due - self.clock()) / TENTHS, 1.0), self.ticked)
 
     def ticked(self) -> None:
-        wants = self.facade.tick()
+        actions = self.facade.tick()
         self.switch.settle()
-        for line in wants.lines:
+        for line in actions.lines:
             logger.info("module: {}", line)
-        for number, step in wants.steps:
+        for number, step in actions.steps:
             if number in self.serving:
                 self.serving[number].go_on(step)
-            elif isinstance(step, Shoot):  # its client left meanwhile
+            elif isinstance(step, SendShot):  # its client left meanwhile
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for number, data in wants.notes:
+        for number, data in actions.notes:
             self.peers.tell(number, data)
-        for vote in wants.votes:
+        for vote in actions.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
             self.platform.vote(*vote)
-        for number, place in wants.calls_off:
+        for number, place in actions.cancellations:
             if number in self.serving:
                 self.serving[number].call_off(place)
         self.schedule()
@@ -407,7 +407,7 @@
 
     def count_seats(self) -> None:
         """What the seats of other choices counted, among the counters."""
-        for seat in self.facade.relay.seats:
+        for seat in self.facade.relay.extra_stages:
             for name, count in seat.counts.items():
                 self.counters.counts[f"zones.{name}"] = count
 
--- a/tealsail/net/start.py
+++ b/tealsail/net/start.py
@@ -72,7 +72,7 @@
         seed = int(want(tree, "seed", str), 16)
         state = read_state(rollouts["news"]) if rollouts.get("news") else None
         known = read_news(want(tree, "known", dict, {"generation": 0, "instances": []}))
-        facts = settings.facts(settings.nested(want(tree, "settings", dict)))
+        facts = settings.facts(settings.nested_leaves(want(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise BadStart(f"{path}: {problem}") from None
     try:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -142,7 +142,7 @@
         self.reactor.advance(0)
         self.reactor.advance(0.1)
         self.assertIsNone(shot.group)
-        self.assertEqual(shot.unit.rest_until, 0)  # the unit is not blamed
+        self.assertEqual(shot.unit.ejected_until, 0)  # the unit is not blamed
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -8,7 +8,7 @@
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import PAST, STARTS, Pool, count_notes, read
 from tealsail.parts import beyond
-from tealsail.policy import GROUPS, JUDGES, ROW
+from tealsail.policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES
 
 from .fake import Story
 
@@ -204,11 +204,11 @@
             fleet.work(0.5)
             for group, name in enumerate(GROUPS):
                 story.relay.trial.groups[name] = [
-                    int(each) for each in fleet.counts[7, group * ROW : (group + 1) * ROW]
+                    int(each) for each in fleet.counts[7, group * CELLS_PER_WORKLOAD : (group + 1) * CELLS_PER_WORKLOAD]
                 ]
-            before, judge.beat = len(story.host.of("tell")), beat
-            judge.tell()
-            told = [read(data)[4:] for _, data in story.host.of("tell")[before:]]
+            before, judge.beat = len(story.host.of("send_note")), beat
+            judge.send_counts()
+            told = [read(data)[4:] for _, data in story.host.of("send_note")[before:]]
             self.assertEqual(told, [read(data)[4:] for data in fleet.notes(7, beat, 1) for _ in range(JUDGES + 1)])
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -212,7 +212,7 @@
             "dcs": "x",
             "limits.dialTimeout": "250.0",
         }
-        nested = settings.facts(settings.nested(tree))
-        self.assertEqual(nested.pop("customers", []), [])
-        self.assertEqual(nested, settings.facts(settings.flat(pairs)))
-        self.assertEqual(nested["workloads"], [dict(name="a", promised=12000, effect="one-shot")])
+        nested_leaves = settings.facts(settings.nested_leaves(tree))
+        self.assertEqual(nested_leaves.pop("customers", []), [])
+        self.assertEqual(nested_leaves, settings.facts(settings.flat_leaves(pairs)))
+        self.assertEqual(nested_leaves["workloads"], [dict(name="a", promised=12000, effect="one-shot")])
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from tealsail.choices.pauses import Pauses, by_fleet, first_question
-from tealsail.parts import Chance
+from tealsail.parts import RandomGenerator
 from tealsail.world.keeper import Keeper
 
 RELAYS, WITHIN = 40, 10.0
@@ -36,7 +36,7 @@
         self.assertLess(answered, RELAYS // 2)
         self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)  # ten seconds on: still in step
         for seed in range(10):
-            chances = [Chance(100 * seed + number) for number in range(RELAYS)]
+            chances = [RandomGenerator(100 * seed + number) for number in range(RELAYS)]
             asked, answered = play(
                 [first_question(each, RELAYS, WITHIN, True, True) for each in chances],
                 [by_fleet(each, RELAYS, WITHIN) for each in chances],
@@ -48,14 +48,14 @@
     def test_connections_that_ended_together_are_not_made_anew_together(self) -> None:
         tries = Counter(
             int(10 * at)
-            for pauses in [Pauses(Chance(number)) for number in range(RELAYS)]
+            for pauses in [Pauses(RandomGenerator(number)) for number in range(RELAYS)]
             for at in accumulate(pauses.next() for _ in range(20))
         )
         self.assertLessEqual(max(tries[at] for at in range(20, 200)), RELAYS // 4)
 
     def test_a_relay_asks_often_enough_to_count_as_asking_whatever_it_is_told_to_wait(self) -> None:
         for relays in (1, 3, 40, 5000):
-            pauses, chance = by_fleet(Chance(relays), relays, WITHIN), Chance(relays)
+            pauses, chance = by_fleet(RandomGenerator(relays), relays, WITHIN), RandomGenerator(relays)
             self.assertLessEqual(pauses.next(), 1.9 * max(0.1, 0.05 * relays))
             self.assertLess(max(pauses.next(least) for least in (0, 3, 60) for _ in range(50)), 0.85 * WITHIN)
             self.assertLess(max(first_question(chance, relays, WITHIN, True, True) for _ in range(50)), 0.5 * WITHIN)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 from tealsail.net import start
 from tealsail.net.relay import Relay
-from tealsail.notes import ask_note, state_note
+from tealsail.notes import ask_note, load_note
 
 from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure, field
 
@@ -221,7 +221,7 @@
     def test_news_between_answers_and_every_answer_of_a_vote(self) -> None:
         wire, heard = self.desk(), []
         self.news(wire, build=42, stands="canary", cap=0.28)
-        self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.told_cap), (42, 0.28))
+        self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.stated_cap), (42, 0.28))
         self.relay.platform.counted = heard.append
         for error, answer in (("BUSY", "full"), ("STALE", "moot"), ("FAILED", "error"), ("SYNTAX", "error")):
             self.relay.platform.vote(42, 0, "on")
@@ -330,13 +330,13 @@
         and it chose without one when it had most to do."""
         attempts = 900  # a second; what was measured on a whole core is under 700
         for number in range(attempts):
-            beginning = state_note(2 * number, 7, 1, 0)
-            end = state_note(2 * number + 1, 7, 0, 16)
+            beginning = load_note(2 * number, 7, 1, 0)
+            end = load_note(2 * number + 1, 7, 0, 16)
             for note in (ask_note(number, [7, 8]), beginning, end):
                 self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(self.relay.counters.counts["peers.shed"], 0)
         for number in range(7_000):
-            self.reactor.udp.datagramReceived(state_note(number, 7, 1, 0), ("127.0.0.2", 7946))
+            self.reactor.udp.datagramReceived(load_note(number, 7, 1, 0), ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 6_500)
 
     def test_the_id_of_an_open_invocation_is_an_error_until_that_is_answered(self) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -179,7 +179,7 @@
 def play(driven: Driven) -> list[tuple[bytes, tuple[str, int]]]:
     """One sequence of events: requests, every kind of answer, messages of others, news; what was sent, in order."""
     reactor = driven.reactor
-    tracker = driven.relay.facade.relay.guide.order[0]
+    tracker = driven.relay.facade.relay.load_tracking.order[0]
     answered = 0
     for step in range(900):
         driven.step()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -101,7 +101,7 @@
         self.assertLess(sum(relay != 1 for relay in away), 10)
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
-        seat = model.doors[1].facade.relay.seats[0]
+        seat = model.doors[1].facade.relay.extra_stages[0]
         self.assertGreater(seat.counts["probes"], 5)  # it looked again, and found the zone back
         self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
 
@@ -144,7 +144,7 @@
             seconds=40, script=script, list={"late_ms": [50, 100]}, fleet={"notice_ms": 300}
         )
         self.assertEqual(spill.breaches, 0)
-        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.doors), 3)
+        self.assertGreaterEqual(max(door.facade.relay.extra_stages[0].zones[1].back.flaps for door in model.doors), 3)
         self.assertGreater(result.figures["service"], 0.96)
 
     def test_a_zone_lost_while_the_list_is_eight_seconds_stale(self) -> None:
@@ -223,9 +223,9 @@
             ({"what": 1}, "unknown field"),
         ):
             with self.assertRaisesRegex(BadDocument, why):
-                document({"zones": tree}).seats({"zones": ["a", "b", "c"], "zone": "a"})
+                document({"zones": tree}).extra_stages({"zones": ["a", "b", "c"], "zone": "a"})
         with self.assertRaisesRegex(BadDocument, "this relay's zone 'z' is none of a, b"):
-            document({"zones": {}}).seats({"zones": ["a", "b"], "zone": "z"})
+            document({"zones": {}}).extra_stages({"zones": ["a", "b"], "zone": "z"})
         with self.assertRaisesRegex(BadScenario, "document: .*no zone x"):
             convert(day(document={"zones": {"costs": {"a x": 1.0}}}))
 
