--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -1,9 +1,9 @@
-"""The decision module in blocking style, for code that owns connections: `pick`, `report`, `tick`.
+"""The decision module as plain calls that return what to do, for code that owns connections.
 
-`pick` takes an invocation and returns what to do with it; `report` takes whatever was learnt and returns
-what to do next with the invocation it is about, if anything; `tick` returns what the module wants by itself
-(votes, notes, shots to call off, log lines) and is due at `Facade.due`.  Nothing is decided here.  Times are
-whole tenths of a millisecond of the clock handed in.
+`Facade.pick` takes an invocation and returns what to do with it.  `Facade.report` takes an event and returns what to do
+next with the invocation that it is about, if anything.  `Facade.tick` returns what the module asks for by itself:
+votes, notes, shots to cancel, log lines, and steps that had to wait.  It is to be called once `Facade.due` has come.
+Nothing is decided here.  Times are whole tenths of a millisecond of the clock handed in.
 """
 
 import heapq
@@ -12,14 +12,17 @@
 from typing import Any, NamedTuple
 
 from .policy import Relay
-from .settings import NOBODY
+from .settings import UNLISTED_CUSTOMER
 
 VERDICTS = ("none", "on", "hold", "back")
 PHASES = ("on trial", "going back", "released", "withdrawn")
 
 
 class SendShot(NamedTuple):
-    """Send it to this unit as its shot number `place`, and stop waiting after `wait`."""
+    """Send the invocation to this unit as its shot number `place`, from 0, and stop waiting after `wait`.
+
+    A `wait` of 0 lasts until the client stops waiting.
+    """
 
     unit: int
     place: int
@@ -27,20 +30,23 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: not done, trying again is harmless (after `come_back`, 0: no advice)."""
+    """Final answer: not done, trying again is harmless (after `come_back`; 0: no advice)."""
 
     come_back: int
 
 
 class Forfeit(NamedTuple):
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed, and nothing is promised about its effect."""
 
 
 Step = SendShot | Reject | Forfeit | None
 
 
 class Outcome(NamedTuple):
-    """How a shot ended: served, error, full, timeout, unreachable, reset, cancelled or moot."""
+    """How shot number `place` of invocation `number` ended, and what the unit reported of its load (util, queue).
+
+    Outcomes are served, error, full, timeout, unreachable, reset, cancelled and moot.
+    """
 
     number: int
     place: int
@@ -49,7 +55,7 @@
 
 
 class ClientLeft(NamedTuple):
-    """The client waits no longer."""
+    """The client of the invocation waits no longer."""
 
     number: int
 
@@ -74,7 +80,7 @@
 
 
 class RolloutState(NamedTuple):
-    """Where the newest build stands, and for how long already."""
+    """Where the newest build stands: a phase of `PHASES`, since `age`, and the cap on its share of invocations."""
 
     build: int
     stage: int
@@ -84,7 +90,7 @@
 
 
 class VoteAnswered(NamedTuple):
-    """What came of the last vote: ok, moot, full, error or timeout."""
+    """The platform's answer to the last vote: ok, moot, full, error or timeout."""
 
     answer: str
 
@@ -97,37 +103,44 @@
 
 
 class WrongAnswer(NamedTuple):
-    """A client found an answer of this unit wrong."""
+    """A client reports that an answer of this unit was wrong, `age` ago."""
 
     unit: int
     workload: int
     age: int
 
 
-News = Outcome | ClientLeft | Units | RolloutState | VoteAnswered | NoteReceived | WrongAnswer
+Event = Outcome | ClientLeft | Units | RolloutState | VoteAnswered | NoteReceived | WrongAnswer
 
 
 class Vote(NamedTuple):
+    """This relay's one vote; `verdict` is one of `VERDICTS`."""
+
     build: int
     stage: int
     verdict: str
 
 
 class Note(NamedTuple):
-    """To the relay of that number, or to all of them (-1)."""
+    """A message to the relay of that number, or to all of them (-1)."""
 
     relay: int
     data: bytes
 
 
 class CancelShot(NamedTuple):
+    """Stop waiting for shot number `place` of invocation `number`."""
+
     number: int
     place: int
 
 
 class Actions(NamedTuple):
-    """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was
-    asked)."""
+    """What the module asks for by itself.
+
+    `lines` are for the log.  `steps` say what to do next with invocations for which `pick` or `report` returned no
+    step, because another relay had to be asked.
+    """
 
     votes: list[Vote]
     notes: list[Note]
@@ -137,9 +150,11 @@
 
 
 class Facade:
-    """One relay's decisions.  It is the module's host (tealsail/host.py): what the module asks for while
-    it handles a call is kept and returned.  An exception of the module is logged and costs at most the
-    invocation at hand its answer."""
+    """One relay's decisions.
+
+    This is the module's host (tealsail/host.py): what the module asks for while it handles a call is kept and returned.
+    An exception of the module is logged, and at most the current invocation fails by it.
+    """
 
     def __init__(
         self,
@@ -150,26 +165,31 @@
     ) -> None:
         self.clock = clock
         self.step: Step = None
-        self.at = 0  # the invocation that the call at hand is about
+        self.current = 0  # the invocation that the current call is about
         self.actions = Actions([], [], [], [], [])
-        self.wakes: list[tuple[int, int, int]] = []  # when, in what order, token
-        self.count = self.waking = self.faults = 0
+        self.wake_ups: list[tuple[int, int, int]] = []  # a heap: when, in what order, token
+        self.taken = self.wake_count = self.faults = 0  # invocations, wake-ups asked for, exceptions of the module
         self.workloads = {each["name"]: place for place, each in enumerate(facts.get("workloads", []))}
         self.customers = {each["name"]: place for place, each in enumerate(facts.get("customers", []))}
         self.relay = Relay(self, facts, seed, clock())
-        for seat in extra_stages:  # stages of other choices (tealsail/choices/)
-            self.relay.seat(seat(self.relay))
+        for make_stage in extra_stages:  # stages of other choices (tealsail/choices/)
+            self.relay.add_stage(make_stage(self.relay))
 
     def pick(
         self, workload: str, customer: str, key: str | None, give_up: int, work: int = 0, repeat: bool = False
     ) -> tuple[int, Step]:
-        """Take an invocation: its number from now on, and what to do with it (None: a step comes out of `tick`)."""
-        self.count += 1
-        self.at = self.count
-        return self.count, self.guarded(
+        """Takes an invocation; returns its number from now on, and what to do with it.
+
+        The step is None where it will come out of `tick`.  `give_up` is when the client stops waiting; `work` is 0
+        where nothing is known of it; `repeat` says that the client marked it as a repeat.  Raises KeyError for a
+        workload that the settings do not name.
+        """
+        self.taken += 1
+        self.current = self.taken
+        return self.taken, self.call_module(
             Forfeit(),
             self.relay.on_invocation,
-            self.count,
+            self.taken,
             self.workloads[workload],
             self.place(customer),
             key,
@@ -179,57 +199,59 @@
         )
 
     def place(self, customer: str) -> int:
-        """Of a customer; one that nobody listed has the place for those, not another's."""
-        return self.customers.get(customer, self.customers.get(NOBODY, 0))
+        """The customer's index; customers that the settings do not name share one, which is no other's."""
+        return self.customers.get(customer, self.customers.get(UNLISTED_CUSTOMER, 0))
 
-    def report(self, news: News) -> Step:
-        """Hand in what was learnt; the step is the next one of the invocation that an outcome is about."""
+    def report(self, event: Event) -> Step:
+        """Takes an event; returns the next step of the invocation that an outcome is about."""
         relay = self.relay
-        match news:
+        match event:
             case Outcome(number, place, outcome, load):
                 shots = relay.known[number].shots if number in relay.known else []
-                latency = self.clock() - shots[place].sent if place < len(shots) else 0
-                self.at = number
-                return self.guarded(
+                latency = self.clock() - shots[place].sent_at if place < len(shots) else 0
+                self.current = number
+                return self.call_module(
                     Forfeit(), relay.on_outcome, number, place, outcome, outcome == "served", latency, load
                 )
             case ClientLeft(number):
-                return self.guarded(None, relay.on_abandoned, number)
+                return self.call_module(None, relay.on_abandoned, number)
             case Units(kind, entries):
-                return self.guarded(None, relay.on_list, kind, entries)
+                return self.call_module(None, relay.on_list, kind, entries)
             case RolloutState(build, stage, phase, cap, age):
-                return self.guarded(None, relay.on_stage, build, stage, PHASES.index(phase), cap, age)
+                return self.call_module(None, relay.on_stage, build, stage, PHASES.index(phase), cap, age)
             case VoteAnswered(answer):
-                return self.guarded(None, relay.on_vote_answer, answer)
+                return self.call_module(None, relay.on_vote_answer, answer)
             case NoteReceived(sender, data):
-                return self.guarded(None, relay.on_note, sender, data)
+                return self.call_module(None, relay.on_note, sender, data)
             case WrongAnswer(unit, workload, age):
-                return self.guarded(None, relay.on_wrong_answer, unit, workload, age)
+                return self.call_module(None, relay.on_wrong_answer, unit, workload, age)
 
     def tick(self) -> Actions:
-        """What the module wants by itself; call it once `due` has come."""
+        """Returns what the module asks for by itself; to be called once `due` has come."""
         now = self.clock()
-        while self.wakes and self.wakes[0][0] <= now:
-            self.guarded(None, self.relay.on_wake, heapq.heappop(self.wakes)[2])
+        while self.wake_ups and self.wake_ups[0][0] <= now:
+            self.call_module(None, self.relay.on_wake, heapq.heappop(self.wake_ups)[2])
         actions, self.actions = self.actions, Actions([], [], [], [], [])
         return actions
 
     @property
     def due(self) -> int:
-        """When to tick next: at once if something waits to be fetched."""
-        return self.clock() if any(self.actions) else self.wakes[0][0] if self.wakes else 1 << 62
+        """When to call `tick` next: at once if something waits to be fetched."""
+        return self.clock() if any(self.actions) else self.wake_ups[0][0] if self.wake_ups else 1 << 62
 
     def may_still_send(self, number: int, place: int) -> bool:
-        """Whether a shot that has not been written yet may still go out as picked."""
-        return bool(self.guarded(None, self.asked, number, place))
+        """Whether a shot that has not been written yet may still be sent as chosen."""
+        return bool(self.call_module(None, self.check_may_still_send, number, place))
 
-    def asked(self, number: int, place: int) -> None:
+    def check_may_still_send(self, number: int, place: int) -> None:
+        """Leaves a step, any one, if the shot may still be sent."""
         self.step = SendShot(0, place, 0) if self.relay.may_still_send(number, place) else None
 
-    def guarded(self, failed: Step, call: Callable[..., None], *what: Any) -> Step:
+    def call_module(self, failed: Step, call: Callable[..., None], *arguments: Any) -> Step:
+        """Calls the module at the current time and returns the step that it left; `failed` if it raised."""
         self.step, self.relay.now = None, self.clock()
         try:
-            call(*what)
+            call(*arguments)
         except Exception as problem:  # the module's fault must not end the process
             self.faults += 1
             self.step = failed
@@ -240,28 +262,28 @@
                     for frame in reversed(traceback.extract_tb(problem.__traceback__)[-4:])
                 )
             )
-        step, self.step, self.at = self.step, None, 0
+        step, self.step, self.current = self.step, None, 0
         return step
 
-    def next(self, invocation: int, step: Step) -> None:
-        """Of the call at hand, or of one that was kept until now."""
-        if invocation == self.at:
+    def leave_step(self, invocation: int, step: Step) -> None:
+        """Keeps a step for the current call to return, or for `tick` if it is of another invocation."""
+        if invocation == self.current:
             self.step = step
         else:
             self.actions.steps.append((invocation, step))
 
-    # what the module asks of its host
+    # The calls of the `Host` protocol.
     def send(self, invocation: int, unit: int, wait: int) -> None:
-        self.next(invocation, SendShot(unit, len(self.relay.known[invocation].shots) - 1, wait))
+        self.leave_step(invocation, SendShot(unit, len(self.relay.known[invocation].shots) - 1, wait))
 
     def cancel(self, invocation: int, shot: int) -> None:
         self.actions.cancellations.append(CancelShot(invocation, shot))
 
     def reject(self, invocation: int, come_back: int) -> None:
-        self.next(invocation, Reject(come_back))
+        self.leave_step(invocation, Reject(come_back))
 
     def forfeit(self, invocation: int) -> None:
-        self.next(invocation, Forfeit())
+        self.leave_step(invocation, Forfeit())
 
     def vote(self, build: int, stage: int, verdict: int) -> None:
         self.actions.votes.append(Vote(build, stage, VERDICTS[verdict]))
@@ -270,8 +292,8 @@
         self.actions.notes.append(Note(relay, data))
 
     def wake(self, at: int, token: int) -> None:
-        self.waking += 1
-        heapq.heappush(self.wakes, (at, self.waking, token))
+        self.wake_count += 1
+        heapq.heappush(self.wake_ups, (at, self.wake_count, token))
 
     def log(self, text: str) -> None:
         self.actions.lines.append(text)
--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -48,13 +48,13 @@
 READING = Cause("net.relay", "number_of", "blake2b(")
 CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
-POOL = Cause("notes", "Pool.add", "for cell, count in zip")
+POOL = Cause("notes", "CountPool.add", "for cell, count in zip")
 SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
 SERVING = Cause("net.relay", "Serving.shoot", "relay.units.shoot(")
 TELLING = Cause("policy", "LoadTracking.report_shot", "self.send(tracker_index")
 HEARING = Cause("net.relay", "Relay.heard", "self.schedule()")
-LOADS = Cause("policy", "Relay.on_wake", "drop_stale_senders(self.load_tracking.loads")
-UNITS = Cause("parts", "Unit.__init__", "self.number, self.build")
+LOADS = Cause("policy", "Relay.on_wake", "self.load_tracking.loads = drop_stale_senders(")
+UNITS = Cause("parts", "Unit.__init__", "self.number = number")
 
 CAUSES: dict[tuple[Name, Axis, Cost], Cause] = {
     (Name.STANDING, Axis.UNITS, Cost.MEMORY): UNITS,
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -253,7 +253,7 @@
         actions = facade.actions
         if actions.votes or actions.notes or actions.cancellations or actions.lines or actions.steps:
             return self.ticked()
-        due = facade.wakes[0][0] if facade.wakes else NEVER
+        due = facade.wake_ups[0][0] if facade.wake_ups else NEVER
         if due < self.timer:
             self.timer = due
             self.model.later(max(self.later(due), self.model.now), self.wake, due)
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -1,5 +1,12 @@
-"""What the decision module is made of: chance, sums over time, the rank test's sums, what is known of units,
-invocations and their shots, and the links of the chain.  Nothing is decided here."""
+"""Building blocks of the decision module (tealsail/policy.py).
+
+Random numbers, sums over time, the statistics that a judge uses, the records of units, invocations and shots, and the
+links of the chain of stages.  Nothing is decided here.  Times are whole tenths of a millisecond.
+
+Counts of outcomes have one shape everywhere.  The counts of one workload are a list `[served, failed, bucket, ...]`,
+the buckets being a histogram of latencies over the promised latency.  A group (canary, baseline, or before the trial)
+is a list of such lists, one a workload; a pool is a list of the three groups.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -9,7 +16,7 @@
 
 
 def stable_hash(*parts: int) -> int:
-    """A hash that is the same in every instance."""
+    """A 64-bit hash of integers that is the same in every process."""
     state = 0x9E3779B97F4A7C15
     for part in parts:
         state = ((state ^ part) * 0xBF58476D1CE4E5B9) & (1 << 64) - 1
@@ -18,69 +25,84 @@
 
 
 class RandomGenerator:
-    """A linear congruential generator; its high bits are used."""
+    """A seeded linear congruential generator of 64 bits, of which the high 31 bits are used."""
 
     def __init__(self, seed: int) -> None:
         self.state = stable_hash(seed)
 
     def share(self) -> float:
+        """A uniform draw from [0, 1)."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
         return (self.state >> 33) / (1 << 31)
 
     def pick(self, items: list["Unit"]) -> "Unit":
+        """One of the items, each as likely as the others."""
         return items[int(self.share() * len(items))]
 
 
 class SlidingSum:
-    """What is measured over time: sums in fixed buckets that are used again."""
+    """The sum of what was added during the last `span`, in a ring of `buckets` buckets of equal width."""
 
     def __init__(self, span: int, buckets: int) -> None:
-        self.span, self.width, self.size = span, max(1, -(-span // buckets)), buckets + 2
-        self.sums, self.stamps = [0.0] * self.size, [-1] * self.size
-        self.first, self.running = -1 << 60, 0.0  # the sum from that bucket on, kept up: it is asked for often
+        self.span = span
+        self.bucket_width = max(1, -(-span // buckets))
+        self.size = buckets + 2
+        self.sums = [0.0] * self.size
+        self.stamps = [-1] * self.size  # number of the bucket's interval, counted from time 0
+        self.first_stamp = -1 << 60  # where `running_total` begins
+        self.running_total = 0.0  # kept up to date, since totals are asked for often
 
     def add(self, now: int, amount: float = 1) -> None:
-        """Amounts are whole, so a sum that is kept up is the sum taken anew."""
-        stamp = now // self.width
+        """Adds an amount.  Amounts are whole, so that the running total equals a sum taken anew."""
+        stamp = now // self.bucket_width
         place = stamp % self.size
-        if self.stamps[place] != stamp:  # what was there is older than any span that is asked for from now on
+        if self.stamps[place] != stamp:  # the bucket's old content is older than any span asked for from now on
             self.stamps[place], self.sums[place] = stamp, 0.0
         self.sums[place] += amount
-        self.running += amount
+        self.running_total += amount
 
     def total(self, now: int) -> float:
-        """Over the last span, without the oldest bucket, which is only partly inside."""
-        first = (now - self.span) // self.width + 1
-        if first != self.first:
-            self.first = first
-            self.running = sum([amount for stamp, amount in zip(self.stamps, self.sums) if stamp >= first])
-        return self.running
+        """The sum over the last span, without the oldest bucket, which lies only partly inside."""
+        first = (now - self.span) // self.bucket_width + 1
+        if first != self.first_stamp:
+            self.first_stamp = first
+            self.running_total = sum([amount for stamp, amount in zip(self.stamps, self.sums) if stamp >= first])
+        return self.running_total
+
 
+class ExposureSum(SlidingSum):
+    """Shots at a build on trial, less what the invocations taken meanwhile allow of them.
 
-class Tries(SlidingSum):
-    """Shots that invocations allow.  A window may begin anywhere inside its oldest bucket, so for each bucket
-    it is kept how far the shots of its later part, wherever that begins, exceed what was allowed there."""
+    A window of one span may begin anywhere inside its oldest bucket.  For each bucket `tails` therefore holds by how
+    much the shots of a later part of it, wherever that part begins, exceed what was allowed in that part at the most.
+    """
 
     def __init__(self, span: int, buckets: int) -> None:
         super().__init__(span, buckets)
         self.tails = [0.0] * self.size
 
     def add(self, now: int, amount: float = 1) -> None:
-        """A shot, or below zero the part of one that an invocation allows."""
-        stamp = now // self.width
+        """Adds a shot, or, with an amount below zero, the part of a shot that one invocation allows."""
+        stamp = now // self.bucket_width
         tail = self.tails[stamp % self.size] if self.stamps[stamp % self.size] == stamp else 0.0
         self.tails[stamp % self.size] = max(0.0, tail + amount)
         super().add(now, max(0.0, amount))
 
-    def most(self, now: int) -> float:
-        """The shots of the last span, over what the invocations of its oldest bucket allow."""
-        first = (now - self.span) // self.width
+    def upper_bound(self, now: int) -> float:
+        """The shots of a window of one span that ends now, wherever in its oldest bucket it begins.
+
+        What that bucket's invocations allow is taken off.
+        """
+        first = (now - self.span) // self.bucket_width
         within = self.stamps[first % self.size] == first
         return self.total(now) + within * self.tails[first % self.size]
 
 
 def rank_test(canary: list[int], baseline: list[int]) -> tuple[float, float]:
-    """Mann-Whitney's U of the canary on bucket counts, over its mean, and its variance (ties corrected)."""
+    """Mann-Whitney's U on two histograms with the same buckets: the canary's U less its mean, and the variance of U.
+
+    The variance is corrected for ties.
+    """
     n, m = sum(canary), sum(baseline)
     total, below, above, ties = n + m, 0, 0.0, 0
     for c, b in zip(canary, baseline):
@@ -91,7 +113,7 @@
 
 
 def median(counts: list[int], edges: tuple[float, ...]) -> float:
-    """The median of bucket counts, inside a bucket by the ratio of its edges."""
+    """The median of a histogram, interpolated inside a bucket by the ratio of its edges."""
     half, edges = sum(counts) / 2, (edges[0] / 2, *edges, 2 * edges[-1], 2 * edges[-1])
     for place, count in enumerate(counts):
         if count and half <= count:
@@ -101,14 +123,19 @@
 
 
 def rank_sums(
-    mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int
+    canary: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int
 ) -> tuple[float, float, float, float]:
-    """Over workloads with so many outcomes on both sides: the sums of the rank test, its variance, and the
-    ratio of medians, weighted; and the weight.  A row is served, failed, then buckets, which need not hold all that
-    was served: failures count in that proportion."""
+    """Sums over the workloads that have at least `least` outcomes on both sides.
+
+    Returns the sums of the rank test's excess and of its variance, the sum of the ratios of medians weighted by the
+    canary's outcomes, and the sum of these weights.  The buckets of a workload need not hold all that was served, so
+    failures count in the proportion of the bucketed outcomes; they rank behind every answer.
+    """
     excess = spread = ratio = weight = 0.0
-    for new, old in zip(mine, others):
-        new, old = (row[2:] + [row[1] * sum(row[2:]) // row[0] if row[0] else row[1]] for row in (new, old))
+    for new, old in zip(canary, others):
+        new, old = (
+            counts[2:] + [counts[1] * sum(counts[2:]) // counts[0] if counts[0] else counts[1]] for counts in (new, old)
+        )
         if min(sum(new), sum(old)) >= least:
             more, variance = rank_test(new, old)
             excess, spread = excess + more, spread + variance
@@ -116,110 +143,155 @@
     return excess, spread, ratio, weight
 
 
-def slower(
-    mine: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int, margin: float, level: float
+def is_slower(
+    canary: list[list[int]], others: list[list[int]], edges: tuple[float, ...], least: int, margin: float, level: float
 ) -> bool:
-    """The rank test, workload by workload, sums pooled; a failure ranks behind every answer."""
-    excess, spread, ratio, weight = rank_sums(mine, others, edges, least // 4)
+    """Whether the canary is slower: its medians are by more than `margin` longer, and the rank test rejects at `level`.
+
+    The rank test is taken workload by workload and its sums are pooled; a failure ranks behind every answer.  Fewer
+    than `least` outcomes decide nothing.
+    """
+    excess, spread, ratio, weight = rank_sums(canary, others, edges, least // 4)
     return weight >= least and ratio > margin * weight and erfc(excess / sqrt(2 * spread)) / 2 < level
 
 
-def unexplained(canary: list[list[int]], baseline: list[list[int]]) -> list[tuple[int, int, float]]:
-    """For each workload and for all: outcomes of the canary, its failures, and how many are due by the baseline, at the
-    rate of the workload or of all, whichever is more: what fails everywhere falls on few outcomes by chance."""
+def unexplained_failures(canary: list[list[int]], baseline: list[list[int]]) -> list[tuple[int, int, float]]:
+    """For each workload, and last for all together: the canary's outcomes, its failures, and the failures expected.
+
+    Expected are as many as at the baseline's failure rate in that workload or in all, whichever is higher: a fault that
+    fails everywhere falls on a workload with few outcomes by chance.
+    """
     new, old = ([*group, [sum(column) for column in zip(*group)]] for group in (canary, baseline))
-    rates = [row[1] / max(1, row[0] + row[1]) for row in old]
-    return [(row[0] + row[1], row[1], (row[0] + row[1]) * max(rate, rates[-1])) for row, rate in zip(new, rates)]
-
-
-def is_uncorroborated(bad: dict[int, int], seen: dict[int, int], witnesses: int) -> bool:
-    """Whether who told of most failures is alone with them: at its rate the others would have seen so many, and saw
-    under a tenth."""
-    accused = max(bad, key=bad.__getitem__)
-    few, most = sum(bad.values()) - bad[accused], seen[accused]
-    due = sum(min(most, many) for many in seen.values()) - most
-    return bool(bad[accused]) and bad[accused] * due >= most * max(witnesses, 10 * few)
-
-
-def beyond(canary: list[list[int]], others: list[list[int]]) -> float:
-    """By how much the canary's failures, all rows', exceed their even share of all, on the scale of standard
-    deviations: the signed root of the likelihood ratio, which keeps to it where failures are few (five for half of
-    one expected are 3.7, and not 6.4: by chance one in some thousands, of looks that are many).  Source:
-    Barndorff-Nielsen and Cox, Inference and Asymptotics, 1994."""
-    (n, bad), (m, rest) = ([sum(row[at] for row in group) for at in (0, 1)] for group in (canary, others))
-    even = (bad + rest) * (n + bad) / (n + bad + m + rest or 1)
-    if not 0 < even < bad + rest:
+    rates = [counts[1] / max(1, counts[0] + counts[1]) for counts in old]
+    return [
+        (counts[0] + counts[1], counts[1], (counts[0] + counts[1]) * max(rate, rates[-1]))
+        for counts, rate in zip(new, rates)
+    ]
+
+
+def is_uncorroborated(failures: dict[int, int], outcomes: dict[int, int], least_expected: int) -> bool:
+    """Whether the sender that reported most failures is the only one to see them.
+
+    Both maps go from sender to count.  At that sender's failure rate the others would have seen at least
+    `least_expected` failures, and they saw under a tenth of what would be expected.
+    """
+    accused = max(failures, key=failures.__getitem__)
+    elsewhere, most = sum(failures.values()) - failures[accused], outcomes[accused]
+    comparable = sum(min(most, many) for many in outcomes.values()) - most
+    return bool(failures[accused]) and failures[accused] * comparable >= most * max(least_expected, 10 * elsewhere)
+
+
+def excess_in_deviations(canary: list[list[int]], others: list[list[int]]) -> float:
+    """By how many standard deviations the canary's failures exceed their even share of all failures.
+
+    This is the signed root of the likelihood ratio, which keeps to the scale of a normal deviate where failures are
+    few: five for half of one expected are 3.7 and not 6.4, that is by chance one in some thousands, and looks are many.
+    Source: Barndorff-Nielsen and Cox, Inference and Asymptotics, 1994.
+    """
+    (n, failed), (m, rest) = ([sum(counts[at] for counts in group) for at in (0, 1)] for group in (canary, others))
+    even = (failed + rest) * (n + failed) / (n + failed + m + rest or 1)
+    if not 0 < even < failed + rest:
         return 0.0
-    ratio = sum(seen * log(seen / due) for seen, due in ((bad, even), (rest, bad + rest - even)) if seen)
-    return sqrt(max(0.0, 2 * ratio)) * (1 if bad > even else -1)
+    ratio = sum(
+        seen * log(seen / expected) for seen, expected in ((failed, even), (rest, failed + rest - even)) if seen
+    )
+    return sqrt(max(0.0, 2 * ratio)) * (1 if failed > even else -1)
+
 
+def largest_excess(pool: list, latest: list) -> float:
+    """The larger of two excesses of the canary's failures, in standard deviations.
 
-def surplus(pool: list, latest: list) -> float:
-    """Of all the canary's failures over the baseline's, or of its latest over all before, the latter less by
-    as much as the baseline's latest rose."""
-    before = [row for group in gained(pool, latest)[:2] for row in group]
-    return max(beyond(*pool[:2]), beyond(latest[0], before) - max(0.0, beyond(latest[1], before)))
+    One is that of all its failures over the baseline's.  The other is that of its latest failures over all that came
+    before in both groups, less by as much as the baseline's latest failures rose.
+    """
+    before = [counts for group in counts_gained(pool, latest)[:2] for counts in group]
+    return max(
+        excess_in_deviations(*pool[:2]),
+        excess_in_deviations(latest[0], before) - max(0.0, excess_in_deviations(latest[1], before)),
+    )
 
 
-def gained(pool: list, old: list | None) -> list:
-    """By how much each count of a pool is above that of an older one; all of it if there is none."""
+def counts_gained(pool: list, old: list | None) -> list:
+    """By how much each count of a pool is above that of an older pool; the whole pool if there is no older one."""
     return (
-        [[[max(0, new - past) for new, past in zip(*row)] for row in zip(*two)] for two in zip(pool, old)]
+        [[[max(0, new - past) for new, past in zip(*counts)] for counts in zip(*two)] for two in zip(pool, old)]
         if old
         else pool
     )
 
 
-class Windows:
-    """By how much a pool grew of late, looked at each beat: in its latest twelve beats, in as many as `brief` and in
-    the latest minute, of which a pool is kept every ten beats."""
+class GrowthWindows:
+    """By how much a pool has grown during recent beats (half seconds).
+
+    There are three windows: the latest `SIZE` beats, the latest `brief` beats, and about the latest minute, for which
+    a pool is kept every ten beats.
+    """
 
-    SIZE = 12
+    SIZE = 12  # pools kept, of every beat and of every tenth
 
     def __init__(self, brief: int) -> None:
         self.brief = brief
         self.past: list[Any] = [None] * self.SIZE
         self.slow: list[Any] = [None] * self.SIZE
 
-    def take(self, beat: int, pool: list) -> tuple[list, list, list]:
-        recent, brief = (gained(pool, self.past[at % self.SIZE]) for at in (beat, beat - self.brief))
+    def advance(self, beat: int, pool: list) -> tuple[list, list, list]:
+        """Takes in the pool of this beat; returns the growth over the recent, the brief and the minute's window."""
+        recent, brief = (counts_gained(pool, self.past[at % self.SIZE]) for at in (beat, beat - self.brief))
         self.past[beat % self.SIZE] = pool
         if not beat % 10:
             self.slow[beat // 10 % self.SIZE] = pool
-        return recent, brief, gained(pool, self.slow[(beat // 10 + 1) % self.SIZE])
+        return recent, brief, counts_gained(pool, self.slow[(beat // 10 + 1) % self.SIZE])
 
 
 class Workload:
-    """What the settings say of one, and how long its answers take."""
+    """What the settings say of one workload, and how long its answers take."""
 
-    mean = deviation = 0.0
+    mean = deviation = 0.0  # of latencies, in tenths of a ms
 
-    def __init__(self, place: int, row: int, facts: dict[str, Any]) -> None:
-        self.place, self.row = place, slice(place * row, (place + 1) * row)
-        self.promised, self.effect, self.group = facts["promised"], facts["effect"], facts["group"]
-        self.memory, self.payoff = facts["memory"], facts["payoff"]
+    def __init__(self, place: int, cell_count: int, facts: dict[str, Any]) -> None:
+        self.place = place
+        self.cells = slice(place * cell_count, (place + 1) * cell_count)  # its counts among those of a group
+        self.promised = facts["promised"]
+        self.effect = facts["effect"]
+        self.group = facts["group"]
+        self.memory = facts["memory"]
+        self.payoff = facts["payoff"]
 
 
 class Unit:
     """A unit as this relay sees it.  A new start or another build makes a new Unit, cold again."""
 
-    def __init__(self, number: int, build: int, started: int, even: float, order: int) -> None:
-        self.number, self.build, self.started, self.order = number, build, started, order  # its place in a row
-        self.credit, self.even = 1.0, even  # what it may get while cold, and up to when that is summed
-        self.weight, self.open, self.zone, self.cell = 1.0, True, 0, 0
-        self.open_shots, self.silent_since = 0, 0  # our shots out there, and since when with no answer at all
-        self.met = -1 << 60  # when it last answered us
-        self.pace, self.error_rate = 1.0, 0.0  # its latencies over the workload's, errors among its answers
-        self.util, self.queue, self.load_at = 0.0, 0.0, 0
-        self.ejected_until, self.rest = 0, 0
-        # shots that broke off or found no connection since it last answered: one alone may be a connection's
-        # fault (all units rested where connections broke everywhere); one that took long counts twice
+    def __init__(self, number: int, build: int, started: int, credited_work: float, order: int) -> None:
+        self.number = number
+        self.build = build
+        self.started = started  # 0: long ago
+        self.order = order  # its place in this relay's own order of units
+        self.credit = 1.0  # how much work it may get while it is cold
+        self.credited_work = credited_work  # the gate's `warm_work` up to which `credit` has been brought up to date
+        self.weight = 1.0
+        self.open = True
+        self.zone = 0
+        self.cell = 0
+        self.open_shots = 0  # shots of this relay at the unit
+        self.silent_since = 0  # since when shots are open there and none was answered
+        self.last_answer_at = -1 << 60
+        self.latency_ratio = 1.0  # moving average of its latencies over their workload's mean
+        self.error_rate = 0.0  # moving average of the errors among its answers
+        self.util = 0.0
+        self.queue = 0.0
+        self.load_reported_at = 0  # when it reported `util` and `queue`
+        self.ejected_until = 0
+        self.ejection_time = 0  # of its latest ejection; 0 once it has served again
+        # Shots that broke off or found no connection since it last answered.  One alone may be the connection's fault
+        # (all units were ejected where connections broke everywhere); one that took long counts twice.
         self.connection_failures = 0
 
 
-def in_rows(ordered: list[Unit], on_trial: Callable[[int], bool]) -> tuple[list[Unit], list[Unit]]:
-    """The units of earlier builds and those on trial, in order.  By build first: there are few, of thousands of
-    units."""
+def split_by_trial(ordered: list[Unit], on_trial: Callable[[int], bool]) -> tuple[list[Unit], list[Unit]]:
+    """The units of earlier builds and those of builds on trial, each in the given order.
+
+    They are grouped by build first: there are few builds, and thousands of units.
+    """
     rows: dict[int, list[Unit]] = {}
     for unit in ordered:
         rows.setdefault(unit.build, []).append(unit)
@@ -228,47 +300,56 @@
     return old, new
 
 
-class Load:
-    """What relays tell of their shots at one unit: by relay the count of its notes, its shots there, and when."""
+class UnitLoad:
+    """What relays have reported of their shots at one unit, as the load tracker keeps it."""
 
     def __init__(self) -> None:
-        self.by: dict[int, tuple[int, int, int]] = {}
-        self.open_shots = 0  # shots there
-        self.given: list[tuple[int, int]] = []  # to whom it was named (-1: and told of that shot), and when
-        self.pace, self.error_rate = 1.0, 0.0  # as of a unit
+        self.by_sender: dict[int, tuple[int, int, int]] = {}  # relay -> count of its note, its shots there, when
+        self.open_shots = 0  # of all relays
+        self.assigned: list[tuple[int, int]] = []  # relay that was given this unit (-1: and reported the shot), when
+        self.latency_ratio = 1.0  # both as in Unit
+        self.error_rate = 0.0
 
     def update(self, sender: int, count: int, open_shots: int, came: int, now: int) -> None:
-        """The newer of two by their count, 16 bits that begin anew; notes may overtake each other.  What came of a
-        shot is as in its note (tealsail/notes.py)."""
-        before = self.by.get(sender)
+        """Takes a load note in (fields: `load_note` in tealsail/notes.py).
+
+        Notes may overtake each other.  The newer of two has the higher count, of 16 bits that wrap round.
+        """
+        before = self.by_sender.get(sender)
         if before is None or (count - before[0]) & 0xFFFF < 0x8000:
             self.open_shots += open_shots - (before[1] if before else 0)
-            self.by[sender] = count, open_shots, now
-            if not came:  # sent: it is among those told now, and not to be counted twice
-                self.given = [(-1, each[1]) if each[0] == sender else each for each in self.given]
+            self.by_sender[sender] = count, open_shots, now
+            if not came:  # a shot was sent: it is among the reported ones now, and must not be counted twice
+                self.assigned = [(-1, each[1]) if each[0] == sender else each for each in self.assigned]
         if came:
             self.error_rate += 0.15 * ((came == 255) - self.error_rate)
-            self.pace += 0.1 * (min(8.0, came / 16) - self.pace) * (came < 255)
+            self.latency_ratio += 0.1 * (min(8.0, came / 16) - self.latency_ratio) * (came < 255)
+
+    def expected_shots(self, since: int, reported_weight: float) -> float:
+        """Shots reported, and shots assigned since then; of an assigned shot that was reported, `reported_weight`."""
+        self.assigned = [each for each in self.assigned if each[1] > since]
+        return self.open_shots + sum(reported_weight if sender < 0 else 1 for sender, _ in self.assigned)
 
-    def at_hand(self, since: int, told: float) -> float:
-        """Shots there, and those that it was named for since then: of such as were told of, this part."""
-        self.given = [each for each in self.given if each[1] > since]
-        return self.open_shots + sum(told if sender < 0 else 1 for sender, _ in self.given)
 
+def drop_stale_senders(loads: dict[int, UnitLoad], before: int) -> defaultdict[int, UnitLoad]:
+    """The loads without relays that last reported before then, and without units of which no relay reports.
 
-def drop_stale_senders(loads: dict[int, Load], before: int) -> defaultdict[int, Load]:
-    """Without relays not heard of since, dead or with another keeper, and units of which nobody tells."""
-    kept = defaultdict(Load)
+    Such relays are dead, or report to another tracker.
+    """
+    kept = defaultdict(UnitLoad)
     for unit, load in loads.items():
-        load.by = {sender: each for sender, each in load.by.items() if each[2] > before}
-        load.open_shots = sum(open_shots for _, open_shots, _ in load.by.values())
-        if load.by:
+        load.by_sender = {sender: each for sender, each in load.by_sender.items() if each[2] > before}
+        load.open_shots = sum(open_shots for _, open_shots, _ in load.by_sender.values())
+        if load.by_sender:
             kept[unit] = load
     return kept
 
 
 def warm_and_cold_capacity(row: list[Unit], warm_from: int, warmth: Callable[[Unit], float]) -> tuple[float, float]:
-    """Weights of a row's warm units, and what its cold ones can do at the least.  One pass: there may be thousands."""
+    """The weight of a row's warm units, and the least capacity of its cold ones in units of weight.
+
+    Units started by `warm_from` are warm.  One pass, since there may be thousands of units.
+    """
     warm = warming = 0.0
     for unit in row:
         able = warmth(unit) if unit.started > warm_from and unit.started else 1.0
@@ -280,19 +361,33 @@
 
 
 class Invocation:
+    """A client's request, and the shots that were sent for it.  `give_up` is when its client stops waiting.
+
+    `size` is its work over the usual work; `repeat` says that the client has marked it as a repeat.
+    """
+
     def __init__(
         self, number: int, workload: Any, customer: int, key: str | None, give_up: int, size: float, repeat: bool
     ) -> None:
-        self.number, self.workload, self.customer, self.key = number, workload, customer, key
-        self.give_up, self.size, self.repeat = give_up, size, repeat
+        self.number = number
+        self.workload = workload
+        self.customer = customer
+        self.key = key
+        self.give_up = give_up
+        self.size = size
+        self.repeat = repeat
         self.shots: list[Shot] = []
-        self.is_over, self.luck = False, 1.0  # the luck that decides whether a cold unit may get it
-        self.tier: int | None = None  # drawn, where there are tiers of zones
-        self.asked, self.near, self.best = 0, [], None  # for which shot, of which units, and the answer
-        self.blamed = False  # failed by a unit of a build that is alone: counts if another serves it
-        self.drawn: bool | None = None  # drawn for the build on trial, or not; None: a further shot
+        self.is_over = False
+        self.cold_draw = 1.0  # uniform in [0, 1): a cold unit may get the invocation if it is under its share
+        self.tier: int | None = None  # the tier of zones that was drawn, where there are tiers
+        self.asked_shot = 0  # number, from 1, of the latest shot for which the load tracker was asked
+        self.candidates = []  # the units that it was asked about
+        self.recommended = None  # the unit that it named
+        self.has_unconfirmed_failure = False  # failed by a unit of a build that is alone: counts if another serves it
+        self.drawn_for_trial: bool | None = None  # drawn for the build on trial, or not; None: a further shot
 
     def open_shots(self) -> int:
+        """How many of its shots have not ended."""
         return sum(not shot.ended for shot in self.shots)
 
     def may_have_run(self) -> "Shot | None":
@@ -301,25 +396,37 @@
 
 
 class Shot:
+    """One attempt at a unit.  `group` are the counts that its outcome goes into, None if it is no evidence."""
+
     def __init__(self, invocation: Invocation, unit: Unit, now: int, group: list[int] | None, warmth: float) -> None:
-        self.invocation, self.unit, self.sent, self.group, self.warmth = invocation, unit, now, group, warmth
+        self.invocation = invocation
+        self.unit = unit
+        self.sent_at = now
+        self.group = group
+        self.warmth = warmth  # of the unit when the shot was sent
         self.ended = self.never_ran = False
 
 
 class ChainStage:
-    """A link of the chain: `forward` tells whether the invocation was sent or ended, `backward` hands on
-    what came of a shot, the other way."""
+    """A stage of the chain that an invocation passes through.
+
+    `forward` takes the invocation on its way to a unit, and tells whether it was sent or ended.  `backward` takes the
+    outcome of a shot the other way, through the same stages.  `next` and `before` are the neighbours in the chain.
+    """
 
     next: Any
     before: Any
 
     def __init__(self, relay: Any) -> None:
-        self.relay, self.facts = relay, relay.facts
+        self.relay = relay
+        self.facts = relay.facts
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Passes the outcome on; `latency` in tenths of a ms."""
         self.before.backward(shot, outcome, latency)
 
 
-def link(*chain: ChainStage) -> None:
-    for before, after in zip(chain, chain[1:]):
+def connect(*stages: ChainStage) -> None:
+    """Links stages to each other, in this order."""
+    for before, after in zip(stages, stages[1:]):
         before.next, after.before = after, before
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -1,5 +1,23 @@
-"""Every decision of tealsail.  A host (tealsail/host.py) builds a `Relay(host, facts, seed, now)`, sets `now`
-and calls `on_...`.  `facts` is a plain map (names: tealsail/settings.py); times are tenths of a ms."""
+"""The decisions of a relay: which unit gets an invocation, and how a new build is judged.
+
+A newcomer's map.  An invocation (a client's request) passes through a chain of stages, each of which may hold it back:
+
+1. `Intake` takes it, repeats it after a shot that failed, and ends it where nothing can be sent.
+2. `Admission` limits how many shots of this relay are open at a time.
+3. `Trial` chooses the build: the one on trial, or an earlier one.
+4. Stages of other choices (tealsail/choices/) may follow, such as the choice of a zone.
+5. `UnitChoice` chooses a unit of that build.
+6. `Gate` keeps the rules that no shot may break, and hands the shot to the host.
+
+The outcome of a shot comes back through the same stages in the opposite order.  Beside the chain stand `LoadTracking`,
+which asks one relay of the fleet for the least loaded unit, and `Judge`, which pools the outcomes that all relays count
+and votes on the build on trial.  `Relay` holds the state that they share, and is where events come in.
+
+A host (tealsail/host.py) owns the sockets, the timers and the clock.  It builds a `Relay(host, facts, seed, now)`, sets
+`now` before each event, calls the `on_...` method of the event, and carries out what the relay asks of it.  `facts` are
+the settings under their internal names (tealsail/settings.py).  All times are whole tenths of a millisecond of one
+clock.  Comments that begin with 'Departure:' say where the code departs from the published method, and why.
+"""
 
 from collections import defaultdict
 from itertools import islice
@@ -10,28 +28,30 @@
 from .host import Host
 from .parts import (
     ChainStage,
+    ExposureSum,
+    GrowthWindows,
     Invocation,
-    Load,
     RandomGenerator,
     Shot,
     SlidingSum,
-    Tries,
     Unit,
-    Windows,
+    UnitLoad,
     Workload,
+    connect,
     drop_stale_senders,
-    in_rows,
+    is_slower,
     is_uncorroborated,
-    link,
+    largest_excess,
     median,
-    slower,
+    split_by_trial,
     stable_hash,
-    surplus,
-    unexplained,
+    unexplained_failures,
     warm_and_cold_capacity,
 )
 
-SECOND = 10_000
+SECOND = 10_000  # tenths of a ms
+
+# What holds for settings that the platform leaves out, of the fleet and of a workload; times in tenths of a ms.
 DEFAULTS: dict[str, Any] = dict(
     index=0,
     zone=0,
@@ -66,36 +86,94 @@
     memory=0,
     payoff=1.0,
 )
-ON, BACK, ON_TRIAL, GOING_BACK, RELEASED = 1, 3, 0, 1, 2  # verdicts of a vote; phases
-NEVER_RAN, NO_ROOM = {"full", "unreachable", "moot"}, 255  # outcomes that prove it; a keeper's answer
-GROUPS, EDGES = ("canary", "baseline", "before"), (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)
-TOLD = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]  # canary and baseline: failures, outcomes
-CELLS_PER_WORKLOAD, BUCKETS = 2 + len(EDGES) + 1, 20  # served, failed, times in parts of the promise; of each ring
-TRIAL_PART, BEAR = 0.9, 1.3  # of the allowance; over an even share, for a while
-RELAYS_PER_TURN, MAX_EXTRA_TURNS, FULL = 1000, 7, 1 << 31  # relays; turns of telling, less one; counts told
-JUDGES, JUDGE_TIMEOUT, SPARE = 3, 3 * SECOND, 1.25  # silent for so long: dead; voters over the need
-EARLY_MARGIN, EARLY_EXCESS, CHANCE = 0.015, 4.0, 3.0  # over what the baseline explains, and its deviations
-BRIEF, WIDE = 4, 3  # beats, if so many units of a build fail of late; where
-BROAD, BEYOND, STEADY = 4, 2.8, 5 * SECOND  # one in so many does: deviations beyond chance, more
-# of them the longer a build is looked at: else, of looks twice a second, chance alone passes within minutes
-SLOWER, UNEVEN, WORKED, REJECT_AT, LEAST = 1.6, 0.3, 0.25, 0.01, 20  # ratio, of few, by idle; level, outcomes
-HORIZON, PATIENCE = 3 * SECOND + SECOND // 4, SECOND  # after the newest listed start; and if thin
-WITNESSES, MATCHED, OWN, USUAL = 20, 20, 0.3, 1.3  # due to others; far shots alone; its own: failing, slow
-SKIP, LISTED, LAUNCH, NAMED = 2 * SECOND, 0.7, 8 * SECOND, 0.3  # new unit's; stage's; by then all; of late
+
+# Verdicts of a vote on a build; 0 is none.
+ON = 1
+BACK = 3
+
+# Phases of a build.
+ON_TRIAL = 0
+GOING_BACK = 1
+RELEASED = 2
+
+OUTCOMES_NOT_RUN = {"full", "unreachable", "moot"}  # outcomes that prove that a shot did not run
+NO_ROOM = 255  # the load tracker's answer where any unit would be late
+
+# Counts of outcomes (shape: tealsail/parts.py).
+GROUPS = ("canary", "baseline", "before")  # `before`: of earlier units before the build came
+LATENCY_EDGES = (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)  # between buckets, as parts of the promised latency
+SENDER_SUMS = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]  # group and columns: failures, outcomes; kept by sender
+CELLS_PER_WORKLOAD = 2 + len(LATENCY_EDGES) + 1  # served, failed, and the buckets
+
+WINDOW_BUCKETS = 20  # of each sliding sum
+
+# Sending to a build.
+TRIAL_ALLOWANCE_SHARE = 0.9  # of the exposure allowance, while earlier units can take the rest
+RETURN_OVERLOAD = 1.3  # times an even share: what the remaining units can bear while a build goes back
+
+# Messages between relays.
+RELAYS_PER_TURN = 1000  # larger fleets send their counts in turns, since thousands of relays would drown their judges
+MAX_EXTRA_TURNS = 7  # turns beyond the first
+RESTART_COUNTS_ABOVE = 1 << 31  # counts sent that are larger begin anew from 0
+JUDGES = 3  # of a build
+JUDGE_TIMEOUT = 3 * SECOND  # a judge that is silent for so long is taken for dead
+VOTER_RESERVE = 1.25  # voters for each vote that is needed
+
+# A verdict of 'back' on failures beyond those that the baseline explains: EARLY_FAILURES and EARLY_FAILURE_SHARE of the
+# outcomes, or EARLY_DEVIATIONS standard deviations of the difference, whichever is more.
+EARLY_FAILURE_SHARE = 0.015
+EARLY_FAILURES = 4.0
+EARLY_DEVIATIONS = 3.0
+BRIEF_WINDOW = 4  # beats; looked at only where at least BRIEF_WINDOW_UNITS units of the build have failed of late
+BRIEF_WINDOW_UNITS = 3
+
+# A verdict of 'back' on fewer failures that are beyond chance and on many units of the build.
+BROAD_UNITS_RATIO = 4  # at least one unit in so many fails
+BROAD_DEVIATIONS = 2.8  # standard deviations
+# The longer a build is looked at, the more deviations are needed: with two looks a second, chance alone would pass a
+# fixed level within minutes.  The level rises from this age of the build on.
+BROAD_LEVEL_RISES_AFTER = 5 * SECOND
+
+# A verdict of 'back' on latency.
+SLOWER_RATIO = 1.6  # of medians
+FEW_UNITS_MARGIN = 0.3  # added for a single warm unit, less for more of them: few may be slow machines
+IDLE_BASELINE_MARGIN = 0.25  # added where earlier machines stay and idle
+SLOWER_SIGNIFICANCE = 0.01  # level of the rank test, divided by the number of stages
+LEAST_OUTCOMES = 20  # on each side, or the evidence is thin
+
+# When a verdict of 'on' is due.
+HORIZON = 3 * SECOND + SECOND // 4  # after the newest start of a listed unit of the build
+THIN_EVIDENCE_WAIT = SECOND  # more, where evidence is thin
+
+# What counts as evidence, and whose fault a failure is.
+LEAST_CORROBORATION = 20  # failures expected at other relays, before a relay that alone reports them is disbelieved
+MAX_UNMATCHED_FAR_SHOTS = 20  # far shots of the canary without an earlier unit as far away to compare with
+OWN_FAULT_ERROR_RATE = 0.3  # more than that may be a unit's own fault
+NORMAL_LATENCY_RATIO = 1.3  # a unit up to so much slower than usual is not avoided
+COLD_LATENCY_AFTER = 2 * SECOND  # from a unit's start; before then its latencies are no evidence
+
+LISTED_SHARE = 0.7  # of a stage's units have to be listed; what other units show is no evidence for these
+LAUNCH_TIME = 8 * SECOND  # after a stage's begin: by then its units are all listed
+REPORTED_SHOT_WEIGHT = 0.3  # of a shot that was assigned a moment ago, once it has been reported
 
 
 class Intake(ChainStage):
-    """Takes invocations and gives each its one final answer, at once where nothing can be sent."""
+    """Takes invocations and gives each its one final answer, at once where nothing can be sent.
+
+    A budget limits repeats that might run twice, so that failures everywhere raise no storm of repeats.
+    """
 
-    FURTHER, purse = 0.2, 1.0  # doubtful further shots an invocation; no storm of repeats
+    RETRIES_PER_INVOCATION = 0.2  # that an invocation adds to the budget
+    retry_budget = 1.0  # further shots after one that may have run
 
     def forward(self, invocation: Invocation) -> None:
-        self.purse = min(20.0, self.purse + (0 if invocation.shots else self.FURTHER))
+        """Sends the invocation, or ends it."""
+        self.retry_budget = min(20.0, self.retry_budget + (0 if invocation.shots else self.RETRIES_PER_INVOCATION))
         if not self.next.forward(invocation):
             self.end(invocation)
 
     def end(self, invocation: Invocation) -> None:
-        """What is given up gets its answer at once: a rejection if trying again is known to do no harm."""
+        """Answers an invocation that is given up: a rejection if trying again is known to do no harm."""
         invocation.is_over = True
         if self.relay.gate.may_reject(invocation):
             advice = min(SECOND // 2, self.facts["longest_advice"]) if self.facts["may_advise"] else 0
@@ -103,78 +181,96 @@
         else:
             self.relay.host.forfeit(invocation.number)
 
-    def overdue(self, invocation: Invocation) -> None:
-        """Called off if the unit is silent to others too: hung.  One alone may only be heavy work."""
+    def on_overdue(self, invocation: Invocation) -> None:
+        """Cancels the latest shot if its unit is silent to others too, that is hung; else looks again later.
+
+        A single silent shot may only be heavy work.
+        """
         shot = invocation.shots[-1]
         if not shot.ended and not invocation.is_over:
-            if shot.unit.silent_since <= shot.sent and shot.unit.open_shots > 1 and self.purse >= 1:
+            if shot.unit.silent_since <= shot.sent_at and shot.unit.open_shots > 1 and self.retry_budget >= 1:
                 return self.relay.host.cancel(invocation.number, len(invocation.shots) - 1)
-            again = self.relay.now + self.relay.admission.patience(invocation.workload) // 2
-            self.relay.host.wake(again, self.relay.WAKE_LATE + invocation.number)
+            again = self.relay.now + self.relay.admission.late_after(invocation.workload) // 2
+            self.relay.host.wake(again, self.relay.WAKE_OVERDUE + invocation.number)
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Repeats the invocation or ends it, unless the shot has served it."""
         invocation = shot.invocation
         invocation.is_over |= outcome == "served"
         if not invocation.is_over:
-            self.purse = max(-1.0, self.purse - (not shot.never_ran))
-            again = self.purse >= 0 and self.relay.gate.may_repeat(invocation)
+            self.retry_budget = max(-1.0, self.retry_budget - (not shot.never_ran))
+            again = self.retry_budget >= 0 and self.relay.gate.may_repeat(invocation)
             (self.forward if again else self.end)(invocation)
 
 
 class Admission(ChainStage):
-    """Keeps queues short: a limit on this relay's shots out there falls with late answers, rises with those
-    in time; less for what pays little or is of a customer beyond its share.  Guards against any overload."""
+    """Keeps queues at units short, against any overload, by a limit on this relay's open shots.
+
+    The limit falls with late answers and rises with answers in time.  There is less room for what pays little, and for
+    a customer beyond its share.
+    """
 
-    LATE, EASY, RISE, CUT = 1.0, 0.5, 0.1, 0.4  # late, and with no queue: parts of the promise
-    FEW, LEAST = 3, 0.15  # under so few the limit is a share taken, at least this one
+    LATE_PART = 1.0  # of the promised latency: an answer that takes longer is late
+    NO_QUEUE_PART = 0.5  # of the promised latency: an answer that takes less met no queue
+    LIMIT_STEP = 0.1  # that an answer in time adds to the limit
+    LIMIT_CUT = 0.4  # of what is in use, and at most one shot, that a late answer takes off the limit
+    FEW_SHOTS = 3  # under so many the limit stands for a share of invocations that is taken
+    LEAST_SHARE = 0.15  # of invocations, which is always taken
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.limit, self.peak, self.cut, self.limit_cut_at = 40.0, 1.0, 0, 0
-        self.shots = self.stuck = 0  # out there, and those with units that are hung
-        self.taken = SlidingSum(4 * SECOND, BUCKETS)
-        self.by_customer = [SlidingSum(4 * SECOND, BUCKETS) for _ in self.facts["customers"] or [{}]]
+        self.limit = 40.0  # of open shots
+        self.peak = 1.0  # of open shots of late; fades by 2% with each invocation
+        self.cuts = 0  # since `limit_cut_at`
+        self.limit_cut_at = 0  # late shots sent before then cut no more
+        self.open_shots = self.stalled_shots = 0  # of this relay; and those of them at units that do not answer
+        self.invocations = SlidingSum(4 * SECOND, WINDOW_BUCKETS)  # without clients' repeats
+        self.by_customer = [SlidingSum(4 * SECOND, WINDOW_BUCKETS) for _ in self.facts["customers"] or [{}]]
         for workload in relay.workloads:  # latencies, until some are seen
-            workload.mean, workload.deviation = workload.promised / 5, workload.promised / 10
+            workload.mean = workload.promised / 5
+            workload.deviation = workload.promised / 10
 
-    def patience(self, workload: Workload) -> int:
-        """After this a shot is late for its kind: mean and three deviations, bounded by the promise."""
+    def late_after(self, workload: Workload) -> int:
+        """The latency after which a shot is late for its workload: mean and three deviations, between a quarter and
+        three quarters of the promise."""
         late = workload.mean + 3 * workload.deviation
         return int(min(max(late, workload.promised / 4), 0.75 * workload.promised))
 
     def forward(self, invocation: Invocation) -> bool:
+        """Holds a new invocation to the limit; further shots are not held."""
         if not invocation.shots:
-            self.taken.add(self.relay.now, not invocation.repeat)
+            self.invocations.add(self.relay.now, not invocation.repeat)
             self.by_customer[invocation.customer].add(self.relay.now)
-            part, open_shots, luck = (
-                self.limit_share(invocation),
-                self.shots - self.stuck + 1,
-                self.relay.random.share(),
-            )
+            share = self.limit_share(invocation)
+            open_shots = self.open_shots - self.stalled_shots + 1
+            draw = self.relay.random.share()
             self.peak = max(open_shots, 0.98 * self.peak)
-            if open_shots > part * max(self.FEW, self.limit) or luck > part * self.limit / self.FEW:
+            if open_shots > share * max(self.FEW_SHOTS, self.limit) or draw > share * self.limit / self.FEW_SHOTS:
                 return False
         return self.next.forward(invocation)
 
     def limit_share(self, invocation: Invocation) -> float:
+        """The part of the limit that is open to an invocation, by its payoff and its customer's share of the work."""
         best, now = max(workload.payoff / workload.mean for workload in self.relay.workloads), self.relay.now
         part = 1.0 if invocation.workload.payoff / invocation.workload.mean > 0.7 * best else 0.85
         share = (self.facts["customers"] or [{}])[invocation.customer].get("share", 2)
-        fair = max(10.0, 1.3 * share * self.taken.total(now))
+        fair = max(10.0, 1.3 * share * self.invocations.total(now))
         return part / min(2.0, max(1.0, self.by_customer[invocation.customer].total(now) / fair))
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Moves the limit, and the mean and deviation of the workload's latencies."""
         workload, latency_for_size = shot.invocation.workload, latency / max(1.0, shot.invocation.size)
-        late = latency_for_size > self.LATE * workload.promised and shot.unit.silent_since >= shot.sent
-        open_shots = self.shots - self.stuck + 1
-        if late and shot.sent >= self.limit_cut_at:  # of what is in use; a cut by a third is given time to show
-            used, self.cut = min(self.limit, 2 * max(open_shots, self.peak)), self.cut + 1
-            self.limit = max(self.FEW * self.LEAST, used - min(1.0, self.CUT * used))
-            if self.cut > self.limit / 2:
-                self.cut, self.limit_cut_at = 0, self.relay.now
-        elif outcome == "served" and not late and (open_shots > 0.5 * self.limit or self.limit < self.FEW):
-            easy = max(0.0, 1 - latency_for_size / (self.EASY * workload.promised))
-            self.limit += self.RISE if self.limit > self.FEW else self.FEW * self.RISE * easy
+        late = latency_for_size > self.LATE_PART * workload.promised and shot.unit.silent_since >= shot.sent_at
+        open_shots = self.open_shots - self.stalled_shots + 1
+        if late and shot.sent_at >= self.limit_cut_at:
+            # A late answer cuts what is in use.  Once the cuts amount to about a third, time is given for them to show.
+            used, self.cuts = min(self.limit, 2 * max(open_shots, self.peak)), self.cuts + 1
+            self.limit = max(self.FEW_SHOTS * self.LEAST_SHARE, used - min(1.0, self.LIMIT_CUT * used))
+            if self.cuts > self.limit / 2:
+                self.cuts, self.limit_cut_at = 0, self.relay.now
+        elif outcome == "served" and not late and (open_shots > 0.5 * self.limit or self.limit < self.FEW_SHOTS):
+            easy = max(0.0, 1 - latency_for_size / (self.NO_QUEUE_PART * workload.promised))
+            self.limit += self.LIMIT_STEP if self.limit > self.FEW_SHOTS else self.FEW_SHOTS * self.LIMIT_STEP * easy
         if outcome in ("served", "timeout", "cancelled"):
             workload.deviation += 0.05 * (abs(latency_for_size - workload.mean) - workload.deviation)
             workload.mean += 0.05 * (latency_for_size - workload.mean)
@@ -182,55 +278,73 @@
 
 
 class Trial(ChainStage):
-    """Which build: the one on trial gets its units' share, an equal random slice of the rest is baseline."""
+    """Chooses the build.  The one on trial gets its units' share of the work, and an equal random slice of the rest is
+    the baseline that it is compared with."""
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.lately = [0.0] * CELLS_PER_WORKLOAD * len(relay.workloads)
+        self.recent_counts = [0.0] * CELLS_PER_WORKLOAD * len(relay.workloads)  # of earlier builds' warm units
         self.new_build(-1)
 
     def new_build(self, build: int) -> None:
+        """Begins to count for another build on trial."""
         self.build = build
-        self.baseline_deficit = defaultdict(float)  # how far the canary group is ahead of the baseline, by tier
-        self.groups = {name: [int(count) * (name == "before") for count in self.lately] for name in GROUPS}
-
-    def weigh(self) -> None:
-        relay, (old, new), able, cold = self.relay, self.relay.rows, [], []
-        relay.warm_room = 0
+        # Tier -> by how many shots the canary group is ahead of the baseline.
+        self.baseline_deficit = defaultdict(float)
+        self.groups = {name: [int(count) * (name == "before") for count in self.recent_counts] for name in GROUPS}
+
+    def update_shares(self) -> None:
+        """Works out the share of the build on trial, and the share that cold units may get."""
+        relay, (old, new), capacities, cold = self.relay, self.relay.rows, [], []
+        relay.warm_weight = 0
         for row in (old, new):
             warm, warming = warm_and_cold_capacity(row, relay.now - self.facts["warm_up"], relay.warmth)
-            relay.warm_room += warm
-            able.append(warm + warming or 0.01)
-            cold.append(warming / relay.room)
-        others, mine = able
-        relay.crowd = 1 + min(1.0, len(relay.leaving) / max(1, len(relay.units)))
-        slow, usual = (sum(unit.pace for unit in row) / max(1, len(row)) for row in (new, old))
-        # Where earlier machines stay, new ones take over their places' work, as they will have to: what fails
-        # under load alone would pass at half of its use.  Cold ones get an even share of all units'.
+            relay.warm_weight += warm
+            capacities.append(warm + warming or 0.01)
+            cold.append(warming / relay.total_weight)
+        old_capacity, new_capacity = capacities
+        relay.units_per_machine = 1 + min(1.0, len(relay.draining) / max(1, len(relay.units)))
+        slow, usual = (sum(unit.latency_ratio for unit in row) / max(1, len(row)) for row in (new, old))
+        # Where earlier machines stay, new ones take over the work of their places, as they will have to after the
+        # release: what fails under load alone would pass at half of that use.  Cold ones get an even share of the work
+        # of all units.
         if relay.beside:
-            mine -= cold[1] * len(new) / max(1, len(new) + len(old)) * relay.room
-        self.share = min(1.0, mine / (mine * (not relay.beside) + others * max(1.0, slow / max(0.01, usual))))
-        if relay.judge.verdict == BACK or relay.phase == GOING_BACK:  # others get what they can bear
-            self.share = max(0.0, 1 - BEAR * (1 - self.share)) * (not relay.beside)
+            new_capacity -= cold[1] * len(new) / max(1, len(new) + len(old)) * relay.total_weight
+        self.share = min(
+            1.0,
+            new_capacity / (new_capacity * (not relay.beside) + old_capacity * max(1.0, slow / max(0.01, usual))),
+        )
+        if relay.judge.verdict == BACK or relay.phase == GOING_BACK:  # the other units get what they can bear
+            self.share = max(0.0, 1 - RETURN_OVERLOAD * (1 - self.share)) * (not relay.beside)
         relay.cold_share = [
-            (each / 2, each / max(0.01, drawn))  # if drawn for the other row, or for this one
+            (each / 2, each / max(0.01, drawn))  # where the other row was drawn, and where this one was
             for each, drawn in zip(cold, (1 - self.share, self.share))
         ]
 
     def forward(self, invocation: Invocation) -> bool:
+        """Draws the build for a new invocation, and passes it on with the units of that build, then of the other."""
         relay, (old, new) = self.relay, self.relay.rows
-        if not relay.warm_room and not invocation.shots:
-            relay.gate.even += invocation.size / relay.room
-        if invocation.asked <= len(invocation.shots):  # else drawn already
-            invocation.drawn = (
+        if not relay.warm_weight and not invocation.shots:
+            relay.gate.warm_work += invocation.size / relay.total_weight
+        if invocation.asked_shot <= len(invocation.shots):  # else it was drawn before the load tracker was asked
+            invocation.drawn_for_trial = (
                 None if invocation.shots else bool(new) and (not old or relay.random.share() < self.share)
             )
-        wanted = invocation.drawn and new and old and (relay.gate.allowance(invocation, new[0].build, TRIAL_PART) >= 1)
-        # Departure: what earlier units cannot take (none left, cold ones full) may use the whole allowance.
+        wanted = (
+            invocation.drawn_for_trial
+            and new
+            and old
+            and (relay.gate.allowance(invocation, new[0].build, TRIAL_ALLOWANCE_SHARE) >= 1)
+        )
+        # Departure: what earlier units cannot take, because none is left or they are cold and full, may use the whole
+        # allowance.
         return any(self.next.forward(invocation, row) for row in ((new, old) if wanted else (old, new)))
 
     def group_of(self, unit: Unit) -> list[int] | None:
-        """Groups are matched in distance too: else a far zone would read as a slow build."""
+        """The counts that a shot at the unit goes into, or None.
+
+        The groups are matched in distance too, else a far zone would read as a slow build.
+        """
         name, tier = "canary" if unit.build == self.build else "baseline", self.relay.tier(unit)
         if (
             unit.build > self.build
@@ -238,56 +352,64 @@
             and self.baseline_deficit[tier] <= 2 * self.relay.random.share()
         ):
             return None
-        if name == "canary" and tier and self.baseline_deficit[tier] >= MATCHED:
+        if name == "canary" and tier and self.baseline_deficit[tier] >= MAX_UNMATCHED_FAR_SHOTS:
             return None  # no earlier unit as far away to hold it against
         self.baseline_deficit[tier] = min(50.0, self.baseline_deficit[tier] + (1 if name == "canary" else -1))
         return self.groups[name]
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Counts the outcome in the shot's group."""
         workload, unit = shot.invocation.workload, shot.unit
         times = latency * shot.warmth / workload.promised
-        bucket = workload.row.start + 2 + sum(times > edge for edge in EDGES)
+        bucket = workload.cells.start + 2 + sum(times > edge for edge in LATENCY_EDGES)
         if shot.group and not shot.invocation.repeat:  # one client's repeats are no evidence
-            shot.group[workload.row.start] += outcome == "served"
-            failed = outcome == "error" and not (unit.build == self.build and self.relay.choice.stands_out(unit))
-            # Departure: with no earlier machine left to fail alike, it counts once another unit serves it
-            shot.group[workload.row.start + 1] += (
-                shot.invocation.blamed and outcome == "served" if self.relay.alone else failed
+            shot.group[workload.cells.start] += outcome == "served"
+            failed = outcome == "error" and not (unit.build == self.build and self.relay.choice.is_outlier(unit))
+            # Departure: with no earlier machine left that would fail alike, a failure counts once another unit has
+            # served the invocation.
+            shot.group[workload.cells.start + 1] += (
+                shot.invocation.has_unconfirmed_failure and outcome == "served" if self.relay.is_alone else failed
             )
-            shot.invocation.blamed |= self.relay.alone and failed
-            early = not self.relay.stage and self.relay.now - unit.started > SKIP  # no warm canary yet
+            shot.invocation.has_unconfirmed_failure |= self.relay.is_alone and failed
+            early = not self.relay.stage and self.relay.now - unit.started > COLD_LATENCY_AFTER  # no warm canary yet
             shot.group[bucket] += outcome == "served" and (shot.warmth >= 1 or early)
         if outcome == "served" and shot.warmth >= 1 and not self.relay.on_trial(unit.build):
-            self.lately[bucket] += 1
+            self.recent_counts[bucket] += 1
         super().backward(shot, outcome, latency)
 
 
 class UnitChoice(ChainStage):
-    """Which unit: two random choices in the build among few units, in an order drawn by this relay's number,
-    one more whenever those are all busy: with little traffic it opens few connections and knows its units."""
+    """Chooses the unit: the cheaper of two random ones among few units of the build.
+
+    Each relay uses the first few units of an order drawn by its own number, and one more whenever those are all busy.
+    With little traffic it thus opens few connections, and knows its units.
+    """
 
-    REST, MAX_EJECTION_TIME, FEW, NEW = SECOND // 2, 4 * SECOND, 4, 8  # NEW: what a new connection costs,
-    few, cut_off = FEW, 0.0  # where shots of late found none (dear or few connections)
+    BASE_EJECTION_TIME = SECOND // 2
+    MAX_EJECTION_TIME = 4 * SECOND
+    FEW_UNITS = 4
+    NEW_CONNECTION_COST = 8  # in open shots, where connections fail
+    used_units = FEW_UNITS  # of a row; one more each time they are all busy
+    unreachable_rate = 0.0  # moving average of shots that found no connection (connections are dear, or few)
 
     def forward(self, invocation: Invocation, row: list[Unit]) -> bool:
-        used, pick, load_tracking = (
-            [shot.unit for shot in invocation.shots],
-            self.relay.random.pick,
-            self.relay.load_tracking,
-        )
-        few = max(int(self.few), load_tracking.FEW * load_tracking.on)
+        """Sends the invocation to a unit of the row, or asks the load tracker which of a few to take."""
+        used = [shot.unit for shot in invocation.shots]
+        pick = self.relay.random.pick
+        load_tracking = self.relay.load_tracking
+        few = max(int(self.used_units), load_tracking.CANDIDATES * load_tracking.is_enabled)
         side = bool(row) and self.relay.on_trial(row[0].build)
-        if self.relay.gate.lucky(invocation, side):
+        if self.relay.gate.is_drawn_for_cold(invocation, side):
             cold = [unit for unit in row if self.relay.warmth(unit) < 1]
-            if cold:  # else warmed since, or in other zones
+            if cold:  # else they have warmed up since, or are in other zones
                 row, few = cold + row, min(few, len(cold))
-        fit = (unit for unit in row if self.fit(unit) and unit not in used)
-        near = list(islice(fit, few))
+        available = (unit for unit in row if self.is_available(unit) and unit not in used)
+        near = list(islice(available, few))
         if near and all(unit.open_shots for unit in near):
-            self.few += 1
-            near += islice(fit, 1)
-        best, invocation.best = invocation.best, None
-        if best in near and self.next.forward(invocation, best) or load_tracking.ask(invocation, near):
+            self.used_units += 1
+            near += islice(available, 1)
+        recommended, invocation.recommended = invocation.recommended, None
+        if recommended in near and self.next.forward(invocation, recommended) or load_tracking.ask(invocation, near):
             return True
         while near:
             one = pick(near)
@@ -295,200 +417,247 @@
             if self.next.forward(invocation, unit):
                 return True
             near.remove(unit)
-            near += islice(fit, 1)  # cold, say: the next in the row
-        return any(self.next.forward(invocation, unit) for unit in row if unit in used or not self.fit(unit))
+            near += islice(available, 1)  # the gate refused it, as a cold one, say: the next of the row
+        return any(self.next.forward(invocation, unit) for unit in row if unit in used or not self.is_available(unit))
 
     def cost(self, unit: Unit) -> float:
-        relay, new = self.relay, self.NEW * self.cut_off * (unit.met < self.relay.now - 10 * SECOND)
-        cost = (unit.open_shots + new + relay.random.share()) * unit.pace / (unit.weight * relay.warmth(unit))
-        if relay.now - unit.load_at < 2 * SECOND:
+        """Expected wait at the unit in relative terms: open shots over capacity, times what is known of its speed."""
+        relay = self.relay
+        new = self.NEW_CONNECTION_COST * self.unreachable_rate * (unit.last_answer_at < self.relay.now - 10 * SECOND)
+        cost = (unit.open_shots + new + relay.random.share()) * unit.latency_ratio / (unit.weight * relay.warmth(unit))
+        if relay.now - unit.load_reported_at < 2 * SECOND:
             cost *= 1 + 2 * unit.util * unit.util + unit.queue / 4
         return cost
 
-    def fit(self, unit: Unit) -> bool:
-        """Not resting, one shot at a time after a rest, and not silent for longer than answers take."""
+    def is_available(self, unit: Unit) -> bool:
+        """Not ejected, with one shot at a time after an ejection, and not silent for longer than answers take."""
         return self.relay.now >= unit.ejected_until and not (
-            unit.open_shots and (unit.rest or self.relay.now - unit.silent_since > self.relay.patience)
+            unit.open_shots and (unit.ejection_time or self.relay.now - unit.silent_since > self.relay.silence_limit)
         )
 
-    def stands_out(self, unit: Unit) -> bool:
-        """Its errors are its own: its build's other units do much better and earlier units fail too or, with
-        none left, under a third of the build's.  Few that fail in a build on trial alone count against it."""
+    def is_outlier(self, unit: Unit) -> bool:
+        """Whether a unit's errors are its own fault and not its build's.
+
+        The build's other units do much better, and earlier units fail too or, with none left, under a third of the
+        build's units fail.  The few units that fail in a build on trial alone count against the build.
+        """
         seen = [
             other
             for other in self.relay.units.values()
-            if other is not unit and other.met > self.relay.now - 10 * SECOND
+            if other is not unit and other.last_answer_at > self.relay.now - 10 * SECOND
         ]
         others, elsewhere = (
             [other.error_rate for other in seen if (other.build == unit.build) == here] for here in (True, False)
         )
-        few = max(elsewhere) > 0.1 if elsewhere else 3 * sum(each > 0.05 for each in others) < len(others)
-        return len(others) > 1 and few and unit.error_rate > max(OWN, 3 * sum(others) / len(others))
+        is_exception = max(elsewhere) > 0.1 if elsewhere else 3 * sum(each > 0.05 for each in others) < len(others)
+        return (
+            len(others) > 1
+            and is_exception
+            and unit.error_rate > max(OWN_FAULT_ERROR_RATE, 3 * sum(others) / len(others))
+        )
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Updates what is known of the unit, and ejects it for a while if it is dead, drained, silent or an outlier."""
         unit, now, workload = shot.unit, self.relay.now, shot.invocation.workload
         unit.open_shots -= 1
         self.relay.load_tracking.report_shot(unit, outcome, latency / max(1.0, shot.invocation.size) / workload.mean)
-        self.relay.admission.shots -= 1
-        self.cut_off += 0.1 * ((outcome == "unreachable") - self.cut_off)
+        self.relay.admission.open_shots -= 1
+        self.unreachable_rate += 0.1 * ((outcome == "unreachable") - self.unreachable_rate)
         if outcome in ("served", "error"):
-            unit.silent_since, unit.met, unit.connection_failures = now, now, 0
+            unit.silent_since, unit.last_answer_at, unit.connection_failures = now, now, 0
             unit.error_rate += 0.15 * ((outcome == "error") - unit.error_rate)
-        late = outcome in ("timeout", "cancelled") and latency >= self.relay.admission.patience(workload)
+        late = outcome in ("timeout", "cancelled") and latency >= self.relay.admission.late_after(workload)
         if outcome == "served" or late:
             times = latency / max(1.0, shot.invocation.size) / workload.mean
-            unit.pace += 0.1 * (min(8.0, 8.0 if late else times) - unit.pace)
+            unit.latency_ratio += 0.1 * (min(8.0, 8.0 if late else times) - unit.latency_ratio)
         unit.connection_failures += (outcome in ("reset", "unreachable")) * (1 + (latency > SECOND // 10))
         if outcome == "served":
-            unit.rest = 0
+            unit.ejection_time = 0
         elif (
             outcome == "full"
             or unit.connection_failures > 1
-            or (late and unit.silent_since <= shot.sent)
-            or (outcome == "error" and self.stands_out(unit))
+            or (late and unit.silent_since <= shot.sent_at)
+            or (outcome == "error" and self.is_outlier(unit))
         ):
-            unit.rest = min(self.MAX_EJECTION_TIME, 2 * unit.rest or self.REST)
-            unit.ejected_until = now + unit.rest  # dead, drained, silent or failing alone: it rests, and goes
-            for row in self.relay.rows:  # to the end of the row
+            unit.ejection_time = min(self.MAX_EJECTION_TIME, 2 * unit.ejection_time or self.BASE_EJECTION_TIME)
+            unit.ejected_until = now + unit.ejection_time
+            for row in self.relay.rows:  # it goes to the end of its row
                 row.sort(key=lambda other: other is unit)
         super().backward(shot, outcome, latency)
 
 
 class LoadTracking:
-    """Stands in for load reports that are missing, late or false: a relay drawn by hash is told of each shot,
-    and asked which of a few units has the least at hand.  A silent one is left out a while."""
+    """Makes up for load reports of units that are missing, late or false.
+
+    A relay of the fleet, the load tracker, is told of each shot of all relays, and is asked which of a few units has
+    the fewest shots.  It is drawn by hash, so that all relays agree on it.  One that does not answer is left out for a
+    while, and the next one takes its place.  Every relay has this object both to ask the tracker and to be it.
+    """
 
-    SEATS, FEW, HELD, NEARER, WAIT, MUTE, LIFE = 3, 8, 0.7, 0.06, SECOND // 10, 2 * SECOND, 5 * SECOND
+    TRACKERS = 3  # relays drawn, of which the first that answers is the tracker
+    CANDIDATES = 8  # units of one question
+    BUSY_PART = 0.7  # of the promised latency: a unit whose shots take longer to end is full
+    ORDER_COST = 0.06  # of a shot, for each place behind the first in the asker's order
+    ANSWER_TIMEOUT = SECOND // 10
+    MUTE_TIME = 2 * SECOND  # for which a tracker that does not answer is left out
+    REPORT_LIFETIME = 5 * SECOND
 
     def __init__(self, relay: "Relay") -> None:
         self.relay, facts = relay, relay.facts
-        self.on = facts["may_tell"] and facts["relays"] > 1
-        self.order = sorted(range(facts["relays"]), key=lambda at: stable_hash(0, at))[: self.SEATS]
-        self.mute = dict.fromkeys(self.order, 0)  # until when each is left out
-        self.asked: dict[int, Invocation] = {}  # kept until the answer or the end of the wait
-        self.unanswered, self.told, self.began, self.ends = 0, 0, 0, SlidingSum(2 * SECOND, BUCKETS)
-        self.loads: defaultdict[int, Load] = defaultdict(Load)  # the keeper's: what all have at a unit
+        self.is_enabled = facts["may_tell"] and facts["relays"] > 1
+        self.order = sorted(range(facts["relays"]), key=lambda at: stable_hash(0, at))[: self.TRACKERS]
+        self.muted_until = dict.fromkeys(self.order, 0)
+        self.pending: dict[int, Invocation] = {}  # held until the tracker's answer or the end of the wait
+        self.unanswered = 0  # questions in a row
+        self.notes_sent = 0
+        self.first_report_at = 0  # as the tracker: of reports without a pause of more than a span of `completions`
+        self.completions = SlidingSum(2 * SECOND, WINDOW_BUCKETS)  # as the tracker: shots that ended
+        self.loads: defaultdict[int, UnitLoad] = defaultdict(UnitLoad)  # as the tracker: what all relays have at a unit
 
     def tracker_index(self) -> int:
-        return next((at for at in self.order if self.on and self.mute[at] <= self.relay.now), -1)
+        """The relay that is the load tracker now, as far as this relay knows; -1 for none."""
+        return next((at for at in self.order if self.is_enabled and self.muted_until[at] <= self.relay.now), -1)
 
     def ask(self, invocation: Invocation, near: list[Unit]) -> bool:
-        """Asks once for each shot; `resume` goes on with it."""
+        """Asks the tracker which unit to take, once for each shot; `resume` goes on with the invocation.
+
+        Returns whether the invocation waits for an answer.
+        """
         tracker_index, relay = self.tracker_index(), self.relay
-        if tracker_index < 0 or len(near) < 2 or invocation.asked > len(invocation.shots):
+        if tracker_index < 0 or len(near) < 2 or invocation.asked_shot > len(invocation.shots):
             return False
-        near.sort(key=lambda unit: unit.zone != relay.facts["zone"])  # its own first, all else being equal
-        invocation.asked, invocation.near = len(invocation.shots) + 1, near
-        self.asked[invocation.number] = invocation
-        relay.host.wake(min(relay.now + self.WAIT, invocation.give_up), relay.WAKE_ASKED + invocation.number)
+        near.sort(key=lambda unit: unit.zone != relay.facts["zone"])  # its own zone first, all else being equal
+        invocation.asked_shot, invocation.candidates = len(invocation.shots) + 1, near
+        self.pending[invocation.number] = invocation
+        relay.host.wake(
+            min(relay.now + self.ANSWER_TIMEOUT, invocation.give_up), relay.WAKE_TRACKER_TIMEOUT + invocation.number
+        )
         self.send(tracker_index, notes.ask_note(invocation.number, [unit.number for unit in near]))
         return True
 
     def send(self, tracker_index: int, data: bytes) -> None:
+        """Sends a note to a relay, or handles it here if it is this one."""
         (self.receive if tracker_index == self.relay.index else self.relay.host.send_note)(tracker_index, data)
 
     def resume(self, number: int, place: int = -1) -> None:
-        if (invocation := self.asked.pop(number, None)) is None:
+        """Goes on with an invocation that waits: `place` is the tracker's choice among the candidates, -1 for no
+        answer in time, or NO_ROOM."""
+        if (invocation := self.pending.pop(number, None)) is None:
             return
         self.unanswered = 0 if place >= 0 else self.unanswered + 1
         if self.unanswered > 1:
-            self.mute[self.tracker_index()], self.unanswered = self.relay.now + self.MUTE, 0
+            self.muted_until[self.tracker_index()], self.unanswered = self.relay.now + self.MUTE_TIME, 0
         if not invocation.is_over:
-            invocation.best = invocation.near[place] if 0 <= place < len(invocation.near) else None
+            invocation.recommended = invocation.candidates[place] if 0 <= place < len(invocation.candidates) else None
             if place == NO_ROOM or not self.relay.trial.forward(invocation):
                 self.relay.intake.end(invocation)
 
     def report_shot(self, unit: Unit, outcome: str = "", times: float = 0.0) -> None:
-        """How many shots this relay has at the unit now, and what came of the last."""
+        """Reports how many shots this relay has at the unit now, and what came of the last one.
+
+        `times` is its latency over the usual one.
+        """
         if (tracker_index := self.tracker_index()) >= 0:
-            self.told, came = self.told + 1, 255 if outcome == "error" else min(254, int(16 * times))
-            self.send(tracker_index, notes.load_note(self.told, unit.number, unit.open_shots, came))
+            self.notes_sent, came = self.notes_sent + 1, 255 if outcome == "error" else min(254, int(16 * times))
+            self.send(tracker_index, notes.load_note(self.notes_sent, unit.number, unit.open_shots, came))
 
-    def least(self, sender: int, keys: tuple[int, ...]) -> int:
-        loads, now, since = [self.loads[key] for key in keys], self.relay.now, self.relay.now - self.WAIT
+    def least_loaded(self, sender: int, keys: tuple[int, ...]) -> int:
+        """As the tracker: the place of the unit with the lowest cost among `keys`, or NO_ROOM where all are full."""
+        loads, now, since = [self.loads[key] for key in keys], self.relay.now, self.relay.now - self.ANSWER_TIMEOUT
         usual = sorted(load.error_rate for load in loads)[len(loads) // 2]
         costs = [
-            (load.at_hand(since, NAMED) + 0.5 + self.NEARER * place)
-            * max(1.0, load.pace / USUAL)
-            * (1 + 20 * max(0.0, load.error_rate - OWN - 2 * usual))
+            (load.expected_shots(since, REPORTED_SHOT_WEIGHT) + 0.5 + self.ORDER_COST * place)
+            * max(1.0, load.latency_ratio / NORMAL_LATENCY_RATIO)
+            * (1 + 20 * max(0.0, load.error_rate - OWN_FAULT_ERROR_RATE - 2 * usual))
             for place, load in enumerate(loads)
         ]
         place = costs.index(min(costs))
         promise = min([each.promised for each in self.relay.workloads], default=SECOND)
-        pace = max(LEAST, self.ends.total(now)) / (len(self.loads) * self.ends.span)
-        if loads[place].open_shots > self.HELD * promise * pace and now - self.began > 2 * self.ends.span:
-            return NO_ROOM  # not by one that has just begun to be told
-        loads[place].given.append((sender, now))
+        pace = max(LEAST_OUTCOMES, self.completions.total(now)) / (len(self.loads) * self.completions.span)
+        if (
+            loads[place].open_shots > self.BUSY_PART * promise * pace
+            and now - self.first_report_at > 2 * self.completions.span
+        ):
+            return NO_ROOM  # but not from one that has just begun to receive reports, and knows no pace
+        loads[place].assigned.append((sender, now))
         return place
 
     def receive(self, sender: int, data: bytes) -> None:
+        """Handles a note of another relay: a report or a question as the tracker, an answer as the one who asked."""
         figures = notes.read_tracker_note(data)
         if len(data) == 6:
-            self.began = self.began if self.ends.total(self.relay.now) else self.relay.now
+            self.first_report_at = self.first_report_at if self.completions.total(self.relay.now) else self.relay.now
             self.loads[figures[1]].update(sender, figures[0], *figures[2:], self.relay.now)
-            self.ends.add(self.relay.now, figures[3] > 0)
+            self.completions.add(self.relay.now, figures[3] > 0)
         elif len(data) == 5 and sender in self.order:
             self.resume(*figures)
         elif len(data) > 5 and figures:
-            self.send(sender, notes.answer_note(figures[0], self.least(sender, figures[2:])))
+            self.send(sender, notes.answer_note(figures[0], self.least_loaded(sender, figures[2:])))
 
 
 class Gate(ChainStage):
-    """Every send passes here; each of the five rules is kept at one place of it."""
+    """Every shot passes here.  Each of the five rules that no shot may break is kept in one method of this class."""
 
-    COLD_PART = 1.5  # of an even share, for what a cold unit can do now
+    COLD_LOAD_FACTOR = 1.5  # times an even share of the work, for what a cold unit can do now
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.taken = [SlidingSum(self.facts["exposure_span"], BUCKETS) for _ in relay.workloads]
-        self.tried = defaultdict(lambda: [Tries(ring.span, BUCKETS) for ring in self.taken])  # by build
-        self.even = 0.0  # sent to warm units so far, for a weight of one
-        self.sound = 1.0  # part of the latest shots that came to an answer
+        self.invocations = [SlidingSum(self.facts["exposure_span"], WINDOW_BUCKETS) for _ in relay.workloads]
+        self.exposures = defaultdict(  # by build, for each workload
+            lambda: [ExposureSum(ring.span, WINDOW_BUCKETS) for ring in self.invocations]
+        )
+        self.warm_work = 0.0  # work sent to warm units so far, for a unit of weight 1
+        self.answer_rate = 1.0  # moving average of the shots that ended without an error
 
     def forward(self, invocation: Invocation, unit: Unit) -> bool:
+        """Sends a shot to the unit if all rules allow it."""
         relay, now = self.relay, self.relay.now
         if not (
-            self.answerable(invocation)
+            self.may_send(invocation)
             and self.may_repeat(invocation, unit)
-            and self.listed(unit)
-            and self.warm_enough(invocation, unit)
-            and self.exposed(invocation, unit)
+            and self.is_listed(unit)
+            and self.is_warm_enough(invocation, unit)
+            and self.is_within_cap(invocation, unit)
         ):
             return False
         shot = Shot(invocation, unit, now, relay.trial.group_of(unit), relay.warmth(unit))
         invocation.shots.append(shot)
         unit.silent_since = unit.silent_since if unit.open_shots else now
         unit.open_shots += 1
-        relay.admission.shots += 1
+        relay.admission.open_shots += 1
         relay.load_tracking.report_shot(unit)
         if shot.warmth >= 1:
-            self.even += invocation.size / max(relay.warm_room, unit.weight)
+            self.warm_work += invocation.size / max(relay.warm_weight, unit.weight)
         unit.credit -= invocation.size
-        self.tried[unit.build][invocation.workload.place].add(now)
-        left, patience = invocation.give_up - now, self.relay.admission.patience(invocation.workload)
+        self.exposures[unit.build][invocation.workload.place].add(now)
+        wait, late_after = invocation.give_up - now, self.relay.admission.late_after(invocation.workload)
         if (
             invocation.workload.effect == "harmless"
-            and left > 2 * patience
+            and wait > 2 * late_after
             and len(invocation.shots) < self.facts["most_shots"]
         ):
             if self.facts["may_cancel"]:
-                relay.host.wake(now + patience, relay.WAKE_LATE + invocation.number)
+                relay.host.wake(now + late_after, relay.WAKE_OVERDUE + invocation.number)
             else:
-                left = 2 * patience
-        relay.host.send(invocation.number, unit.number, left)
+                wait = 2 * late_after
+        relay.host.send(invocation.number, unit.number, wait)
         return True
 
-    # No invocation is lost, and nothing is sent for one that is over.
-    def answerable(self, invocation: Invocation) -> bool:
-        few = len(invocation.shots) < self.facts["most_shots"]
-        return few and not invocation.is_over and self.relay.now < invocation.give_up
+    def may_send(self, invocation: Invocation) -> bool:
+        """Rule 1: no invocation is lost, and nothing is sent for one that is over."""
+        has_shots_left = len(invocation.shots) < self.facts["most_shots"]
+        return has_shots_left and not invocation.is_over and self.relay.now < invocation.give_up
 
-    # No effect twice: what may have run goes out again, or is rejected, only as its workload allows.
     def may_repeat(self, invocation: Invocation, unit: Unit | None = None) -> bool:
+        """Rule 2: no effect happens twice.
+
+        What may have run is sent again, or rejected, only as its workload allows.  Without a unit: whether it may be
+        sent again at all.
+        """
         workload, first = invocation.workload, invocation.may_have_run()
         if workload.effect == "harmless" or first is None or invocation.open_shots():
-            return not invocation.open_shots()  # one shot at a time, also where two are allowed
-        if workload.effect != "stamped" or self.relay.now >= first.sent + workload.memory:
+            return not invocation.open_shots()  # one shot at a time, also where the settings allow two
+        if workload.effect != "stamped" or self.relay.now >= first.sent_at + workload.memory:
             return False
         return (
             unit is None
@@ -497,121 +666,155 @@
         )
 
     def may_reject(self, invocation: Invocation) -> bool:
+        """Whether it does no harm if the client tries again."""
         workload, first = invocation.workload, invocation.may_have_run()
         return (
             workload.effect == "harmless" or first is None or (workload.group == "all" and self.may_repeat(invocation))
         )
 
-    # Drains kept: a unit that drains or is gone leaves `relay.units` at once; only what is there gets shots.
-    def listed(self, unit: Unit) -> bool:
+    def is_listed(self, unit: Unit) -> bool:
+        """Rule 3: drains are kept.  A unit that drains or is gone leaves `relay.units` at once, and gets no shots."""
         return self.relay.units.get(unit.number) is unit
 
-    # No cold unit pushed over: an even share by the least they can do, one draw an invocation (no floor).
-    def warm_enough(self, invocation: Invocation, unit: Unit) -> bool:
+    def is_warm_enough(self, invocation: Invocation, unit: Unit) -> bool:
+        """Rule 4: no cold unit is overloaded.
+
+        It gets an even share of the work by the least that it can do, with one draw for an invocation; there is no
+        minimum.
+        """
         relay, warmth = self.relay, self.relay.warmth(unit)
         if warmth < 1:
-            grown = (self.even - unit.even) * self.COLD_PART * warmth * unit.weight
-            unit.credit, unit.even = min(1.0, unit.credit + grown), self.even
+            grown = (self.warm_work - unit.credited_work) * self.COLD_LOAD_FACTOR * warmth * unit.weight
+            unit.credit, unit.credited_work = min(1.0, unit.credit + grown), self.warm_work
         side, size = relay.on_trial(unit.build), invocation.size
-        return warmth >= 1 or (self.lucky(invocation, side) and unit.credit >= min(1, size) and size <= 3)
+        return warmth >= 1 or (self.is_drawn_for_cold(invocation, side) and unit.credit >= min(1, size) and size <= 3)
 
-    def lucky(self, invocation: Invocation, side: bool) -> bool:
-        """A flood of what fails at once anywhere tells nothing of units: a cold one fell by its share."""
-        share = self.relay.cold_share[side][invocation.drawn is side]
-        return invocation.luck < share * self.sound and not (invocation.repeat and self.sound < 0.9)
+    def is_drawn_for_cold(self, invocation: Invocation, side: bool) -> bool:
+        """Whether an invocation falls to the cold units of a side (of the build on trial, or not).
 
-    # Exposure within the cap.
-    def exposed(self, invocation: Invocation, unit: Unit) -> bool:
+        A flood of what fails at once anywhere says nothing of units, so it counts less: a cold unit was overloaded by
+        its even share of such a flood.
+        """
+        share = self.relay.cold_share[side][invocation.drawn_for_trial is side]
+        return invocation.cold_draw < share * self.answer_rate and not (invocation.repeat and self.answer_rate < 0.9)
+
+    def is_within_cap(self, invocation: Invocation, unit: Unit) -> bool:
+        """Rule 5: the exposure to a build on trial stays within its cap."""
         relay = self.relay
         if not relay.on_trial(unit.build):
             return True
         stage = relay.stage if unit.build == relay.build else 0
-        guarded = stage < self.facts["guarded_stages"] and invocation.workload.effect != "harmless"
-        return not guarded and relay.cap(unit.build) > 0 and self.allowance(invocation, unit.build) >= 1
+        is_guarded = stage < self.facts["guarded_stages"] and invocation.workload.effect != "harmless"
+        return not is_guarded and relay.cap(unit.build) > 0 and self.allowance(invocation, unit.build) >= 1
 
     def allowance(self, invocation: Invocation, build: int, part: float = 1.0) -> float:
+        """How many shots may still go to the build, of `part` of the whole allowance."""
         now, place = self.relay.now, invocation.workload.place
-        rows = slice(place, place + 1) if self.facts["exposure_per"] == "class" else slice(None)
-        tried = sum(ring.most(now) for ring in self.tried[build][rows])
-        taken = sum(ring.total(now) for ring in self.taken[rows])
-        return part * (self.facts["free_shots"] + self.relay.cap(build) * taken) - tried
+        counted = slice(place, place + 1) if self.facts["exposure_per"] == "class" else slice(None)
+        shots = sum(ring.upper_bound(now) for ring in self.exposures[build][counted])
+        invocations = sum(ring.total(now) for ring in self.invocations[counted])
+        return part * (self.facts["free_shots"] + self.relay.cap(build) * invocations) - shots
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
-        shot.ended, shot.never_ran = True, outcome in NEVER_RAN
-        self.sound += 0.05 * ((outcome != "error") - self.sound)
+        """Notes that the shot has ended, and whether it is proved that it did not run."""
+        shot.ended, shot.never_ran = True, outcome in OUTCOMES_NOT_RUN
+        self.answer_rate += 0.05 * ((outcome != "error") - self.answer_rate)
         super().backward(shot, outcome, latency)
 
 
 class Judge:
-    """Pools the counts of all relays.  Three are drawn by hash for a build, for all stages: new ones hear of
-    failures first.  Departure: where more votes are needed, those next in order cast what any tells."""
+    """Pools the counts of all relays and votes on the build on trial.
+
+    Three judges are drawn by hash for a build, and stay for all its stages: newly drawn ones would hear of failures
+    first.  Departure: where more votes are needed than there are judges, the relays next in the order cast the verdict
+    that any judge sends them.
+
+    A beat is half a second.
+    """
 
     def __init__(self, relay: "Relay") -> None:
-        self.relay, self.facts, self.beat, self.cast_at, self.busy_until = relay, relay.facts, 0, 0, 0
-        self.voted = self.cast = (-1, 0, 0)  # the vote last sent, and the one known to stand
+        self.relay = relay
+        self.facts = relay.facts
+        self.beat = 0  # how many beats there have been
+        self.standing_since = 0
+        self.no_vote_before = 0
+        self.last_vote = self.standing_vote = (-1, 0, 0)  # the vote last sent, and the one known to stand
         votes = ("back_votes",) if self.facts["control"] == "timer" else ("on_votes", "back_votes")
-        needed = max(int(self.facts[name]) for name in votes)  # no 'on' moves a stage under a timer
-        self.voters = JUDGES if needed <= JUDGES else int(needed * SPARE) + 1
+        needed = max(int(self.facts[name]) for name in votes)  # under a timer no vote of 'on' moves a stage
+        self.voters = JUDGES if needed <= JUDGES else int(needed * VOTER_RESERVE) + 1
         self.new_build()
 
     def new_build(self) -> None:
-        size = len(self.relay.trial.lately)
+        """Begins anew for another build on trial."""
+        size = len(self.relay.trial.recent_counts)
         kinds = [
-            [group * size + row + column for row in range(0, size, CELLS_PER_WORKLOAD) for column in columns]
-            for group, columns in TOLD
+            [group * size + first + column for first in range(0, size, CELLS_PER_WORKLOAD) for column in columns]
+            for group, columns in SENDER_SUMS
         ]
-        self.pooled = notes.Pool(len(GROUPS) * size, kinds)  # what the others told
-        self.heard: dict[int, int] = {}  # sender -> when
-        self.windows = Windows(BRIEF)
-        self.begun, self.born, self.base = self.relay.now, self.relay.born, [0] * len(self.pooled.sums)
-        self.told = list(self.base)
-        self.draw()
-
-    def draw(self) -> None:
+        self.pooled = notes.CountPool(len(GROUPS) * size, kinds)  # what the other relays counted
+        self.heard: dict[int, int] = {}  # relay -> when it last sent counts
+        self.windows = GrowthWindows(BRIEF_WINDOW)
+        self.build_since = self.relay.now
+        self.counting_since = self.relay.started_at  # marks a series of this relay's counts that only grow
+        self.count_base = [0] * len(self.pooled.sums)  # what earlier series held
+        self.counts_sent = list(self.count_base)
+        self.new_stage()
+
+    def new_stage(self) -> None:
+        """Takes the verdict back; the order of relays, judges first, depends on the build alone."""
         relay = self.relay
         self.order = sorted(
             range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -stable_hash(relay.build, at)
         )
         self.place, self.verdict = self.order.index(relay.index), 0
 
-    def sitting(self) -> bool:
-        """One of the judges, or the next in line for one that has not been heard of lately."""
+    def is_judging(self) -> bool:
+        """Whether this is one of the judges, or the next in the order in place of one that is silent."""
         relay = self.relay
         alive = [
             index
             for index in self.order[: JUDGES + 1]
-            if index == relay.index or relay.now - self.heard.get(index, relay.since) < JUDGE_TIMEOUT
+            if index == relay.index or relay.now - self.heard.get(index, relay.stage_since) < JUDGE_TIMEOUT
         ]
         return relay.index in alive[:JUDGES] or (self.place < self.voters and not self.facts["may_tell"])
 
     def send_counts(self) -> None:
-        """Cumulative counts to the judges and the next in line: each second what is new, every fourth time
-        all; new failures each half: what turns bad late must go before the next build is due.  The baseline's
-        too: else a judge of many hears first of whoever saw the canary fail, and sends a good build back."""
+        """Sends this relay's cumulative counts to the judges and to the next relay in the order.
+
+        Each second what has changed is sent, and every fourth time everything.  New failures are sent each half
+        second, since a build that turns bad late must go back before the next one is due.  The baseline's failures are
+        sent as soon as the canary's: else a judge of many relays would hear first of those whose canary failed, and
+        send a good build back.
+        """
         relay, trial, send = self.relay, self.relay.trial, self.relay.host.send_note
         counts = [count for name in GROUPS for count in trial.groups[name]]  # the canary's first
-        counts = [count - base for count, base in zip(counts, self.base)]
-        matched = 2 * len(trial.lately)  # cells of canary and baseline
-        pressing = any(counts[at] > self.told[at] for at in range(1, matched, CELLS_PER_WORKLOAD))
-        thin = 1 + min(
-            MAX_EXTRA_TURNS, self.facts["relays"] // RELAYS_PER_TURN
-        )  # else thousands of relays drown their judges
-        turn = (self.beat // 2 + relay.index) % thin == 0 or self.place <= JUDGES
-        if trial.build < 0 or not self.facts["may_tell"] or not (turn and (self.beat % 2 or pressing)):
+        counts = [count - base for count, base in zip(counts, self.count_base)]
+        matched = 2 * len(trial.recent_counts)  # cells of canary and baseline
+        has_new_failures = any(counts[at] > self.counts_sent[at] for at in range(1, matched, CELLS_PER_WORKLOAD))
+        turns = 1 + min(MAX_EXTRA_TURNS, self.facts["relays"] // RELAYS_PER_TURN)
+        is_my_turn = (self.beat // 2 + relay.index) % turns == 0 or self.place <= JUDGES
+        if trial.build < 0 or not self.facts["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
             return
-        if self.verdict and self.voters > JUDGES and self.sitting():
-            send(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # if it was lost
-        whole = (self.beat // 2 + relay.index) % 4 == 0
-        cells, self.told = notes.new_cells(counts, [] if whole else self.told, CELLS_PER_WORKLOAD), counts
-        for data in notes.count_notes(trial.build, self.born, cells, len(counts)):
+        if self.verdict and self.voters > JUDGES and self.is_judging():
+            send(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # again, in case it was lost
+        sends_all = (self.beat // 2 + relay.index) % 4 == 0
+        cells, self.counts_sent = (
+            notes.changed_cells(counts, [] if sends_all else self.counts_sent, CELLS_PER_WORKLOAD),
+            counts,
+        )
+        for data in notes.count_notes(trial.build, self.counting_since, cells, len(counts)):
             for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
                 if index != relay.index:
                     send(index, data)
-        if max(counts, default=0) > FULL:  # from here on as if it had started anew
-            self.base, self.born = [base + count for base, count in zip(self.base, counts)], relay.now
-            self.told = [0] * len(counts)
+        if max(counts, default=0) > RESTART_COUNTS_ABOVE:  # from here on as if this relay had started anew
+            self.count_base, self.counting_since = (
+                [base + count for base, count in zip(self.count_base, counts)],
+                relay.now,
+            )
+            self.counts_sent = [0] * len(counts)
 
     def receive(self, sender: int, data: bytes) -> None:
+        """Handles a note of another relay: its counts, or a judge's verdict."""
         relay, figures = self.relay, notes.read(data)
         if not figures or figures[0] != relay.build:
             return
@@ -622,275 +825,367 @@
             sender in self.order[: JUDGES + 1]
             and figures[2] > self.verdict
             and (figures[1] == relay.stage or figures[2] == BACK)
-        ):  # a judge's word
-            self.verdict, crowd = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
-            self.busy_until = relay.now + int(max(0.0, crowd) * relay.random.share() * SECOND)
+        ):
+            # A judge's verdict.  The voters spread their votes over the time that the platform needs for so many.
+            self.verdict, excess_s = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
+            self.no_vote_before = relay.now + int(max(0.0, excess_s) * relay.random.share() * SECOND)
             if self.place < self.voters:
                 self.vote()
 
     def pool(self, sums: list[int] | None = None) -> list[list[list[int]]]:
+        """This relay's counts and those of the others (or the given sums), as a pool."""
         own = [self.relay.trial.groups[name] for name in GROUPS]
-        return self.pooled.rows(own, self.relay.workloads, sums)
+        return self.pooled.with_own(own, self.relay.workloads, sums)
 
-    def told_by(self, group: int, *columns: int) -> dict[int, int]:
-        """What each relay told of a group, in these columns of its rows, and what this one counted itself."""
+    def reported_by(self, group: int, *columns: int) -> dict[int, int]:
+        """Relay -> what it has counted of a group, in these columns of its workloads' counts; this relay included."""
         own = sum(sum(self.relay.trial.groups[GROUPS[group]][column::CELLS_PER_WORKLOAD]) for column in columns)
-        return self.pooled.told[TOLD.index((group, columns))] | {self.relay.index: own}
+        return self.pooled.by_sender[SENDER_SUMS.index((group, columns))] | {self.relay.index: own}
+
+    def without_largest(self, reported: dict[int, int]) -> list[list[list[int]]]:
+        """The pool without the relay that reported most."""
+        return self.pool(self.pooled.without(max(reported, key=reported.__getitem__)))
 
-    def others(self, told: dict[int, int]) -> list[list[list[int]]]:
-        """Without the relay that told most."""
-        return self.pool(self.pooled.without(max(told, key=told.__getitem__)))
+    def without_uncorroborated(self, group: int) -> list[list[list[int]]] | None:
+        """The pool without a relay that alone reports failures in a group, since it may lie; None if there is none."""
+        failures, outcomes = self.reported_by(group, 1), self.reported_by(group, 0, 1)
+        return self.without_largest(failures) if is_uncorroborated(failures, outcomes, LEAST_CORROBORATION) else None
 
-    def contradicted(self, group: int) -> list[list[list[int]]] | None:
-        """What the others told, if one relay's failures in a group are its word alone: it may lie."""
-        bad, seen = self.told_by(group, 1), self.told_by(group, 0, 1)
-        return self.others(bad) if is_uncorroborated(bad, seen, WITNESSES) else None
+    def has_many_failures(self, canary: list[list[int]], baseline: list[list[int]]) -> bool:
+        """Whether, in a workload or in all, so many failures are left unexplained by the baseline that the build goes
+        back early.
 
-    def fails(self, canary: list[list[int]], baseline: list[list[int]]) -> bool:
-        """The crude margin on failures that the baseline does not explain, for each workload and for all; and
-        beyond chance, where many are due: relays with failures tell first, and so a judge hears of many."""
+        Where many are expected they have to be beyond chance too: relays with failures report first, and so a judge
+        hears of many.
+        """
         return any(
-            bad - due > max(EARLY_EXCESS + EARLY_MARGIN * many, CHANCE * sqrt(2 * due))
-            for many, bad, due in unexplained(canary, baseline)
+            failed - expected
+            > max(EARLY_FAILURES + EARLY_FAILURE_SHARE * outcomes, EARLY_DEVIATIONS * sqrt(2 * expected))
+            for outcomes, failed, expected in unexplained_failures(canary, baseline)
         )
 
-    def worse(self, canary: list, baseline: list, before: list) -> bool:
-        """Slower than the earlier build.  Departure: where earlier machines stay they idle, and a sound build
-        looks slow beside them; so it has to be slower than they were before the trial, too."""
-        level, relay = REJECT_AT / len(self.facts["stage_shares"]), self.relay
+    def is_worse(self, canary: list, baseline: list, before: list) -> bool:
+        """Whether the build is slower than the earlier one.
+
+        Departure: where earlier machines stay they idle, and a sound build looks slow beside them.  So it has to be
+        slower than they were before the trial, too.
+        """
+        level, relay = SLOWER_SIGNIFICANCE / len(self.facts["stage_shares"]), self.relay
         units = [unit for unit in relay.units.values() if unit.build == relay.build]
-        warm = sum(relay.warmth(unit) >= 1 for unit in units) or 1  # few may be slow machines
-        margin = SLOWER * (1 + UNEVEN / sqrt(warm)) * relay.crowd * (1 + WORKED * relay.beside)
+        warm = sum(relay.warmth(unit) >= 1 for unit in units) or 1
+        margin = (
+            SLOWER_RATIO
+            * (1 + FEW_UNITS_MARGIN / sqrt(warm))
+            * relay.units_per_machine
+            * (1 + IDLE_BASELINE_MARGIN * relay.beside)
+        )
         held = (baseline, before)[: 1 + relay.beside]
-        return all(slower(canary, each, EDGES, LEAST, margin, level) for each in held)
+        return all(is_slower(canary, each, LATENCY_EDGES, LEAST_OUTCOMES, margin, level) for each in held)
 
-    def due(self) -> int:
-        relay, shares = self.relay, self.facts["stage_shares"]  # the horizon: after the newest listed start
+    def due_at(self) -> int:
+        """The horizon: when a verdict on the stage is due, after the newest start of a listed unit of the build."""
+        relay, shares = self.relay, self.facts["stage_shares"]
         starts = [unit.started for unit in relay.units.values() if unit.build == relay.build]
-        fleet = len(relay.units) - relay.beside * len(starts)  # earlier machines that stay are the places
+        fleet = len(relay.units) - relay.beside * len(starts)  # where earlier machines stay, they are the places
         places = shares[min(relay.stage, len(shares) - 1)] * fleet
-        stale = len(starts) < max(1, LISTED * places)  # what other units show is no evidence for these
-        newest = min(max([relay.since, *starts]), relay.since + LAUNCH) + SECOND * (len(starts) < int(places))
-        quick = min(1.0, self.facts["bake"] / SECOND)  # where the platform's times are short, so is this
-        return int(HORIZON * quick) + (relay.since + 2 * LAUNCH if stale else newest)
+        is_stale = len(starts) < max(1, LISTED_SHARE * places)  # too few are listed, and say nothing of those to come
+        newest = min(max([relay.stage_since, *starts]), relay.stage_since + LAUNCH_TIME) + SECOND * (
+            len(starts) < int(places)
+        )
+        quick = min(1.0, self.facts["bake"] / SECOND)  # a platform with short stages has a short horizon
+        return int(HORIZON * quick) + (relay.stage_since + 2 * LAUNCH_TIME if is_stale else newest)
 
-    def consider(self) -> None:
-        self.beat, sits = self.beat + 1, self.sitting()
+    def on_beat(self) -> None:
+        """Brings the verdict up to date and votes, if that is this relay's part."""
+        self.beat, is_judging = self.beat + 1, self.is_judging()
         if self.relay.workloads and self.relay.build >= 0 and self.relay.phase in (ON_TRIAL, RELEASED):
-            if sits:
+            if is_judging:
                 self.update_verdict()
-            if sits or self.place < self.voters:
+            if is_judging or self.place < self.voters:
                 self.vote()
 
     def update_verdict(self) -> None:
+        """Judges the build by the pool; a changed verdict is logged, and sent to all where many have to vote."""
         relay, pooled = self.relay, self.pool()
-        recent, brief, minute = self.windows.take(self.beat, pooled)
-        seen = [unit.error_rate for unit in relay.units.values() if unit.build == relay.build]
-        wide, broad = sum(each > 0.03 for each in seen) >= WIDE, BROAD * sum(each > 0.002 for each in seen)
-        known = sum(row[0] + row[1] for row in pooled[1]) >= LEAST // 2  # else nothing to be held against
-        before, thin = self.verdict, sum(row[0] + row[1] for row in pooled[0]) < LEAST
+        recent, brief, minute = self.windows.advance(self.beat, pooled)
+        rates = [unit.error_rate for unit in relay.units.values() if unit.build == relay.build]
+        is_wide = sum(each > 0.03 for each in rates) >= BRIEF_WINDOW_UNITS
+        broad = BROAD_UNITS_RATIO * sum(each > 0.002 for each in rates)
+        is_known = (
+            sum(counts[0] + counts[1] for counts in pooled[1]) >= LEAST_OUTCOMES // 2
+        )  # else no baseline to compare
+        before, is_thin = self.verdict, sum(counts[0] + counts[1] for counts in pooled[0]) < LEAST_OUTCOMES
         heard = 1 + 2 * sum(relay.now - at < 2 * JUDGE_TIMEOUT for at in self.heard.values())
-        deaf = self.facts["may_tell"] and heard < self.facts["relays"]  # then what is thin was lost
-        # Departure: fewer failures, beyond chance and on a quarter of its units: a build that turns bad late
-        threshold = sqrt(BEYOND**2 + 2 * log(max(1.0, (relay.now - self.begun) / STEADY)))
+        is_deaf = self.facts["may_tell"] and heard < self.facts["relays"]  # under half are heard: evidence was lost
+        # Departure: fewer failures, if they are beyond chance and on a quarter of the build's units, also send it back.
+        # That catches a build that turns bad late.
+        threshold = sqrt(
+            BROAD_DEVIATIONS**2 + 2 * log(max(1.0, (relay.now - self.build_since) / BROAD_LEVEL_RISES_AFTER))
+        )
         is_failing = (
-            any(self.fails(each, pooled[1]) for each in (pooled[0], recent[0], brief[0])[: 2 + wide])
-            or broad > max(len(seen), 8)
-            and max(surplus(pooled, each) for each in (brief, minute)) > threshold
+            any(self.has_many_failures(each, pooled[1]) for each in (pooled[0], recent[0], brief[0])[: 2 + is_wide])
+            or broad > max(len(rates), 8)
+            and max(largest_excess(pooled, each) for each in (brief, minute)) > threshold
         )
-        rest = self.contradicted(0) or self.contradicted(1)
-        # that relay's word counts no more, nor what came of it; who told of a million served hides nothing
-        is_failing = self.fails(*(rest or self.others(self.told_by(0, 0, 1)))[:2]) or is_failing and not rest
-        if known and is_failing:
+        corroborated = self.without_uncorroborated(0) or self.without_uncorroborated(1)
+        # A relay whose failures are uncorroborated counts no more, nor does what came of its counts.  Nor can a relay
+        # that reports a million served hide failures: they are looked for without the one that reported most, too.
+        is_failing = (
+            self.has_many_failures(*(corroborated or self.without_largest(self.reported_by(0, 0, 1)))[:2])
+            or is_failing
+            and not corroborated
+        )
+        if is_known and is_failing:
             self.verdict = BACK
-        elif not self.verdict and relay.phase == ON_TRIAL and relay.now >= self.due():
-            known = not thin or (relay.now >= self.due() + PATIENCE and not deaf)
-            self.verdict = BACK if self.worse(*pooled) else ON * known
+        elif not self.verdict and relay.phase == ON_TRIAL and relay.now >= self.due_at():
+            is_known = not is_thin or (relay.now >= self.due_at() + THIN_EVIDENCE_WAIT and not is_deaf)
+            self.verdict = BACK if self.is_worse(*pooled) else ON * is_known
         if self.verdict != before:
-            if self.voters > JUDGES:  # at once: until the next beat a build waits for its voters
+            if self.voters > JUDGES:  # at once: until the next beat the build would wait for its voters
                 relay.host.send_note(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))
             relay.host.log(
                 f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:"
-                + "".join(f" {row[0]}-{row[1]}@{median(row[2:], EDGES):.2f}" for rows in pooled for row in rows)
+                + "".join(
+                    f" {counts[0]}-{counts[1]}@{median(counts[2:], LATENCY_EDGES):.2f}"
+                    for group in pooled
+                    for counts in group
+                )
             )
 
     def vote(self) -> None:
+        """Casts the verdict, unless it stands already, can have no effect, or has to wait."""
         relay, now, ballot = self.relay, self.relay.now, (self.relay.build, self.relay.stage, self.verdict)
-        is_standing = self.cast == ballot and now - self.cast_at < self.facts["vote_life"] // 2
-        useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.facts["control"] == "timer")
-        if self.verdict and not is_standing and not useless and now >= self.busy_until:
-            self.busy_until, self.voted = now + self.facts["vote_wait"] + SECOND // 10, ballot
+        is_standing = self.standing_vote == ballot and now - self.standing_since < self.facts["vote_life"] // 2
+        is_useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.facts["control"] == "timer")
+        if self.verdict and not is_standing and not is_useless and now >= self.no_vote_before:
+            self.no_vote_before, self.last_vote = now + self.facts["vote_wait"] + SECOND // 10, ballot
             relay.host.vote(*ballot)
 
-    def answered(self, answer: str) -> None:
-        self.busy_until = self.relay.now
+    def on_vote_answer(self, answer: str) -> None:
+        """Takes the platform's answer to the last vote: ok, moot, full, error or timeout."""
+        self.no_vote_before = self.relay.now
         if answer == "ok":
-            self.cast, self.cast_at = self.voted, self.relay.now
-        elif answer != "timeout":  # moot, full or an error: it does not count; soon again
-            self.busy_until += int((0.2 + 0.3 * self.relay.random.share()) * SECOND)
+            self.standing_vote, self.standing_since = self.last_vote, self.relay.now
+        elif answer != "timeout":  # the vote does not count, and is cast again soon
+            self.no_vote_before += int((0.2 + 0.3 * self.relay.random.share()) * SECOND)
 
 
 class Relay:
-    """One instance: what it knows, and the door through which events come in."""
+    """One relay's decisions: the state that the stages share, and the methods through which events come in."""
 
-    WAKE_BEAT, WAKE_LATE, WAKE_ASKED = 0, 1 << 32, 1 << 40
+    # Tokens of wake-ups; the last two are added to the number of an invocation.
+    WAKE_BEAT = 0
+    WAKE_OVERDUE = 1 << 32
+    WAKE_TRACKER_TIMEOUT = 1 << 40
 
     def __init__(self, host: Host, facts: dict[str, Any], seed: int, now: int) -> None:
-        self.host, self.now, self.born, self.since = host, now, now, now
+        self.host = host
+        self.now = now
+        self.started_at = now
+        self.stage_since = now
         self.facts = DEFAULTS | {name: fact for name, fact in facts.items() if fact != []}
         self.random, self.index = RandomGenerator(seed), self.facts["index"]
         self.workloads = [
             Workload(at, CELLS_PER_WORKLOAD, DEFAULTS | each) for at, each in enumerate(self.facts["workloads"])
         ]
-        self.units: dict[int, Unit] = {}
-        self.leaving: set[int] = set()  # those that drain: their successors may share their machines
-        self.rows: tuple[list[Unit], ...] = ([], [])  # of earlier builds, and on trial
-        self.known: dict[int, Invocation] = {}  # taken, and not over or with shots still out
-        self.build, self.stage, self.phase, self.stated_cap = -1, 0, RELEASED, 1.0
-        self.lowered, self.higher_cap = 0, 0.0  # when a cap was lowered, and from what
-        self.usual_work, self.patience, self.cold_share = 0.0, SECOND, [(0.0, 0.0)] * 2  # the last by row
-        self.room, self.warm_room, self.crowd = 0.01, 0.0, 1.0  # weights: all, warm; units over machines
-        self.beside, self.alone = self.facts["layout"] == "beside", False  # earlier ones stay; none left
+        self.units: dict[int, Unit] = {}  # those that are open
+        self.draining: set[int] = set()  # units whose successors may share their machines
+        self.rows: tuple[list[Unit], ...] = ([], [])  # of earlier builds, and of those on trial
+        self.known: dict[int, Invocation] = {}  # those that are not over, or have open shots
+        self.build = -1  # the newest; -1: none is known
+        self.stage = 0
+        self.phase = RELEASED
+        self.stated_cap = 1.0  # the platform's cap on the exposure to the build
+        self.cap_lowered_at = 0
+        self.previous_cap = 0.0  # before it was lowered
+        self.mean_work = 0.0  # moving average of what clients say of an invocation's work
+        self.silence_limit = SECOND  # for which a unit with open shots may be silent
+        self.cold_share = [(0.0, 0.0)] * 2  # by row: of invocations drawn for the other row, and for this one
+        self.total_weight = 0.01
+        self.warm_weight = 0.0
+        self.units_per_machine = 1.0
+        self.beside = self.facts["layout"] == "beside"  # earlier builds' machines stay beside the new ones
+        self.is_alone = False  # the build on trial: no earlier unit is left beside it
         self.choice, self.admission, self.gate = UnitChoice(self), Admission(self), Gate(self)
         self.intake, self.trial = Intake(self), Trial(self)
         self.judge, self.load_tracking = Judge(self), LoadTracking(self)
         self.extra_stages: list[Any] = []  # stages of other choices, before the choice of unit
-        self.tier = lambda unit: 0  # how far a unit is, where a seat knows
-        self.on_vote_answer = self.judge.answered
-        link(self.intake, self.admission, self.trial, self.choice, self.gate)
+        self.tier = lambda unit: 0  # how far a unit is, where an extra stage knows
+        self.on_vote_answer = self.judge.on_vote_answer
+        connect(self.intake, self.admission, self.trial, self.choice, self.gate)
         host.wake(now + int((1 + self.random.share()) * SECOND / 4), self.WAKE_BEAT)
 
-    def seat(self, stage: Any) -> None:
-        """A stage between the choice of build and that of the unit; it is told of the list and of time."""
+    def add_stage(self, stage: Any) -> None:
+        """Adds a stage between the choice of build and that of the unit.
+
+        Its `arrange` is called when the list of units has changed, its `beat` each half second, and its `counts` are
+        counters.
+        """
         self.extra_stages.append(stage)
-        self.load_tracking.on = False  # who keeps to zones chooses alone
-        link(self.trial, *self.extra_stages, self.choice)
+        self.load_tracking.is_enabled = False  # a relay that keeps to zones chooses alone
+        connect(self.trial, *self.extra_stages, self.choice)
 
     def warmth(self, unit: Unit) -> float:
-        """The part of its capacity that a unit has at the least."""
+        """The part of its capacity that a unit has at the least; 1 for a warm one."""
         age = max(0, self.now - unit.started)
         if not unit.started or age >= self.facts["warm_up"]:
             return 1.0
         return self.facts["cold_from"] + (1 - self.facts["cold_from"]) * age / self.facts["warm_up"]
 
     def arrange(self) -> None:
-        """The units of earlier builds and those on trial, in this relay's own order; not for every shot."""
+        """Sorts the units into rows, in this relay's own order.  Too slow to be done for every shot."""
         ordered = sorted(self.units.values(), key=lambda unit: unit.order)
-        self.room = sum(unit.weight for unit in ordered) or 0.01
-        self.rows = in_rows(ordered, self.on_trial)
-        self.alone = self.beside and all(unit.build >= self.build for unit in ordered)
-        self.trial.weigh()
-        for seat in self.extra_stages:
-            seat.arrange()
+        self.total_weight = sum(unit.weight for unit in ordered) or 0.01
+        self.rows = split_by_trial(ordered, self.on_trial)
+        self.is_alone = self.beside and all(unit.build >= self.build for unit in ordered)
+        self.trial.update_shares()
+        for stage in self.extra_stages:
+            stage.arrange()
 
     def on_trial(self, build: int) -> bool:
+        """Whether the build is on trial or newer than the newest one that the platform has told of."""
         return build > self.build >= 0 or (build == self.build and self.phase != RELEASED)
 
     def cap(self, build: int) -> float:
-        grace = self.now < self.lowered + self.facts["drain_grace"] and not self.rows[0]
-        return self.facts["caps"][0] if build != self.build else max(self.stated_cap, grace * self.higher_cap)
+        """The part of the invocations that may go to a build on trial.
+
+        A lowered cap binds after the drain's grace where no earlier unit is left.
+        """
+        grace = self.now < self.cap_lowered_at + self.facts["drain_grace"] and not self.rows[0]
+        return self.facts["caps"][0] if build != self.build else max(self.stated_cap, grace * self.previous_cap)
 
     def on_list(self, kind: str, entries: list[tuple]) -> None:
+        """Takes the list of units: `kind` is changes, whole or old copy.
+
+        An entry is (number, build, state, zone, cell, weight, started), `state` being open, draining or gone.
+        """
         kept = self.units if kind == "changes" else {}
-        if kind != "changes" or len(self.leaving) > 1000 + 2 * len(self.units):  # never told they went
-            self.leaving = set()
+        # Too many draining units are some of which nobody ever said that they are gone.
+        if kind != "changes" or len(self.draining) > 1000 + 2 * len(self.units):
+            self.draining = set()
         for number, build, state, zone, cell, weight, started in entries:
             unit = self.units.get(number)
             if unit is None or unit.build != build or unit.started < started:
-                unit = Unit(number, build, started, self.gate.even, stable_hash(self.index, number))
+                unit = Unit(number, build, started, self.gate.warm_work, stable_hash(self.index, number))
             unit.weight, unit.open, unit.zone, unit.cell = max(weight, 0.01), state == "open", zone, cell
             kept[number] = unit
-            (self.leaving.add if state == "draining" else self.leaving.discard)(number)
+            (self.draining.add if state == "draining" else self.draining.discard)(number)
         self.units = {number: unit for number, unit in kept.items() if unit.open}
         self.arrange()
 
     def on_invocation(
         self, number: int, workload: int, customer: int, key: str | None, give_up: int, work: int, repeat: bool
     ) -> None:
-        self.usual_work += 0.01 * (work - self.usual_work) if self.usual_work else work
-        size = work / self.usual_work if work else 1.0
+        """Takes an invocation.  `give_up` is when its client stops waiting; `work` is 0 where nothing is known of it;
+        `repeat` says that the client marked it as a repeat."""
+        self.mean_work += 0.01 * (work - self.mean_work) if self.mean_work else work
+        size = work / self.mean_work if work else 1.0
         invocation = Invocation(number, self.workloads[workload], customer, key, give_up, size, repeat)
-        invocation.luck = self.random.share()
+        invocation.cold_draw = self.random.share()
         self.known[number] = invocation
-        self.gate.taken[workload].add(self.now)
-        for build, tries in self.gate.tried.items():
-            tries[workload].add(self.now, -self.cap(build))
+        self.gate.invocations[workload].add(self.now)
+        for build, exposures in self.gate.exposures.items():
+            exposures[workload].add(self.now, -self.cap(build))
         self.intake.forward(invocation)
 
     def on_outcome(
         self, number: int, place: int, outcome: str, is_over: bool, latency: int, load: dict[str, float] | None
     ) -> None:
+        """Takes the outcome of the invocation's shot number `place`, from 0.
+
+        Outcomes are served, error, full, timeout, unreachable, reset, cancelled and moot.  `is_over` says that the
+        invocation has ended with it; `load` is what the unit reported of itself.
+        """
         invocation = self.known.get(number)
         if invocation is None:
             return
         shot = invocation.shots[place]
         if load:
             unit = shot.unit
-            unit.util, unit.queue, unit.load_at = load.get("util", 0.0), load.get("queue", 0.0), self.now
+            unit.util, unit.queue, unit.load_reported_at = load.get("util", 0.0), load.get("queue", 0.0), self.now
         invocation.is_over |= is_over and outcome != "served"
         self.gate.backward(shot, outcome, latency)
 
     def on_started(self, number: int, place: int) -> None:
+        """Takes the news that the stream of an answer has begun: nothing more may be sent."""
         if number in self.known:
-            self.known[number].is_over = True  # an answer's stream has begun: nothing more may be sent
+            self.known[number].is_over = True
 
     def may_still_send(self, number: int, place: int) -> bool:
-        """Whether a shot may go out once its connection is up: guards against a list or cap changed since."""
+        """Whether a shot may go out once its connection is up.
+
+        Guards against a list or a cap that has changed since the shot was chosen.
+        """
         unit = self.known[number].shots[place].unit
-        return self.gate.listed(unit) and (not self.on_trial(unit.build) or self.cap(unit.build) > 0)
+        return self.gate.is_listed(unit) and (not self.on_trial(unit.build) or self.cap(unit.build) > 0)
 
     def on_abandoned(self, number: int) -> None:
+        """Takes the news that the client waits no longer."""
         invocation = self.known.get(number)
         if invocation and not invocation.is_over:
             invocation.is_over = True
             if invocation.open_shots() and self.facts["may_cancel"]:
-                self.host.cancel(number, len(invocation.shots) - 1)  # nobody waits for it any more
+                self.host.cancel(number, len(invocation.shots) - 1)
 
     def on_wake(self, token: int) -> None:
+        """Takes a wake-up that was asked of the host: a beat, an overdue shot, or the tracker's time to answer."""
         if token == self.WAKE_BEAT:
-            due, after = self.judge.due(), self.now + SECOND // 2  # no wait is lost at the horizon
+            # A beat falls on the horizon itself, so that nothing waits half a second longer than it must.
+            due, after = self.judge.due_at(), self.now + SECOND // 2
             self.host.wake(due if self.now < due < after else after, self.WAKE_BEAT)
             self.known = {number: each for number, each in self.known.items() if not each.is_over or each.open_shots()}
-            self.patience = max([self.admission.patience(each) for each in self.workloads], default=SECOND)
+            self.silence_limit = max([self.admission.late_after(each) for each in self.workloads], default=SECOND)
             busy = (unit for unit in self.units.values() if unit.open_shots)
-            self.admission.stuck = sum(unit.open_shots for unit in busy if not self.choice.fit(unit))
-            for unit in self.units.values():  # what is not tried again is slowly forgiven
-                if unit.error_rate or unit.pace != 1:
-                    unit.pace, unit.error_rate = unit.pace + 0.03 * (1 - unit.pace), 0.97 * unit.error_rate
-            self.trial.lately = [count * (1 if self.rows[1] else 0.92) for count in self.trial.lately]
-            self.choice.few = max(self.choice.FEW, 0.99 * self.choice.few)
-            self.judge.consider()
-            (self.trial.weigh if self.judge.beat % 40 else self.arrange)()  # who went to the end is forgiven
+            self.admission.stalled_shots = sum(unit.open_shots for unit in busy if not self.choice.is_available(unit))
+            for unit in self.units.values():  # a unit that is not tried again returns slowly to good repute
+                if unit.error_rate or unit.latency_ratio != 1:
+                    unit.latency_ratio, unit.error_rate = (
+                        unit.latency_ratio + 0.03 * (1 - unit.latency_ratio),
+                        0.97 * unit.error_rate,
+                    )
+            self.trial.recent_counts = [count * (1 if self.rows[1] else 0.92) for count in self.trial.recent_counts]
+            self.choice.used_units = max(self.choice.FEW_UNITS, 0.99 * self.choice.used_units)
+            self.judge.on_beat()
+            # Every 40th beat the rows are sorted anew, and units that were ejected get their places back.
+            (self.trial.update_shares if self.judge.beat % 40 else self.arrange)()
             self.judge.send_counts()
-            self.load_tracking.loads = drop_stale_senders(self.load_tracking.loads, self.now - self.load_tracking.LIFE)
-            for seat in self.extra_stages:
-                seat.beat()
-        elif token >= self.WAKE_ASKED:
-            self.load_tracking.resume(token - self.WAKE_ASKED)
-        elif token - self.WAKE_LATE in self.known:
-            self.intake.overdue(self.known[token - self.WAKE_LATE])
+            self.load_tracking.loads = drop_stale_senders(
+                self.load_tracking.loads, self.now - self.load_tracking.REPORT_LIFETIME
+            )
+            for stage in self.extra_stages:
+                stage.beat()
+        elif token >= self.WAKE_TRACKER_TIMEOUT:
+            self.load_tracking.resume(token - self.WAKE_TRACKER_TIMEOUT)
+        elif token - self.WAKE_OVERDUE in self.known:
+            self.intake.on_overdue(self.known[token - self.WAKE_OVERDUE])
 
     def on_note(self, sender: int, data: bytes) -> None:
+        """Takes a note of another relay (tealsail/notes.py)."""
         (self.load_tracking if notes.is_tracker_note(data) else self.judge).receive(sender, data)
 
     def on_stage(self, build: int, stage: int, phase: int, cap: float, age: int) -> None:
+        """Takes the platform's word on the newest build: its stage and phase, since `age`, and the cap on exposure."""
         if build == self.build and cap < self.stated_cap:
-            self.lowered, self.higher_cap = self.now, self.stated_cap
+            self.cap_lowered_at, self.previous_cap = self.now, self.stated_cap
         earlier = self.build, self.stage, self.phase
         self.build, self.stage, self.phase, self.stated_cap = build, stage, phase, cap
         if build != earlier[0]:
             self.trial.new_build(build)
             self.judge.new_build()
-            for each in [each for each in self.gate.tried if each < build]:
-                del self.gate.tried[each]  # a relay outlives many builds
+            for each in [each for each in self.gate.exposures if each < build]:
+                del self.gate.exposures[each]  # a relay outlives many builds
         if (build, stage, phase) != earlier:
-            self.since = self.now - age
-            self.judge.draw()
+            self.stage_since = self.now - age
+            self.judge.new_stage()
             self.arrange()
 
     def on_wrong_answer(self, unit: int, workload: int, age: int) -> None:
+        """Takes a client's report that an answer of the unit was wrong: a failure in the unit's group.
+
+        Some reports are false, so those on both builds count alike.
+        """
         build, share = self.units[unit].build if unit in self.units else 0, self.trial.share
-        mine = build == self.build  # some reports are false: of both builds they count alike
+        mine = build == self.build
         if mine or build and self.rows[1] and self.random.share() * (1 - share) < share:
             group = self.trial.groups["canary" if mine else "baseline"]
-            group[self.workloads[workload].row.start + 1] += 1
+            group[self.workloads[workload].cells.start + 1] += 1
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -1,13 +1,17 @@
-"""The operators' settings under the module's names: one table for both forms they come in, the bench wire's
-path=value pairs and a real relay's nested JSON.  Names and units are translated; nothing is decided here."""
+"""The operators' settings under the internal names that the decision module uses (its `facts`).
+
+One table serves both forms that they come in: the simulator's path=value pairs and a real relay's nested JSON.  Names
+and units are translated: times come in milliseconds and become whole tenths of a millisecond.  Nothing is decided here.
+"""
 
 from collections.abc import Iterator
 from math import ceil, floor
 from typing import Any
 
+# Effects of a workload, from the operators' word to the internal one.
 EFFECTS = {"read_like": "harmless", "idempotency_key": "stamped", "non_idempotent": "one-shot"}
 
-# path (without the places of list items) -> the module's name
+# Path, without the places of list items -> internal name.
 NAMES_BY_PATH = {
     "fleetSize": "relays",
     "index": "index",
@@ -81,8 +85,8 @@
     "feedback.via": "load_via",
     "tick": "tick",
 }
-# settings that are times: how to round them so that no limit is overstepped
-TIMES = {
+# Settings that are times, and how each is rounded so that no limit is overstepped.
+TIME_ROUNDING = {
     name: floor
     for name in (
         "promised",
@@ -102,9 +106,9 @@
         "idle_time",
     )
 }
-TIMES.update({name: ceil for name in ("exposure_span", "fall_span", "warm_up", "tick")})
-NOBODY = ""  # a customer that the settings do not name
-LIST_VALUES = {"caps", "stage_shares", "load_fields", "zones"}
+TIME_ROUNDING.update({name: ceil for name in ("exposure_span", "fall_span", "warm_up", "tick")})
+UNLISTED_CUSTOMER = ""  # stands for customers that the settings do not name
+LIST_SETTINGS = {"caps", "stage_shares", "load_fields", "zones"}
 
 
 def tenths(milliseconds: float) -> int:
@@ -112,7 +116,8 @@
     return floor(milliseconds * 10 + 1e-6)
 
 
-def plain(text: str) -> Any:
+def parse_scalar(text: str) -> Any:
+    """A text of the simulator's pairs as a bool, int or float, or as it is."""
     if text in ("true", "false"):
         return text == "true"
     try:
@@ -124,29 +129,32 @@
             return text
 
 
-def named(name: str, value: Any) -> Any:
-    """One setting's value under the module's name for it."""
-    if name in LIST_VALUES:
+def convert(name: str, value: Any) -> Any:
+    """One setting's value in internal words and units; `name` is the internal one."""
+    if name in LIST_SETTINGS:
         if isinstance(value, str):
-            return [plain(part) for part in value.split(",")] if value else []
+            return [parse_scalar(part) for part in value.split(",")] if value else []
         return value if isinstance(value, list) else [value]
     if isinstance(value, str):
         return EFFECTS.get(value, value)
-    if name in TIMES and not isinstance(value, bool):
-        # two steps, so that 0.1 ms figures survive binary fractions
-        return TIMES[name](round(value * 10, 3))
+    if name in TIME_ROUNDING and not isinstance(value, bool):
+        # Rounded twice, so that figures of 0.1 ms survive binary fractions.
+        return TIME_ROUNDING[name](round(value * 10, 3))
     return value
 
 
 def flat_leaves(pairs: dict[str, str]) -> Iterator[tuple[list[str], Any]]:
-    """The wire's form: a list of objects has its places in the path, and its length under `count`."""
+    """The leaves of the simulator's form, as (parts of the path, value).
+
+    A list of objects has its places in the path, and its length under `count`.
+    """
     for path, text in pairs.items():
         name = NAMES_BY_PATH.get(path)
-        yield path.split("."), text if name in LIST_VALUES else plain(text)
+        yield path.split("."), text if name in LIST_SETTINGS else parse_scalar(text)
 
 
 def nested_leaves(tree: dict[str, Any], path: tuple[str, ...] = ()) -> Iterator[tuple[list[str], Any]]:
-    """A real relay's form: objects in objects, and lists of objects."""
+    """The leaves of a real relay's form, objects in objects and lists of objects, as (parts of the path, value)."""
     for name, value in tree.items():
         if isinstance(value, dict):
             yield from nested_leaves(value, (*path, name))
@@ -158,7 +166,7 @@
 
 
 def facts(leaves: Iterator[tuple[list[str], Any]]) -> dict[str, Any]:
-    """A plain map of the module's names; what has no name is skipped."""
+    """A plain map from internal names to values; a path without an internal name is skipped."""
     known: dict[str, Any] = {}
     for parts, value in leaves:
         path = ".".join(parts)
@@ -168,9 +176,9 @@
                 items = known.setdefault(listed, [])
                 while len(items) <= int(parts[1]):
                     items.append({})
-                items[int(parts[1])][name] = named(name, value)
+                items[int(parts[1])][name] = convert(name, value)
         elif path in NAMES_BY_PATH:
-            known[NAMES_BY_PATH[path]] = named(NAMES_BY_PATH[path], value)
-    if known.get("customers"):  # whoever else asks: not on the account of one that is listed
-        known["customers"].append({"name": NOBODY, "share": 0})
+            known[NAMES_BY_PATH[path]] = convert(NAMES_BY_PATH[path], value)
+    if known.get("customers"):  # others that ask must not be counted as one that is listed
+        known["customers"].append({"name": UNLISTED_CUSTOMER, "share": 0})
     return known
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -78,7 +78,7 @@
         self.assertIsNone(facade.report(NoteReceived(keeper, answer_note(kept, 1))))
         ((number, step),) = facade.tick().steps
         self.assertEqual((number, step.unit), (kept, read_tracker_note(asked)[3]))
-        self.clock.now += facade.relay.load_tracking.WAIT
+        self.clock.now += facade.relay.load_tracking.ANSWER_TIMEOUT
         ((number, step),) = facade.tick().steps  # no answer: by itself
         self.assertEqual((number, type(step)), (alone, SendShot))
         self.assertIsNone(facade.report(Outcome(kept, 0, "served")))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,7 +5,16 @@
 from math import erfc, sqrt
 
 from tealsail import policy
-from tealsail.notes import Pool, answer_note, ask_note, count_notes, load_note, read, read_tracker_note, verdict_note
+from tealsail.notes import (
+    CountPool,
+    answer_note,
+    ask_note,
+    count_notes,
+    load_note,
+    read,
+    read_tracker_note,
+    verdict_note,
+)
 from tealsail.parts import rank_test, stable_hash
 from tests.fake import ONE_SHOT, SECOND, Story
 
@@ -67,7 +76,7 @@
         for many, more in ((3, SECOND), (4, 0)):
             story = Story(units=8, stage_shares=[0.5, 1.0])
             story.trial(age=0, many=many)
-            self.assertEqual(story.relay.judge.due(), story.relay.now + policy.HORIZON + more)
+            self.assertEqual(story.relay.judge.due_at(), story.relay.now + policy.HORIZON + more)
 
     def test_lost_reordered_and_repeated_messages_heal(self) -> None:
         story = Story()
@@ -107,7 +116,7 @@
         counts = [[(0, low), (1, 3), (40, 70_000 + low)] for low in (65_000, 65_535, 65_536, 65_537, 140_000)]
         told = [count_notes(2, 5, cells, 60) for cells in counts]
         for seed in range(20):
-            chance, pool = random.Random(seed), Pool(60)
+            chance, pool = random.Random(seed), CountPool(60)
             notes = [data for notes in told[:-1] for data in notes if chance.random() < 0.7] + told[-1]
             chance.shuffle(notes)
             for data in notes + notes[:2]:
@@ -121,10 +130,10 @@
             story = Story(relays=8, index=index)
             story.trial(age=2 * SECOND)
             story.relay.judge.heard = {other: story.relay.now for other in range(8)}
-            sitting += story.relay.judge.sitting()
+            sitting += story.relay.judge.is_judging()
             story.relay.judge.heard.clear()
             story.later(9 * SECOND)
-            alone += story.relay.judge.sitting()
+            alone += story.relay.judge.is_judging()
         self.assertEqual((sitting, alone), (3, 4))
 
     def test_votes_are_answered_renewed_and_never_for_an_old_stage(self) -> None:
@@ -218,10 +227,10 @@
             *rest, unit = story.relay.units.values()
             unit.error_rate, rest[0].error_rate = errors, elsewhere
             rest[-1].error_rate = rest[-2].error_rate = others
-            self.assertFalse(story.relay.choice.stands_out(unit))  # nothing is known of the others
+            self.assertFalse(story.relay.choice.is_outlier(unit))  # nothing is known of the others
             for each in story.relay.units.values():
-                each.met = story.relay.now
-            self.assertEqual(story.relay.choice.stands_out(unit), own)
+                each.last_answer_at = story.relay.now
+            self.assertEqual(story.relay.choice.is_outlier(unit), own)
 
     def test_wrong_answers_found_by_clients_count_alike_for_both_builds(self) -> None:
         """Some reports are false: counted for the build on trial alone, they sent good builds back."""
@@ -359,7 +368,7 @@
         story = Story(relays=40)
         story.trial()
         judge = story.relay.judge
-        pool = Pool(len(judge.pooled.sums))
+        pool = CountPool(len(judge.pooled.sums))
         judge.place, count = 30, 0
         for beat in range(3, 41, 2):
             judge.beat = beat
@@ -441,8 +450,8 @@
         story = Story(bake=SECOND // 2)
         story.trial(age=SECOND)
         story.relay.judge.order = [0, *story.relay.judge.order]
-        due = story.relay.judge.due()
-        self.assertEqual(due, story.relay.since + policy.HORIZON // 2)
+        due = story.relay.judge.due_at()
+        self.assertEqual(due, story.relay.stage_since + policy.HORIZON // 2)
         story.relay.now = due - 700
         story.relay.on_wake(story.relay.WAKE_BEAT)
         self.assertEqual(story.host.of("wake")[-1], (due, story.relay.WAKE_BEAT))
@@ -465,17 +474,17 @@
         story = Story(units=40, may_tell=False)
         for _ in range(60):
             story.serve()
-        self.assertEqual(len(set(story.sent())), policy.UnitChoice.FEW)
-        for _ in range(policy.UnitChoice.FEW + 2):
+        self.assertEqual(len(set(story.sent())), policy.UnitChoice.FEW_UNITS)
+        for _ in range(policy.UnitChoice.FEW_UNITS + 2):
             story.take()
-        self.assertGreater(len(set(story.sent())), policy.UnitChoice.FEW)
+        self.assertGreater(len(set(story.sent())), policy.UnitChoice.FEW_UNITS)
         first = story.relay.rows[0][0]
         story.relay.known[story.count].shots[0].unit = first
         first.connection_failures = 1
         story.comes(story.count, "unreachable")
         self.assertIs(story.relay.rows[0][-1], first)  # what fails gives its place to the next
-        story.relay.choice.cut_off, known, strange = 0.9, *story.relay.rows[0][:2]
-        known.met, known.open_shots, strange.met, strange.open_shots = story.relay.now, 1, 0, 0
+        story.relay.choice.unreachable_rate, known, strange = 0.9, *story.relay.rows[0][:2]
+        known.last_answer_at, known.open_shots, strange.last_answer_at, strange.open_shots = story.relay.now, 1, 0, 0
         self.assertLess(*map(story.relay.choice.cost, (known, strange)))  # no connection yet
 
     def test_cold_units_get_their_share_over_hundreds_of_relays_with_one_shot_each(self) -> None:
@@ -516,8 +525,8 @@
         story = self.story()
         for _ in range(2):
             number = story.take()
-            story.later(story.relay.load_tracking.WAIT)
-            story.relay.on_wake(story.relay.WAKE_ASKED + number)
+            story.later(story.relay.load_tracking.ANSWER_TIMEOUT)
+            story.relay.on_wake(story.relay.WAKE_TRACKER_TIMEOUT + number)
             self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.relay.load_tracking.tracker_index(), story.relay.load_tracking.order[1])
         other = story.take()
@@ -534,7 +543,7 @@
         story.relay.on_abandoned(gone)
         story.relay.on_note(story.relay.load_tracking.order[0], answer_note(gone, 0))
         story.later(4 * SECOND)
-        story.relay.on_wake(story.relay.WAKE_ASKED + late)
+        story.relay.on_wake(story.relay.WAKE_TRACKER_TIMEOUT + late)
         self.assertEqual((story.sent(), [number for number, _ in story.host.of("reject")]), ([], [late]))
 
     def test_the_build_on_trial_may_go_while_the_answer_is_awaited(self) -> None:
@@ -545,7 +554,7 @@
         for number in numbers:
             story.relay.on_note(story.relay.load_tracking.order[0], answer_note(number, 0))
         self.assertTrue(set(story.sent()) <= {0, 1})
-        self.assertFalse(story.relay.load_tracking.asked)
+        self.assertFalse(story.relay.load_tracking.pending)
 
     def test_a_flood_of_what_fails_everywhere_is_no_work_for_cold_units(self) -> None:
         """Two thousand a second that failed at once at any unit: a cold one fell over by its even share of them."""
@@ -621,7 +630,7 @@
         story.relay.on_note(7, load_note(1, 0, 1, 0))
         story.relay.on_note(7, load_note(2, 0, 0, 16))  # sent, and served
         self.assertEqual(
-            story.relay.load_tracking.loads[0].given, [(-1, story.relay.now), (8, story.relay.now)]
+            story.relay.load_tracking.loads[0].assigned, [(-1, story.relay.now), (8, story.relay.now)]
         )  # another's stays
         story.relay.on_note(8, load_note(1, 0, 1, 0))
         story.relay.on_note(8, load_note(2, 0, 0, 16))
@@ -630,7 +639,7 @@
         self.assertEqual(named(4, 7), 1)  # both are empty: the one named less of late, since in a fixed order
         story.relay.on_note(7, load_note(5, 1, 1, 0))
         story.relay.on_note(7, load_note(6, 1, 0, 16))
-        story.later(2 * story.relay.load_tracking.WAIT)  # a unit got nothing for 50 times its mean gap
+        story.later(2 * story.relay.load_tracking.ANSWER_TIMEOUT)  # a unit got nothing for 50 times its mean gap
         self.assertEqual(named(5, 7), 0)
 
     def test_a_unit_a_little_slower_than_usual_is_not_starved_and_a_slow_one_is_passed_round(self) -> None:
@@ -660,12 +669,12 @@
             for _ in range(5):
                 story.serve()
                 story.serve(outcome, latency=500)
-                self.assertTrue(story.relay.choice.fit(story.relay.units[0]))
+                self.assertTrue(story.relay.choice.is_available(story.relay.units[0]))
             story.comes(story.take(), outcome, latency=500)
-            self.assertFalse(story.relay.choice.fit(story.relay.units[0]))
+            self.assertFalse(story.relay.choice.is_available(story.relay.units[0]))
         story = Story(units=1, workloads=(ONE_SHOT,))
         story.serve("unreachable", latency=SECOND // 4)  # nothing came back at all: out of reach
-        self.assertFalse(story.relay.choice.fit(story.relay.units[0]))
+        self.assertFalse(story.relay.choice.is_available(story.relay.units[0]))
 
     def test_a_silent_unit_rests_and_is_tried_again_with_one_shot(self) -> None:
         story = Story(units=2)
@@ -677,9 +686,9 @@
             story.comes(number, "served", place=len(story.sent(number)) - 1)
         self.assertLess(story.sent().count(0), 5)
         story.later(unit.ejected_until)
-        self.assertTrue(story.relay.choice.fit(unit))
+        self.assertTrue(story.relay.choice.is_available(unit))
         unit.open_shots, unit.silent_since = 1, story.relay.now
-        self.assertFalse(story.relay.choice.fit(unit))
+        self.assertFalse(story.relay.choice.is_available(unit))
 
     def test_late_answers_shrink_the_limit_once_a_jam_and_it_grows_again(self) -> None:
         story = Story(units=8, may_tell=False)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -6,8 +6,8 @@
 
 from tealsail.choices.flood import SECOND, Flood, Limits, limits
 from tealsail.lab.judging import Fleet, heard, mixed
-from tealsail.notes import PAST, STARTS, Pool, count_notes, read
-from tealsail.parts import beyond
+from tealsail.notes import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
+from tealsail.parts import excess_in_deviations
 from tealsail.policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES
 
 from .fake import Story
@@ -36,7 +36,7 @@
         self.born, self.counts = (self.born + later) & 0xFFFFFFFF, [0] * SIZE
 
 
-def add(pool: Pool, sender: int, data: bytes) -> None:
+def add(pool: CountPool, sender: int, data: bytes) -> None:
     figures = read(data)
     pool.add(sender, figures[1], figures[4:])
 
@@ -51,11 +51,11 @@
     )
     def test_loss_doubling_and_order_never_count_more_than_was_done(self, steps, chance, loss) -> None:
         """Notes come at most a restart late; what was lost is made good by the last one that comes through."""
-        senders, pool, way = [Sender(number) for number in range(3)], Pool(SIZE), []
+        senders, pool, way = [Sender(number) for number in range(3)], CountPool(SIZE), []
         starts = 0
         for who, (what, *figures) in steps:
             sender = senders[who]
-            if what == "restart" and starts >= PAST:
+            if what == "restart" and starts >= REMEMBERED_STARTS:
                 continue
             starts += what == "restart"
             getattr(sender, what)(*figures)
@@ -69,13 +69,13 @@
             add(pool, *each)
         self.check(pool, senders)
 
-    def check(self, pool: Pool, senders: list[Sender]) -> None:
+    def check(self, pool: CountPool, senders: list[Sender]) -> None:
         for cell, count in enumerate(pool.sums):
             self.assertLessEqual(count, sum(sender.done[cell] for sender in senders))
 
     @given(st.lists(st.tuples(st.integers(0, 2), WORK), min_size=1, max_size=30), st.integers(0, 20))
     def test_once_the_last_notes_come_through_nothing_is_missing(self, steps, restarts) -> None:
-        senders, pool = [Sender(number) for number in range(3)], Pool(SIZE)
+        senders, pool = [Sender(number) for number in range(3)], CountPool(SIZE)
         for place, (who, (_, cell, many)) in enumerate(steps):
             senders[who].work(cell, many)
             if place < restarts:
@@ -88,7 +88,7 @@
 
     def test_hourly_restarts_for_a_week_and_forged_starts_leave_memory_as_it_was(self) -> None:
         """Before, every start of every sender was kept for as long as a build was the newest."""
-        pool, senders = Pool(SIZE), [Sender(number) for number in range(20)]
+        pool, senders = CountPool(SIZE), [Sender(number) for number in range(20)]
         for hour in range(168):
             for sender in senders:
                 sender.work(hour % SIZE, 3)
@@ -97,16 +97,16 @@
                     add(pool, *sender.notes.pop(0))
         for forged in range(10_000):
             pool.add(19, forged * 7_919, (0, 1))
-        self.assertEqual(sum(len(starts) for starts in pool.known.values()), STARTS * 20)
-        self.assertLessEqual(max(len(each) for each in pool.over.values()), PAST)
+        self.assertEqual(sum(len(starts) for starts in pool.known.values()), KEPT_STARTS * 20)
+        self.assertLessEqual(max(len(each) for each in pool.ended.values()), REMEMBERED_STARTS)
         self.assertEqual(pool.sums[5], 20 * 3 * 14)
 
     def test_one_senders_word_can_be_left_out_whole_whatever_starts_it_had(self) -> None:
-        pool = Pool(SIZE, [[1], [0, 1]])
+        pool = CountPool(SIZE, [[1], [0, 1]])
         for sender, starts in ((1, 1), (2, 6), (3, 1)):
             for start in range(starts):
                 pool.add(sender, start, (0, 10 * sender, 1, sender))
-        self.assertEqual(pool.told, [{1: 1, 2: 12, 3: 3}, {1: 11, 2: 132, 3: 33}])
+        self.assertEqual(pool.by_sender, [{1: 1, 2: 12, 3: 3}, {1: 11, 2: 132, 3: 33}])
         self.assertEqual(pool.without(2)[:2], [40, 4])
 
 
@@ -175,11 +175,15 @@
             self.assertTrue(900 < found.vote_s < 960, found)
 
     def test_few_failures_are_no_normal_sample(self) -> None:
-        rare = beyond([[95, 5]], [[99_000, 950]])
+        rare = excess_in_deviations([[95, 5]], [[99_000, 950]])
         self.assertAlmostEqual(rare, 3.0, delta=0.1)  # 4.1 by the usual formula; the exact tail is 0.003
-        self.assertAlmostEqual(beyond([[900, 100]], [[980, 20]]), 7.6, delta=0.4)  # many: as the usual formula has it
-        self.assertAlmostEqual(beyond([[980, 20]], [[900, 100]]), -7.6, delta=0.4)
-        self.assertEqual((beyond([[10, 0]], [[10, 0]]), beyond([[0, 0]], [[10, 3]])), (0.0, 0.0))
+        self.assertAlmostEqual(
+            excess_in_deviations([[900, 100]], [[980, 20]]), 7.6, delta=0.4
+        )  # many: as the usual formula has it
+        self.assertAlmostEqual(excess_in_deviations([[980, 20]], [[900, 100]]), -7.6, delta=0.4)
+        self.assertEqual(
+            (excess_in_deviations([[10, 0]], [[10, 0]]), excess_in_deviations([[0, 0]], [[10, 3]])), (0.0, 0.0)
+        )
 
     def test_a_bad_build_does_not_pass_when_messages_come_again_or_its_judge_starts_anew(self) -> None:
         """Only cells that had changed were told, so after a loss what was served came at once, and what had failed up
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,10 +73,10 @@
         invocation, unit = story.relay.known[number], story.relay.units[0]
         self.assertFalse(story.relay.gate.forward(invocation, unit))  # never two out at once
         story.later(SECOND)
-        story.relay.on_wake(story.relay.WAKE_LATE + number)
+        story.relay.on_wake(story.relay.WAKE_OVERDUE + number)
         self.assertEqual(story.host.of("cancel"), [])  # alone there it may only be heavy work
         invocation.shots[0].unit.open_shots += 1
-        story.relay.on_wake(story.relay.WAKE_LATE + number)
+        story.relay.on_wake(story.relay.WAKE_OVERDUE + number)
         self.assertEqual((story.host.of("cancel"), len(story.sent(number))), ([(number, 0)], 1))
         story.comes(number, "cancelled", latency=SECOND)
         self.assertEqual(len(story.sent(number)), 2)
