--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -153,7 +153,7 @@
     """One relay's decisions.
 
     This is the module's host (tealsail/host.py): what the module asks for while it handles a call is kept and returned.
-    An exception of the module is logged, and at most the current invocation fails by it.
+    An exception of the module is logged, and costs at most the current invocation its answer.
     """
 
     def __init__(
@@ -272,7 +272,8 @@
         else:
             self.actions.steps.append((invocation, step))
 
-    # The calls of the `Host` protocol.
+    # The calls of the `Host` protocol, described in tealsail/host.py.
+
     def send(self, invocation: int, unit: int, wait: int) -> None:
         self.leave_step(invocation, SendShot(unit, len(self.relay.known[invocation].shots) - 1, wait))
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""The module in blocking style, without sockets."""
+"""The facade of the decision module, without sockets."""
 
 import unittest
 
@@ -28,7 +28,7 @@
         return self.now
 
 
-class Stories(unittest.TestCase):
+class FacadeCalls(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = Clock()
         facts = dict(
@@ -46,7 +46,7 @@
     def pick(self, workload: str = "basket") -> tuple:
         return self.facade.pick(workload, "acme", "key", self.clock.now + 4 * SECOND)
 
-    def test_a_step_for_every_pick_and_for_every_outcome_until_the_answer(self) -> None:
+    def test_every_pick_and_every_outcome_gives_a_step_until_the_answer(self) -> None:
         number, first = self.pick()
         self.assertIsInstance(first, SendShot)
         self.clock.now += 300
@@ -55,8 +55,8 @@
         self.assertIsNone(self.facade.report(Outcome(number, 1, "served", {"util": 0.5})))
         self.assertEqual(self.facade.relay.units[further.unit].util, 0.5)
 
-    def test_what_waits_for_another_relays_word_gets_its_step_out_of_a_tick(self) -> None:
-        """The step is the kept invocation's, not that of whatever came in meanwhile."""
+    def test_an_invocation_that_waits_for_the_load_tracker_gets_its_step_from_tick(self) -> None:
+        """The step must be that of the waiting invocation, not of one that was picked meanwhile."""
         facade = Facade(
             dict(
                 self.facade.relay.facts,
@@ -72,24 +72,24 @@
         facade.report(RolloutState(1, 1, "released", 1.0, 0))
         facade.report(Units("whole", [UnitEntry(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
         self.facade = facade
-        (kept, none), (alone, also) = self.pick(), self.pick("order")
-        keeper, asked = facade.tick().notes[0]
-        self.assertEqual((none, also, read_tracker_note(asked)[0]), (None, None, kept))
-        self.assertIsNone(facade.report(NoteReceived(keeper, answer_note(kept, 1))))
+        (answered, first_step), (unanswered, second_step) = self.pick(), self.pick("order")
+        tracker, question = facade.tick().notes[0]
+        self.assertEqual((first_step, second_step, read_tracker_note(question)[0]), (None, None, answered))
+        self.assertIsNone(facade.report(NoteReceived(tracker, answer_note(answered, 1))))
         ((number, step),) = facade.tick().steps
-        self.assertEqual((number, step.unit), (kept, read_tracker_note(asked)[3]))
+        self.assertEqual((number, step.unit), (answered, read_tracker_note(question)[3]))
         self.clock.now += facade.relay.load_tracking.ANSWER_TIMEOUT
-        ((number, step),) = facade.tick().steps  # no answer: by itself
-        self.assertEqual((number, type(step)), (alone, SendShot))
-        self.assertIsNone(facade.report(Outcome(kept, 0, "served")))
+        ((number, step),) = facade.tick().steps  # no answer: the relay has chosen itself
+        self.assertEqual((number, type(step)), (unanswered, SendShot))
+        self.assertIsNone(facade.report(Outcome(answered, 0, "served")))
 
-    def test_a_one_shot_invocation_that_may_have_run_is_forfeited_and_an_untouched_one_rejected(self) -> None:
+    def test_a_one_shot_invocation_that_may_have_run_is_forfeited_and_an_unsent_one_rejected(self) -> None:
         number, _ = self.pick("order")
         self.assertEqual(self.facade.report(Outcome(number, 0, "reset")), Forfeit())
         self.facade.report(Units("whole", []))
         self.assertEqual(self.pick("order")[1], Reject(0))
 
-    def test_calling_off_and_notes_come_out_of_the_tick_that_is_due(self) -> None:
+    def test_cancellations_and_notes_come_from_the_tick_that_is_due(self) -> None:
         number, _ = self.pick()
         self.facade.tick()
         self.facade.report(ClientLeft(number))
@@ -105,7 +105,7 @@
         self.facade.report(NoteReceived(1, notes[0].data))
         self.assertIn(1, self.facade.relay.judge.heard)
 
-    def test_a_picked_shot_stands_until_the_list_or_the_cap_is_against_it(self) -> None:
+    def test_a_chosen_shot_may_be_sent_until_the_list_or_the_cap_forbids_it(self) -> None:
         number, step = self.pick()
         self.assertTrue(self.facade.may_still_send(number, 0))
         self.facade.report(Units("changes", [UnitEntry(step.unit, 1, "draining", 0, 0, 1.0, 0)]))
@@ -118,7 +118,7 @@
         self.facade.report(RolloutState(2, 0, "going back", 0.0, 0))
         self.assertFalse(self.facade.may_still_send(number, 0))
 
-    def test_a_fault_of_the_module_costs_at_most_that_invocation_and_is_logged(self) -> None:
+    def test_an_exception_of_the_module_is_logged_and_costs_at_most_that_invocation(self) -> None:
         self.facade.report(WrongAnswer(5, 99, 0))  # build 1, and no workload of that number
         number, _ = self.pick()
         self.facade.relay.choice.cost = lambda unit: 1 / 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules at the gate: a story for each way in which one was, or could be, broken."""
+"""The five rules that the gate keeps, and the ways in which each was or could be broken."""
 
 import unittest
 
@@ -8,14 +8,14 @@
 
 
 class EveryInvocationIsAnswered(unittest.TestCase):
-    def test_the_timeout_at_the_abandon_time_ends_in_a_forfeit(self) -> None:
+    def test_a_timeout_at_the_abandon_time_is_a_forfeit(self) -> None:
         story = Story(workloads=(ONE_SHOT,))
         number = story.take()
         story.later(4 * SECOND)
         story.comes(number, "timeout", latency=4 * SECOND)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
-    def test_with_no_unit_it_is_rejected_at_once(self) -> None:
+    def test_without_a_unit_an_invocation_is_rejected_at_once(self) -> None:
         story = Story(units=0)
         number = story.take()
         self.assertEqual([each[0] for each in story.host.of("reject")], [number])
@@ -24,13 +24,13 @@
         story = Story()
         number = story.take()
         story.relay.on_abandoned(number)
-        story.beat()  # its outcome is still to come
+        story.beat()  # the shot's outcome is still to come
         story.comes(number, "error")
         self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.host.of("cancel"), [(number, 0)])
         self.assertFalse(story.host.of("forfeit") + story.host.of("reject"))
 
-    def test_what_may_go_out_again_does_not_after_the_abandon_time(self) -> None:
+    def test_nothing_is_sent_again_after_the_abandon_time(self) -> None:
         story = Story()
         number = story.take()
         story.later(4 * SECOND)
@@ -39,7 +39,7 @@
 
 
 class NoEffectTwice(unittest.TestCase):
-    def test_a_one_shot_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
+    def test_a_one_shot_invocation_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome in ("error", "reset", "timeout"):
             story = Story(workloads=(ONE_SHOT,))
             number = story.take()
@@ -47,7 +47,7 @@
             self.assertEqual(len(story.sent(number)), 1)
             self.assertEqual(story.host.of("forfeit"), [(number,)])
 
-    def test_a_one_shot_proved_not_to_have_run_goes_out_again(self) -> None:
+    def test_a_one_shot_invocation_that_did_not_run_is_sent_again(self) -> None:
         story = Story(workloads=(ONE_SHOT,))
         number = story.take()
         story.comes(number, "full")
@@ -55,7 +55,7 @@
         story.comes(number, "error", place=1)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
-    def test_a_stamped_one_stays_in_its_group_and_in_its_time(self) -> None:
+    def test_a_stamped_invocation_is_repeated_only_in_its_group_and_within_its_memory(self) -> None:
         story = Story(workloads=(STAMPED,))
         story.lists([story.unit(number, zone=number) for number in range(4)])
         number = story.take()
@@ -67,14 +67,14 @@
         self.assertEqual(len(story.sent(late)), 1)
         self.assertEqual(story.host.of("forfeit"), [(late,)])
 
-    def test_a_late_shot_of_a_silent_unit_is_called_off_before_another(self) -> None:
+    def test_a_late_shot_at_a_silent_unit_is_cancelled_before_another_is_sent(self) -> None:
         story = Story(two_shots=False)
         number = story.take()
         invocation, unit = story.relay.known[number], story.relay.units[0]
-        self.assertFalse(story.relay.gate.forward(invocation, unit))  # never two out at once
+        self.assertFalse(story.relay.gate.forward(invocation, unit))  # never two open shots
         story.later(SECOND)
         story.relay.on_wake(story.relay.WAKE_OVERDUE + number)
-        self.assertEqual(story.host.of("cancel"), [])  # alone there it may only be heavy work
+        self.assertEqual(story.host.of("cancel"), [])  # the only shot there: it may be heavy work
         invocation.shots[0].unit.open_shots += 1
         story.relay.on_wake(story.relay.WAKE_OVERDUE + number)
         self.assertEqual((story.host.of("cancel"), len(story.sent(number))), ([(number, 0)], 1))
@@ -83,7 +83,7 @@
 
 
 class DrainsAreKept(unittest.TestCase):
-    def test_draining_gone_and_missing_units_get_nothing(self) -> None:
+    def test_draining_gone_and_unlisted_units_get_nothing(self) -> None:
         story = Story(units=4)
         story.lists([story.unit(0, state="draining"), story.unit(1, state="gone")], kind="changes")
         story.lists([story.unit(0, state="draining"), story.unit(2)])
@@ -92,8 +92,8 @@
         self.assertEqual(set(story.sent()), {2})
 
 
-class NoColdUnitIsPushedOver(unittest.TestCase):
-    def test_a_cold_unit_gets_less_than_its_warm_peers_and_no_burst(self) -> None:
+class NoColdUnitIsOverloaded(unittest.TestCase):
+    def test_a_cold_unit_gets_less_than_warm_ones_and_no_burst(self) -> None:
         story = Story(units=4, may_tell=False)
         for _ in range(60):
             story.serve()
@@ -108,16 +108,16 @@
             story.take()
         self.assertLess(len(story.sent()), 120 + 120)  # with cold units alone most is rejected
 
-    def test_on_the_way_back_the_first_cold_earlier_unit_does_not_get_everything(self) -> None:
+    def test_while_a_build_goes_back_the_first_cold_earlier_unit_does_not_get_everything(self) -> None:
         story = Story(units=20)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
         story.lists(
             [story.unit(number, 1 + (number > 0), started=story.relay.now * (number == 0)) for number in range(20)]
         )
-        story.later(SECOND)  # the grace of the lowered cap is over
+        story.later(SECOND)  # the grace after the cap was lowered is over
         for _ in range(200):
             story.take()
-            story.relay.units[0].credit = 1.0  # as if of another relay each
+            story.relay.units[0].credit = 1.0  # as if each invocation came to another relay
         self.assertLess(len(story.sent()), 20)
 
 
@@ -128,14 +128,14 @@
             story.later(SECOND // 100)
         return sum(unit == 3 for unit in story.sent())
 
-    def test_a_build_that_no_news_has_named_counts_as_in_stage_0(self) -> None:
+    def test_a_build_that_the_platform_has_not_told_of_has_the_cap_of_stage_0(self) -> None:
         story = Story(caps=[0.1, 1.0])
         story.lists([story.unit(number, 2 if number == 3 else 1) for number in range(4)])
         shots = self.shots(story)
         self.assertLessEqual(shots, 1 + 10)
         self.assertGreater(shots, 3)
 
-    def test_no_window_holds_more_wherever_it_begins_and_a_cap_of_one_rejects_nothing(self) -> None:
+    def test_no_window_exceeds_the_cap_wherever_it_begins_and_a_cap_of_one_rejects_nothing(self) -> None:
         for cap in (0.3, 0.7, 1.0):
             story, taken, chance = Story(stage_shares=[0.25]), [], RandomGenerator(5)
             story.relay.on_stage(2, 1, policy.ON_TRIAL, cap, 10 * SECOND)
@@ -155,14 +155,14 @@
             share = sum(sent is True for _, sent in taken) / sum(sent is not None for _, sent in taken)
             self.assertGreater(share, 0.99 * cap)
 
-    def test_at_cap_0_and_in_stages_guarded_against_effects_nothing_goes_to_it(self) -> None:
+    def test_at_cap_0_and_in_guarded_stages_nothing_is_sent_to_the_build(self) -> None:
         for cap, guarded in ((0.0, 0), (0.5, 1)):
             story = Story(workloads=(ONE_SHOT,), guarded_stages=guarded)
             story.relay.on_stage(2, 0, policy.ON_TRIAL, cap, 0)
             story.lists([story.unit(number, 2) for number in range(4)])
             self.assertEqual((self.shots(story), story.sent()), (0, []))
 
-    def test_a_lowered_cap_binds_after_the_grace_where_nothing_else_runs(self) -> None:
+    def test_a_lowered_cap_binds_after_the_grace_where_no_earlier_unit_is_left(self) -> None:
         story = Story()
         story.lists([story.unit(number, 2) for number in range(4)])
         story.relay.on_stage(2, 1, policy.ON_TRIAL, 1.0, 0)
@@ -171,7 +171,7 @@
         story.later(SECOND)
         self.assertEqual(story.serve(), -1)
 
-    def test_each_workload_by_itself_where_the_settings_say_so(self) -> None:
+    def test_exposure_is_counted_by_workload_where_the_settings_say_so(self) -> None:
         story = Story(workloads=(HARMLESS, HARMLESS), exposure_per="class", free_shots=0)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.5, 0)
         story.lists([])
@@ -180,7 +180,7 @@
         story.lists([story.unit(number, 2) for number in range(4)])
         self.assertEqual([story.serve(workload=1) == -1 for _ in range(4)], [True, False, True, False])
 
-    def test_the_trial_keeps_a_tenth_back_while_earlier_units_can_take_the_rest(self) -> None:
+    def test_a_tenth_of_the_allowance_is_kept_back_while_earlier_units_can_take_the_rest(self) -> None:
         story = Story(free_shots=0, caps=[0.2, 1.0])
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.2, 0)
         story.lists([story.unit(number, 1 if number == 0 else 2) for number in range(4)])
