--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -39,7 +39,7 @@
     """Final answer: failed, and nothing is promised about its effect."""
 
 
-Step = SendShot | Reject | Forfeit | None
+Step = SendShot | Reject | Forfeit | None  # what to do next with an invocation; None: nothing for now
 
 
 class Outcome(NamedTuple):
@@ -80,7 +80,7 @@
 
 
 class RolloutState(NamedTuple):
-    """Where the newest build stands: a phase of `PHASES`, since `age`, and the cap on its share of invocations."""
+    """The state of the newest build: `phase` is one of `PHASES`, `cap` its largest share, and `age` how long so."""
 
     build: int
     stage: int
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -251,11 +251,11 @@
     def __init__(self, place: int, cell_count: int, facts: dict[str, Any]) -> None:
         self.place = place
         self.cells = slice(place * cell_count, (place + 1) * cell_count)  # its counts among those of a group
-        self.promised = facts["promised"]
-        self.effect = facts["effect"]
-        self.group = facts["group"]
-        self.memory = facts["memory"]
-        self.payoff = facts["payoff"]
+        self.promised = facts["promised"]  # latency, in tenths of a ms
+        self.effect = facts["effect"]  # harmless, stamped or one-shot: whether it may run twice
+        self.group = facts["group"]  # units that share their memory of stamps: all, zone or cell
+        self.memory = facts["memory"]  # for which units remember a stamp, in tenths of a ms
+        self.payoff = facts["payoff"]  # of an answer in time
 
 
 class Unit:
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -128,7 +128,7 @@
 BRIEF_WINDOW_UNITS = 3
 
 # A verdict of 'back' on fewer failures that are beyond chance and on many units of the build.
-BROAD_UNITS_RATIO = 4  # at least one unit in so many fails
+BROAD_UNITS_RATIO = 4  # more than one unit in so many, and at least three units, have failed of late
 BROAD_DEVIATIONS = 2.8  # standard deviations
 # The longer a build is looked at, the more deviations are needed: with two looks a second, chance alone would pass a
 # fixed level within minutes.  The level rises from this age of the build on.
@@ -510,7 +510,7 @@
         self.pending: dict[int, Invocation] = {}  # held until the tracker's answer or the end of the wait
         self.unanswered = 0  # questions in a row
         self.notes_sent = 0
-        self.first_report_at = 0  # as the tracker: of reports without a pause of more than a span of `completions`
+        self.first_report_at = 0  # as the tracker: when reports began, or began again after a span without completions
         self.completions = SlidingSum(2 * SECOND, WINDOW_BUCKETS)  # as the tracker: shots that ended
         self.loads: defaultdict[int, UnitLoad] = defaultdict(UnitLoad)  # as the tracker: what all relays have at a unit
 
@@ -1137,12 +1137,13 @@
             self.silence_limit = max([self.admission.late_after(each) for each in self.workloads], default=SECOND)
             busy = (unit for unit in self.units.values() if unit.open_shots)
             self.admission.stalled_shots = sum(unit.open_shots for unit in busy if not self.choice.is_available(unit))
-            for unit in self.units.values():  # a unit that is not tried again returns slowly to good repute
+            for unit in self.units.values():  # the record of a unit that is not tried again fades
                 if unit.error_rate or unit.latency_ratio != 1:
                     unit.latency_ratio, unit.error_rate = (
                         unit.latency_ratio + 0.03 * (1 - unit.latency_ratio),
                         0.97 * unit.error_rate,
                     )
+            # The counts fade only while no build is on trial: they are what the trial is compared with.
             self.trial.recent_counts = [count * (1 if self.rows[1] else 0.92) for count in self.trial.recent_counts]
             self.choice.used_units = max(self.choice.FEW_UNITS, 0.99 * self.choice.used_units)
             self.judge.on_beat()
@@ -1164,7 +1165,7 @@
         (self.load_tracking if notes.is_tracker_note(data) else self.judge).receive(sender, data)
 
     def on_stage(self, build: int, stage: int, phase: int, cap: float, age: int) -> None:
-        """Takes the platform's word on the newest build: its stage and phase, since `age`, and the cap on exposure."""
+        """Takes the platform's state of the newest build: stage, phase, cap on its exposure, and since how long."""
         if build == self.build and cap < self.stated_cap:
             self.cap_lowered_at, self.previous_cap = self.now, self.stated_cap
         earlier = self.build, self.stage, self.phase
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -85,6 +85,7 @@
     "feedback.via": "load_via",
     "tick": "tick",
 }
+
 # Settings that are times, and how each is rounded so that no limit is overstepped.
 TIME_ROUNDING = {
     name: floor
@@ -107,8 +108,9 @@
     )
 }
 TIME_ROUNDING.update({name: ceil for name in ("exposure_span", "fall_span", "warm_up", "tick")})
+
 UNLISTED_CUSTOMER = ""  # stands for customers that the settings do not name
-LIST_SETTINGS = {"caps", "stage_shares", "load_fields", "zones"}
+LIST_SETTINGS = {"caps", "stage_shares", "load_fields", "zones"}  # whose values are lists of numbers or names
 
 
 def tenths(milliseconds: float) -> int:
@@ -167,18 +169,18 @@
 
 def facts(leaves: Iterator[tuple[list[str], Any]]) -> dict[str, Any]:
     """A plain map from internal names to values; a path without an internal name is skipped."""
-    known: dict[str, Any] = {}
+    named: dict[str, Any] = {}
     for parts, value in leaves:
         path = ".".join(parts)
         if len(parts) == 3 and parts[1].isdigit():
-            listed, name = NAMES_BY_PATH.get(parts[0]), NAMES_BY_PATH.get(parts[2])
-            if listed and name:
-                items = known.setdefault(listed, [])
+            list_name, name = NAMES_BY_PATH.get(parts[0]), NAMES_BY_PATH.get(parts[2])
+            if list_name and name:
+                items = named.setdefault(list_name, [])
                 while len(items) <= int(parts[1]):
                     items.append({})
                 items[int(parts[1])][name] = convert(name, value)
         elif path in NAMES_BY_PATH:
-            known[NAMES_BY_PATH[path]] = convert(NAMES_BY_PATH[path], value)
-    if known.get("customers"):  # others that ask must not be counted as one that is listed
-        known["customers"].append({"name": UNLISTED_CUSTOMER, "share": 0})
-    return known
+            named[NAMES_BY_PATH[path]] = convert(NAMES_BY_PATH[path], value)
+    if named.get("customers"):  # others that ask must not be counted as one that is listed
+        named["customers"].append({"name": UNLISTED_CUSTOMER, "share": 0})
+    return named
