--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages
-from ...record.lines import End, Take
+from ...record.lines import InvocationEnded, InvocationTaken
 from ...world.clients import Arrival
 from ...world.day import Day
 from ..traffic import clients_of
@@ -46,9 +46,9 @@
     return 0
 
 
-def take_line(now: int, relay: int, arrival: Arrival) -> Take:
+def take_line(now: int, relay: int, arrival: Arrival) -> InvocationTaken:
     """The record's line of a request that is sent to a relay."""
-    return Take(
+    return InvocationTaken(
         now,
         relay,
         arrival.number,
@@ -65,7 +65,7 @@
     """One connection of a client: being set up, idle, or with one request out."""
 
     def __init__(self, pool: "ClientPool", relay: int) -> None:
-        self.pool, self.relay, self.splitter = pool, relay, messages.Splitter(typed=True)
+        self.pool, self.relay, self.splitter = pool, relay, messages.MessageSplitter(typed=True)
         self.is_ready = False
         self.arrival: Arrival | None = None
         self.answer, self.retry_after = "", 0
@@ -95,22 +95,22 @@
             for kind, body in self.splitter:
                 if kind == b"E":
                     self.retry_after = read_retry_after(body)
-                self.handle(messages.from_unit(kind, body))
-        except messages.Unreadable as problem:
+                self.handle(messages.parse_unit_message(kind, body))
+        except messages.ProtocolError as problem:
             self.pool.setup.report_violation(f"a relay answered what can't be read: {problem}")
             self.transport.abortConnection()
 
     def handle(self, answer: Any) -> None:
         match answer:
-            case messages.Row(body):
+            case messages.DataRow(body):
                 self.answer = "wrong" if body.endswith(b"\x00") else "served"
-            case messages.Trouble(code, _):
+            case messages.ErrorResponse(code, _):
                 self.answer = "rejected" if code in REJECTED_CODES else "forfeited"
-            case messages.Ready() if not self.is_ready:
+            case messages.ReadyForQuery() if not self.is_ready:
                 self.is_ready = True
                 if not self.arrival:
                     self.pool.release(self)
-            case messages.Ready() if self.arrival:
+            case messages.ReadyForQuery() if self.arrival:
                 self.finish(self.answer or "lost")
                 self.pool.release(self)
 
@@ -235,7 +235,7 @@
         connection.arrival = None
         if connection.timer and connection.timer.active():
             connection.timer.cancel()
-        setup.record_line(End(setup.now(), connection.relay, arrival.number, "lost"))
+        setup.record_line(InvocationEnded(setup.now(), connection.relay, arrival.number, "lost"))
         self.resent.append((connection.relay, arrival.number))
         self.open_requests -= 1
         self.dispatch(arrival, (connection.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
@@ -245,7 +245,7 @@
 
     def record_answer(self, relay: int, arrival: Arrival, answer: str, retry_after: int) -> None:
         setup = self.setup
-        setup.record_line(End(setup.now(), relay, arrival.number, answer))
+        setup.record_line(InvocationEnded(setup.now(), relay, arrival.number, answer))
         if answer == "lost" and relay in self.ready_relays:
             self.lost_while_up.append((relay, setup.now()))
         self.open_requests -= 1
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..choices.clock import GAP, TENTHS, disregard
+from ..choices.clock import MIN_GAP_S, TENTHS_PER_SECOND, discard_evidence
 from ..facade import (
     CancelShot,
     Facade,
@@ -23,13 +23,28 @@
     Units,
     VoteAnswered,
 )
-from ..net.relay import number_of
+from ..net.relay import unit_number
 from ..parts import stable_hash
-from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
+from ..record.lines import (
+    VERSION,
+    ConnectionOpened,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    News,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent as ShotLine,
+    ShotStarted,
+)
 from ..world.clients import Arrival
-from ..world.day import Day, Order
-from ..world.roster import Entry
-from ..world.unit import NEVER, Asked, Unit
+from ..world.day import Day, RelayCommand
+from ..world.unit import NEVER, IncomingShot, Unit
+from ..world.unit_list import Entry
 from .scenario import Scenario
 from .traffic import clients_of
 
@@ -104,7 +119,7 @@
     def stop(self) -> None:
         if self.stopped < 0:
             self.stopped, self.notes = self.model.now, 0
-            self.model.tell(Life(self.model.now, self.index, "stopped"))
+            self.model.tell(RelayEvent(self.model.now, self.index, "stopped"))
 
     def go_on(self) -> None:
         """It runs again: what waited comes at once, and after a gap it trusts nothing older, as the daemon does."""
@@ -112,9 +127,9 @@
             return
         model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
         self.stopped, self.backlog = -1, []
-        model.tell(Life(model.now, self.index, "on"))
-        if gap > GAP * TENTHS:
-            disregard(self.facade.relay, self.clock())
+        model.tell(RelayEvent(model.now, self.index, "on"))
+        if gap > MIN_GAP_S * TENTHS_PER_SECOND:
+            discard_evidence(self.facade.relay, self.clock())
             for name, (idle, _) in self.kept.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
@@ -127,7 +142,7 @@
     def take(self, arrival: Arrival) -> None:
         model = self.model
         model.tell(
-            Take(
+            InvocationTaken(
                 model.now,
                 self.index,
                 arrival.number,
@@ -145,7 +160,7 @@
     def taken(self, arrival: Arrival) -> None:
         model, facade = self.model, self.facade
         workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
-        repeat = arrival.repeat and model.parts.habits.marks
+        repeat = arrival.repeat and model.parts.behaviour.marks
         number, step = facade.pick(
             workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
         )
@@ -183,10 +198,10 @@
         model.later(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.overdue, out)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
-        way = model.day.network.way(self.index, zone)
-        if unit is None or unit.dead:  # refused at once
+        delay = model.day.network.delay(self.index, zone)
+        if unit is None or unit.is_dead:  # refused at once
             self.kept.pop(name, None)
-            model.later(now + 2 * way, self.came, out, "unreachable")
+            model.later(now + 2 * delay, self.came, out, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
             unit.disconnect(self.kept.pop(name, (0, 0))[0])
             model.later(now + model.connect_wait, self.came, out, "unreachable")
@@ -194,12 +209,12 @@
             kept = self.kept.get(name)
             if kept and kept[0] and now - kept[1] < model.idle_time:
                 kept[0] -= 1
-                out.holds, wait = unit, 3 * way  # it proves itself by an empty query first
+                out.holds, wait = unit, 3 * delay  # it proves itself by an empty query first
             elif unit.connect():
-                out.holds, out.new, wait = unit, True, 3 * way + model.parts.paths.handshake
-                model.tell(Met(now, self.index, name))
+                out.holds, out.new, wait = unit, True, 3 * delay + model.parts.paths.handshake
+                model.tell(ConnectionOpened(now, self.index, name))
             else:
-                return model.later(now + 2 * way, self.came, out, "full")
+                return model.later(now + 2 * delay, self.came, out, "full")
             model.later(now + wait + model.there, model.reach, self, out, unit)
 
     def expire(self, unit: Unit, used: int) -> None:
@@ -227,7 +242,7 @@
             out.holds.disconnect()
         if outcome in ("served", "error", "full"):
             load = out.unit.load(model.now) if out.unit and out.unit.kind.report_every else None
-        model.tell(Came(model.now, self.index, serving.arrival.number, out.place, outcome))
+        model.tell(ShotEnded(model.now, self.index, serving.arrival.number, out.place, outcome))
         step = self.facade.report(Outcome(serving.number, out.place, outcome, load))
         if outcome == "served":
             self.end(serving, "wrong" if serving.wrong else "served")
@@ -241,7 +256,7 @@
     def give_up(self, out: Out, outcome: str) -> None:
         if out.unit:
             self.model.later(
-                self.model.now + self.model.day.network.way(self.index, out.unit.zone), self.model.stop, out
+                self.model.now + self.model.day.network.delay(self.index, out.unit.zone), self.model.stop, out
             )
         self.came(out, outcome if out.unit else "moot")  # nothing was written yet
 
@@ -297,7 +312,7 @@
         if self.waits(1, self.listed, entries, kind):
             return
         for entry in entries:
-            model.tell(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
+            model.tell(EntryReceived(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
         ahead = self.clock() - model.now  # units' starts are told in the time of all others' clocks
         told = [model.listed(entry) for entry in entries]
         self.facade.report(
@@ -311,7 +326,7 @@
         self.schedule()
 
     def stood(self) -> None:
-        model, state = self.model, self.model.day.desk.state
+        model, state = self.model, self.model.day.platform.state
         if self.waits(1, self.stood):
             return
         model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
@@ -378,7 +393,7 @@
         """From what is known at that place: the list as its agent has it, and the platform's state."""
         self.starts[relay] += 1
         door = self.doors[relay] = Door(self, relay, self.starts[relay])
-        self.tell(Life(self.now, relay, "up"))
+        self.tell(RelayEvent(self.now, relay, "up"))
         roster = self.day.roster
         door.stood()
         door.listed(roster.whole(roster.told[relay]), "old copy")
@@ -388,7 +403,7 @@
         door, self.doors[relay] = self.doors[relay], None
         if door is None:
             return
-        self.tell(Life(self.now, relay, "down"))
+        self.tell(RelayEvent(self.now, relay, "down"))
         self.faults += door.facade.faults
         for name, (idle, _) in door.kept.items():
             if name in self.day.fleet.units:
@@ -396,7 +411,7 @@
         for _, call, what in door.backlog:  # what it had not even read
             if call == door.taken:
                 self.open -= 1
-                self.tell(End(self.now, relay, what[0].number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, what[0].number, "lost"))
         for serving in door.serving.values():
             for out in serving.outs.values():
                 out.over = True
@@ -407,7 +422,7 @@
             if not serving.over:
                 serving.over = True
                 self.open -= 1
-                self.tell(End(self.now, relay, serving.arrival.number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, serving.arrival.number, "lost"))
 
     def acting(self, name: str) -> list[int]:
         """Who acts for the fleet as that, by the word of most relays."""
@@ -427,12 +442,12 @@
     def anew(self, relay: int) -> None:
         """One that did not run for a while asks for what others keep."""
         door, roster = self.doors[relay], self.day.roster
-        if door and self.day.network.has(self.now, relay, "list"):
+        if door and self.day.network.reaches_service(self.now, relay, "list"):
             door.listed(roster.whole(roster.told[relay]), "whole")
         if door:
             self.tell_state(relay)
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """What the script does to a relay's process.  A step of its wall clock moves nothing: its time is even
         (tealsail/choices/clock.py).  A relay from another checkout is only restarted: the model has one program."""
         door = self.doors[order.relay]
@@ -479,7 +494,7 @@
             door.schedule()
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
-        if not self.day.network.has(self.now, door.index, "platform"):
+        if not self.day.network.reaches_service(self.now, door.index, "platform"):
             answer = "nothing"  # it never came
         else:
             answer = self.day.vote(self.now, door.index, build, stage, verdict)
@@ -509,7 +524,7 @@
     def answered(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
         """An answer has come to its client."""
         self.open -= 1
-        self.tell(End(self.now, relay, arrival.number, answer))
+        self.tell(InvocationEnded(self.now, relay, arrival.number, answer))
         again = self.day.clients.answered(self.now, arrival, answer, come_back)
         if again:
             self.waiting += 1
@@ -529,11 +544,11 @@
         """The last byte of a shot has come to its unit."""
         if out.over:
             return
-        if unit.dead:
+        if unit.is_dead:
             return door.came(out, "unreachable")
         out.unit = unit
         arrival = out.serving.arrival
-        unit.take(self.now, Asked((door, out), arrival.first, arrival.workload), out.new)
+        unit.take(self.now, IncomingShot((door, out), arrival.first, arrival.workload), out.new)
         self.touch(unit)
 
     def stop(self, out: Out) -> None:
@@ -544,18 +559,18 @@
     def touch(self, unit: Unit) -> None:
         """Takes up what a unit said, and when it wants to be woken."""
         for (door, out), work in unit.taken:
-            self.tell(Ran(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
+            self.tell(ShotStarted(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
         unit.taken.clear()
-        if unit.said:
-            said, unit.said = unit.said, []
+        if unit.outcomes:
+            outcomes, unit.outcomes = unit.outcomes, []
             network, now = self.day.network, self.now
-            for (door, out), outcome in said:
-                self.tell(Done(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
+            for (door, out), outcome in outcomes:
+                self.tell(ShotAnswered(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
                 if not out.over and network.reaches(now, door.index, unit.name, unit.zone):
-                    self.later(now + network.way(door.index, unit.zone), door.came, out, outcome)
-        if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
-            unit.told_fallen = True
-            self.day.fallen(self.now, unit)
+                    self.later(now + network.delay(door.index, unit.zone), door.came, out, outcome)
+        if unit.crashed and unit.name in self.day.fleet.units and not unit.crash_reported:
+            unit.crash_reported = True
+            self.day.record_crash(self.now, unit)
             self.took_up()
         due = unit.due
         if due < unit.wake_at:
@@ -581,13 +596,13 @@
         left = day.left()
         for line in left.lines:
             self.tell(line)
-        for unit in left.touched:
+        for unit in left.changed_units:
             self.touch(unit)
-        for version in left.rounds:
+        for version in left.list_versions:
             for relay, lag in enumerate(day.roster.lag):
                 self.later(self.now + lag, self.tell_list, relay, version)
-        if day.moved and self.now >= day.desk.silent_until:
-            day.moved = False
+        if day.rollout_changed and self.now >= day.platform.silent_until:
+            day.rollout_changed = False
             for relay in range(len(self.doors)):
                 self.later(self.now + self.news_wait, self.tell_state, relay)
         for order in left.relays:
@@ -598,22 +613,22 @@
             self.later(max(due, self.now + 1), self.wake_day, due)
 
     def tell_list(self, relay: int, version: int) -> None:
-        if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
+        if self.day.roster.is_frozen(self.now, relay) or not self.day.network.reaches_service(self.now, relay, "list"):
             return  # told once it moves again, or is reached
-        _, entries = self.day.roster.news(relay, version)
+        _, entries = self.day.roster.take_changes(relay, version)
         if entries and self.doors[relay]:
             self.doors[relay].listed(entries, "changes")
 
     def tell_state(self, relay: int) -> None:
         if (
             self.doors[relay]
-            and self.now >= self.day.desk.silent_until
-            and self.day.network.has(self.now, relay, "platform")
+            and self.now >= self.day.platform.silent_until
+            and self.day.network.reaches_service(self.now, relay, "platform")
         ):
             self.doors[relay].stood()
 
     def listed(self, entry: Entry) -> UnitEntry:
-        number = number_of(entry.name)
+        number = unit_number(entry.name)
         self.unit_names[number] = entry.name
         return UnitEntry(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -49,7 +49,7 @@
         for state, votes in (("gone", BACK), ("draining", ON)):
             story = Story()
             story.trial()
-            story.lists([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
+            story.update_list([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
             story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual(story.votes(), votes)
@@ -60,7 +60,7 @@
         self.assertEqual(self.votes_on(alike, alike, control="timer"), [])  # a timer moves the stages
         story = Story()
         story.trial()
-        story.lists([story.unit(3, 2, started=story.relay.now)], kind="changes")
+        story.update_list([story.unit(3, 2, started=story.relay.now)], kind="changes")
         story.relay.on_note(1, story.evidence(alike, alike))
         story.beat()
         self.assertEqual(story.votes(), [])
@@ -203,13 +203,13 @@
         out = [story.take() for _ in range(6)]
         story.trial(many=0)
         for number in out:
-            story.comes(number, "served", latency=9 * SECOND)
+            story.report_outcome(number, "served", latency=9 * SECOND)
         self.assertEqual(sum(story.relay.trial.groups["canary"]), 0)
 
     def test_a_cold_units_latencies_count_by_its_warmth_and_not_at_all_at_first(self) -> None:
         story = Story(units=1)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 1.0, 0)
-        story.lists([story.unit(0, 2, started=story.relay.now)])
+        story.update_list([story.unit(0, 2, started=story.relay.now)])
         story.relay.cold_share = [(1.0, 1.0)] * 2
         story.serve(latency=3000)
         row = story.relay.trial.groups["canary"]
@@ -490,7 +490,7 @@
         first = story.relay.rows[0][0]
         story.relay.known[story.count].shots[0].unit = first
         first.connection_failures = 1
-        story.comes(story.count, "unreachable")
+        story.report_outcome(story.count, "unreachable")
         self.assertIs(story.relay.rows[0][-1], first)  # a unit that fails goes to the end of the row
         story.relay.choice.unreachable_rate, connected, new = 0.9, *story.relay.rows[0][:2]
         connected.last_answer_at, connected.open_shots, new.last_answer_at, new.open_shots = story.relay.now, 1, 0, 0
@@ -501,7 +501,7 @@
         for index in range(300):
             story = Story(units=10, relays=300, index=index, may_tell=False)
             story.relay.random.state = stable_hash(index)
-            story.lists([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
+            story.update_list([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
             story.serve()
             shots += story.sent()
         cold = sum(unit > 7 for unit in shots)
@@ -561,7 +561,7 @@
         story = self.story(units=4)
         story.trial(many=2)
         numbers = [story.take() for _ in range(20)]
-        story.lists([story.unit(number) for number in range(2)])
+        story.update_list([story.unit(number) for number in range(2)])
         for number in numbers:
             story.relay.on_note(story.relay.load_tracking.order[0], answer_note(number, 0))
         self.assertTrue(set(story.sent()) <= {0, 1})
@@ -572,7 +572,7 @@
         story = Story()
         for _ in range(100):
             story.serve("error")
-        story.lists([story.unit(9, started=story.relay.now - SECOND)], kind="changes")
+        story.update_list([story.unit(9, started=story.relay.now - SECOND)], kind="changes")
         for _ in range(200):
             story.serve("error")
         self.assertLess(story.sent().count(9), 10)
@@ -606,7 +606,7 @@
 
     def test_among_equally_loaded_units_the_askers_zone_comes_first(self) -> None:
         story = self.story(zone=1)
-        story.lists([story.unit(number, zone=number % 2) for number in range(6)])
+        story.update_list([story.unit(number, zone=number % 2) for number in range(6)])
         story.take()
         asked = read_tracker_note(story.host.of("send_note")[-1][1])[2:]
         self.assertEqual([unit % 2 for unit in asked], [1, 1, 1, 0, 0, 0])
@@ -687,7 +687,7 @@
                 story.serve()
                 story.serve(outcome, latency=500)
                 self.assertTrue(story.relay.choice.is_available(story.relay.units[0]))
-            story.comes(story.take(), outcome, latency=500)
+            story.report_outcome(story.take(), outcome, latency=500)
             self.assertFalse(story.relay.choice.is_available(story.relay.units[0]))
         story = Story(units=1, workloads=(ONE_SHOT,))
         story.serve("unreachable", latency=SECOND // 4)  # no answer at all: out of reach
@@ -699,8 +699,8 @@
         for _ in range(30):
             number = story.take()
             if story.sent(number)[0] == 0:
-                story.comes(number, "cancelled", latency=SECOND)
-            story.comes(number, "served", place=len(story.sent(number)) - 1)
+                story.report_outcome(number, "cancelled", latency=SECOND)
+            story.report_outcome(number, "served", place=len(story.sent(number)) - 1)
         self.assertLess(story.sent().count(0), 5)
         story.later(unit.ejected_until)
         self.assertTrue(story.relay.choice.is_available(unit))
@@ -712,7 +712,7 @@
         out = [story.take() for _ in range(40)]
         story.later(2 * SECOND)
         for number in out:
-            story.comes(number, "served", latency=2 * SECOND)
+            story.report_outcome(number, "served", latency=2 * SECOND)
         self.assertTrue(25 < story.relay.admission.limit < 40)
         for _ in range(60):
             story.serve(latency=2 * SECOND)
@@ -747,9 +747,9 @@
         for _ in range(40):
             number = story.take()
             for place, unit in enumerate(story.sent(number)):
-                story.comes(number, "full" if unit == 0 else "served", place=place)
+                story.report_outcome(number, "full" if unit == 0 else "served", place=place)
             if len(story.sent(number)) == 2:
-                story.comes(number, "served", place=1)
+                story.report_outcome(number, "served", place=1)
         self.assertEqual(story.relay.admission.limit, limit)
         self.assertLess(story.sent().count(0), 5)
 
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -6,8 +6,8 @@
 import unittest
 
 from hypothesis import given, strategies as st
+from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 
-from tealsail.choices.flood import SECOND, Flood, Limits, limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
 from tealsail.parts import excess_in_deviations
@@ -116,26 +116,26 @@
 class Floods(unittest.TestCase):
     """The limits on notes of one sender and of all."""
 
-    def taken(self, flood: Flood, notes: list[int], now: int = 0) -> dict[int, int]:
+    def taken(self, flood: RateLimiter, notes: list[int], now: int = 0) -> dict[int, int]:
         found: dict[int, int] = {}
         for sender in notes:
             found[sender] = found.get(sender, 0) + flood.allows(sender, now)
         return found
 
     def test_one_flooding_relay_gets_its_part_and_all_others_are_heard(self) -> None:
-        flood = Flood(limits(60))
+        flood = RateLimiter(count_message_limits(60))
         notes = [0] * 200 + [sender for sender in range(1, 50) for _ in range(2)] + [0] * 100_000
         found = self.taken(flood, notes)
         self.assertEqual((found[0], {found[sender] for sender in range(1, 50)}), (28, {2}))
 
     def test_with_five_flooding_relays_and_too_many_notes_in_all_each_honest_relay_is_heard_once(self) -> None:
-        flood = Flood(Limits(100, 400))
+        flood = RateLimiter(MessageLimits(100, 400))
         found = self.taken(flood, [flooding for _ in range(1000) for flooding in range(5)] + list(range(5, 1000)) * 2)
         self.assertEqual({found[sender] for sender in range(5, 1000)}, {1})
         self.assertLess(sum(found[flooding] for flooding in range(5)), 250)
 
     def test_a_second_later_all_are_heard_again_and_old_entries_are_dropped(self) -> None:
-        flood = Flood(Limits(10, 400))
+        flood = RateLimiter(MessageLimits(10, 400))
         self.taken(flood, [7] * 50)
         self.assertEqual(self.taken(flood, [7] * 3, SECOND), {7: 3})
         for second in range(2, 100):
@@ -145,7 +145,7 @@
     def test_the_most_that_an_honest_relay_sends_is_under_the_limit(self) -> None:
         for cells in (30, 60, 240, 1920):
             counts = [(cell, 1 << 20) for cell in range(cells)]  # each as two figures
-            self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, limits(cells).each)
+            self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, count_message_limits(cells).each)
 
 
 class Judges(unittest.TestCase):
