--- a/tealsail/adapter/frames.py
+++ b/tealsail/adapter/protocol.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO, TextIO
 
 from ..policy import Relay
-from . import words
+from . import translation
 
 
 class BadInput(Exception):
@@ -68,7 +68,7 @@
             "TIMER": lambda relay, f: relay.on_wake(int(f["ctx"])),
             "HEARD": lambda relay, f: relay.on_told(int(f["originPeer"]), unhex(f["payload"])),
             "STAGE": self.stage,
-            "RETURNED": lambda relay, f: relay.on_flag(int(f["unit"]), int(f["grade"]), words.tenths(f["old"])),
+            "RETURNED": lambda relay, f: relay.on_flag(int(f["unit"]), int(f["grade"]), translation.tenths(f["old"])),
         }
 
     def event(self, name: str, f: Fields) -> None:
@@ -82,11 +82,11 @@
                 (
                     int(f["unit"]),
                     int(float(f["release"])),
-                    words.STATES[f["stageState"]],
+                    translation.STATES[f["stageState"]],
                     int(f.get("campus", 0)),
                     int(f.get("pod", 0)),
                     float(f.get("share", 1)),
-                    words.tenths(f.get("startTime", "0")),
+                    translation.tenths(f.get("startTime", "0")),
                 )
             )
         elif name == "DEFINE_LIST":
@@ -96,7 +96,7 @@
             number, seed = f.pop("relay"), int(f.pop("rngSeed"))
             door = Door(number, self.out)
             self.guarded(
-                number, lambda: self.relays.__setitem__(number, Relay(door, words.settings(f), seed, self.now))
+                number, lambda: self.relays.__setitem__(number, Relay(door, translation.settings(f), seed, self.now))
             )
         elif name == "RETIRE":
             self.relays.pop(f["relay"], None)
@@ -108,7 +108,7 @@
             self.events[name](relay, f)
 
     def topology(self, relay: Relay, f: Fields) -> None:
-        kind = words.LISTS[f["form"]]
+        kind = translation.LISTS[f["form"]]
         if kind != "failed":  # comes to those who ask; no deployment here has lists to ask for
             relay.on_list(kind, self.lists[f["slot"]])
 
@@ -118,8 +118,8 @@
             int(f["grade"]),
             int(f.get("team", 0)),
             f.get("resource"),
-            words.tenths(f["giveUpAt"]),
-            words.tenths(f.get("effort", "0")),
+            translation.tenths(f["giveUpAt"]),
+            translation.tenths(f.get("effort", "0")),
             f.get("againByClient") == "1",
         )
 
@@ -129,19 +129,23 @@
         relay.on_outcome(
             int(f["requestId"]),
             int(f["try"]),
-            words.OUTCOMES[f["disposition"]],
+            translation.OUTCOMES[f["disposition"]],
             f.get("terminal") == "1",
-            words.tenths(f["latency"]),
+            translation.tenths(f["latency"]),
             seen,
         )
 
     def stage(self, relay: Relay, f: Fields) -> None:
         """The answer to a vote, the platform's news, or both: only an `ok` carries news."""
         if f["how"] == "1":
-            relay.on_vote_answer(words.ANSWERS[f["disposition"]])
+            relay.on_vote_answer(translation.ANSWERS[f["disposition"]])
         if f["disposition"] == "ok":
             relay.on_stage(
-                int(f["buildNo"]), int(f["ring"]), int(f["standing"]), float(f["mostShare"]), words.tenths(f["old"])
+                int(f["buildNo"]),
+                int(f["ring"]),
+                int(f["standing"]),
+                float(f["mostShare"]),
+                translation.tenths(f["old"]),
             )
 
     def guarded(self, number: str, call: Any) -> None:
@@ -188,7 +192,7 @@
             if name == "TURN":
                 if inside:
                     raise BadInput("TURN inside a batch")
-                wire.now, inside = words.tenths(fields["moment"]), True
+                wire.now, inside = translation.tenths(fields["moment"]), True
             elif not inside:
                 raise BadInput(f"{name} outside a batch")
             elif name == "FLUSH":
--- a/tealsail/net/start.py
+++ b/tealsail/net/start.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from .. import settings
-from ..setup.facts import BadFacts, check
+from ..setup.validation import BadFacts, check
 from .discovery import News, Unreadable, address, read_news
 from .platform import State, Unreadable as UnreadableState, read_state
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -5,7 +5,7 @@
 from tealsail import policy
 from tealsail.choices.switch import Fixed, Switch
 from tealsail.net import start
-from tealsail.setup.facts import BadFacts, check
+from tealsail.setup.validation import BadFacts, check
 
 from . import test_relay
 from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
