--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -14,7 +14,7 @@
 from ..lab.bars import Bar, Difference
 from ..lab.figures import Result
 from ..lab.scenario import BadScenario, Scenario, read
-from ..record.lines import Unreadable
+from ..record.lines import InvalidRecord
 from ..world.rules import Breach
 
 FEWEST, MOST = 1, 1000  # replicas
@@ -47,7 +47,7 @@
         for name, call in (("show", record_show), ("import", record_import), ("fit", record_fit)):
             if chosen[name]:
                 return call(chosen, out)
-    except (BadScenario, Unreadable, OSError, ValueError) as problem:
+    except (BadScenario, InvalidRecord, OSError, ValueError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -11,7 +11,7 @@
 from ..lab.scale import foretold, runs
 from ..lab.scale.reading import NONE, RoleSeen, Run, Spread
 from ..lab.scenario import BadScenario, read
-from ..record.lines import Unreadable
+from ..record.lines import InvalidRecord
 from .capacity import DEFAULT_FROM
 from .lab import WIDTH, Shown, number, save
 
@@ -21,7 +21,7 @@
     out = Console(highlight=False, width=None if sys.stdout.isatty() else WIDTH)
     try:
         return scale(chosen, out)
-    except (BadScenario, Unreadable, OSError, ValueError) as problem:
+    except (BadScenario, InvalidRecord, OSError, ValueError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -15,7 +15,7 @@
 import numpy
 
 from ..parts import Chance, mix
-from ..record.lines import Done, Head, Ran
+from ..record.lines import Head, ShotAnswered, ShotStarted
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
 from ..world.unit import NEVER, Asked, Unit
@@ -94,11 +94,11 @@
         else:
             break
         for asked, work in unit.taken:
-            evenness(Ran(now, asked.relay, asked.number, 0, unit.name, work))
+            evenness(ShotStarted(now, asked.relay, asked.number, 0, unit.name, work))
         unit.taken.clear()
         said, unit.said = unit.said, []
         for asked, outcome in said:
-            evenness(Done(now, asked.relay, asked.number, 0, unit.name, outcome))
+            evenness(ShotAnswered(now, asked.relay, asked.number, 0, unit.name, outcome))
             choosers.own[asked.relay][unit.name] -= 1
             if outcome == "served":
                 served.append(now - asked.at + 2 * way)
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -38,7 +38,7 @@
 
     def listen(line: Any) -> None:
         nonlocal count
-        count += type(line).__name__ == "Take"
+        count += type(line).__name__ == "InvocationTaken"
 
     before = time.process_time()
     Model(one, one.seed, [listen]).play()
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -16,7 +16,7 @@
 
 from ..choices.load_digests import LoadDigests
 from ..parts import Chance, mix
-from ..record.lines import Done, Head, Ran
+from ..record.lines import Head, ShotAnswered, ShotStarted
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
 from ..world.unit import NEVER, Asked, Unit
@@ -247,11 +247,11 @@
 
     def after(self, unit: Unit) -> None:
         for (arrival, _), work in unit.taken:
-            self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
+            self.evenness(ShotStarted(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
         said, unit.said = unit.said, []
         for (arrival, sent), outcome in said:
-            self.evenness(Done(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
+            self.evenness(ShotAnswered(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
             relay = self.relays[arrival.relay]
             relay.ended(unit, self.now, self.now - sent)
             began = self.began.pop((arrival.relay, arrival.number))
--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages, statements
-from ...record.lines import Came, Done, Met, Ran, Shot
+from ...record.lines import ConnectionOpened, ShotAnswered, ShotEnded, ShotSent, ShotStarted
 from ...world.clients import TRY
 from ...world.network import Network
 from ...world.unit import NEVER, Asked, Unit
@@ -58,7 +58,7 @@
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.listener.connections[self] = None
-        self.listener.record_line(Met(self.listener.now(), self.relay, self.listener.backend.name))
+        self.listener.record_line(ConnectionOpened(self.listener.now(), self.relay, self.listener.backend.name))
         if not self.is_reachable():
             self.cut_off()
 
@@ -106,7 +106,7 @@
         self.query = PendingQuery(self, number, attempt)
         backend = listener.backend
         wait = int(statement.wait * 10)  # tenths of a ms
-        listener.record_line(Shot(now, self.relay, number, attempt, backend.name, backend.build.number, wait))
+        listener.record_line(ShotSent(now, self.relay, number, attempt, backend.name, backend.build.number, wait))
         backend.take(now, Asked(self.query, number % TRY, pool.setup.class_numbers[statement.workload]))
         pool.follow_up(listener)
 
@@ -132,7 +132,7 @@
         if query and not query.is_over:
             query.is_over = True
             listener = self.listener
-            listener.record_line(Came(listener.now(), self.relay, query.number, query.attempt, "cancelled"))
+            listener.record_line(ShotEnded(listener.now(), self.relay, query.number, query.attempt, "cancelled"))
             listener.backend.stop(listener.now(), query)
             listener.pool.follow_up(listener)
 
@@ -259,7 +259,7 @@
         now = setup.now()
         taken, backend.taken = backend.taken, []
         for query, work in taken:
-            setup.record_line(Ran(now, query.connection.relay, query.number, query.attempt, backend.name, work))
+            setup.record_line(ShotStarted(now, query.connection.relay, query.number, query.attempt, backend.name, work))
         said, backend.said = backend.said, []
         for query, outcome in said:
             if not query.is_over:
@@ -272,8 +272,8 @@
     def answer(self, now: int, backend: Unit, query: PendingQuery, outcome: str) -> None:
         query.is_over = True
         relay, seen = query.connection.relay, "served" if outcome == "wrong" else outcome
-        self.setup.record_line(Done(now, relay, query.number, query.attempt, backend.name, outcome))
-        self.setup.record_line(Came(now, relay, query.number, query.attempt, seen))
+        self.setup.record_line(ShotAnswered(now, relay, query.number, query.attempt, backend.name, outcome))
+        self.setup.record_line(ShotEnded(now, relay, query.number, query.attempt, seen))
         query.connection.answer(outcome, backend.load(now) if backend.kind.report_every else None)
 
     def schedule(self, listener: BackendListener) -> None:
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from ...record.lines import News, Told
+from ...record.lines import EntryReceived, News
 from ...world.day import Day
 from ...world.desk import State
 from ...world.roster import Entry
@@ -162,7 +162,7 @@
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
         setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
-            setup.record_line(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
+            setup.record_line(EntryReceived(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
         body = json.dumps(endpoint_list(setup, owner.port_number, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages
-from ...record.lines import Life, Log, News, Told
+from ...record.lines import EntryReceived, Log, News, RelayEvent
 from ...world.day import Day, Order
 from .addresses import LIST, PLATFORM
 from .clock_offset import CLOCK_FILE
@@ -197,7 +197,7 @@
         entries = roster.whole(roster.told[relay])
         now = setup.now()
         for entry in entries:
-            setup.record_line(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
+            setup.record_line(EntryReceived(now, relay, entry.name, entry.build, entry.state, entry.started))
         setup.record_line(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
@@ -227,7 +227,7 @@
     def mark_ready(self, running: RelayProcess) -> None:
         if self.running.get(running.relay, (None,))[0] is running and running.is_wanted:
             running.is_ready = running.has_been_up = True  # else it was killed while its first answer was on the way
-            self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
+            self.setup.record_line(RelayEvent(self.setup.now(), running.relay, "up"))
             self.on_change()
 
     # what the script does
@@ -246,7 +246,9 @@
             case "stop" | "on" if running and running.is_stopped != (order.what == "stop"):
                 running.is_stopped = order.what == "stop"
                 os.kill(process.pid, signal.SIGSTOP if running.is_stopped else signal.SIGCONT)
-                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.is_stopped else "on"))
+                self.setup.record_line(
+                    RelayEvent(self.setup.now(), order.relay, "stopped" if running.is_stopped else "on")
+                )
             case "rate":
                 self.set_clock(order.relay, rate=order.amount)
             case "step":
@@ -273,7 +275,7 @@
     def record_down(self, running: RelayProcess) -> None:
         """The record says nothing of one that had not come up yet."""
         if running.has_been_up:
-            self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
+            self.setup.record_line(RelayEvent(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
         """Planned: told to end, and started anew once it has."""
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...record.files import Writer, read
-from ...record.lines import VERSION, Close as Closed, Head, Line, Shot
+from ...record.lines import VERSION, Close as Closed, Head, Line, ShotSent
 from ...world.day import Day
 from ...world.rules import Slack
 from ..figures import Result
@@ -301,7 +301,7 @@
     resent, taken = {tuple(each) for report in trial.final_reports for each in report.resent}, set()
     for line in trial.record():
         judged(line)
-        if isinstance(line, Shot) and (line.relay, line.number) in resent:
+        if isinstance(line, ShotSent) and (line.relay, line.number) in resent:
             taken.add((line.relay, line.number))  # it had read it after all, and never answered
         if writer:
             writer(line)
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -8,7 +8,7 @@
 
 from ..parts import mix
 from ..record.files import Writer, read
-from ..record.lines import Any_Line, Close
+from ..record.lines import AnyLine, Close
 from ..setup.document import convert
 from ..world.evenness import Evenness
 from ..world.rules import MOST_TOLD, Breach, Rules, Slack
@@ -33,7 +33,7 @@
         self.figures, self.rules, self.spill, self.evenness = Figures(), Rules(slack), spill_of(day), Evenness()
         self.listeners = [each for each in (self.figures, self.rules, self.spill, self.evenness) if each]
 
-    def __call__(self, line: Any_Line) -> None:
+    def __call__(self, line: AnyLine) -> None:
         for listener in self.listeners:
             listener(line)
 
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ...record.lines import Came, Done, Ran, Shot
+from ...record.lines import ShotAnswered, ShotEnded, ShotSent, ShotStarted
 from ...world.clients import TRY
 from ...world.unit import NEVER, Asked, Unit
 from ..loopback.trial_setup import TrialSetup
@@ -60,7 +60,7 @@
         now = self.setup.now()
         self.attempted(attempt.relay, attempt.name)
         self.setup.record_line(
-            Shot(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
+            ShotSent(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
         )
         machine.take(now, Asked(attempt, attempt.number % TRY, request_class))
         self.touch(machine)
@@ -69,7 +69,7 @@
     def stop(self, attempt: Attempt) -> None:
         """Its relay waits no longer."""
         now = self.setup.now()
-        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
+        self.setup.record_line(ShotEnded(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
         machine = self.running(attempt.name)
         if machine:
             machine.stop(now, attempt)
@@ -114,12 +114,12 @@
         now, tell = self.setup.now(), self.setup.record_line
         taken, machine.taken = machine.taken, []
         for attempt, work in taken:
-            tell(Ran(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
+            tell(ShotStarted(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
         said, machine.said = machine.said, []
         for attempt, outcome in said:
-            tell(Done(now, attempt.relay, attempt.number, attempt.place, machine.name, outcome))
+            tell(ShotAnswered(now, attempt.relay, attempt.number, attempt.place, machine.name, outcome))
             came = "served" if outcome == "wrong" else outcome
-            tell(Came(now, attempt.relay, attempt.number, attempt.place, came))
+            tell(ShotEnded(now, attempt.relay, attempt.number, attempt.place, came))
             attempt.answered(outcome, machine.load(now) if machine.kind.report_every else None)
         if machine.fell and not machine.told_fallen:
             machine.told_fallen = True
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -18,7 +18,7 @@
 
 from ...facade import Facade, Standing
 from ...record.files import read
-from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
+from ...record.lines import VERSION, Close, Head, InvocationTaken, Line, RelayEvent, Unit as UnitLine
 from ...world.day import Day, Order
 from ...world.unit import Unit
 from ..loopback import process_messages as parts
@@ -193,7 +193,7 @@
         return self.names[number] if 0 <= number < len(self.names) else ""
 
     def tell(self, line: Line) -> None:
-        if isinstance(line, Take):
+        if isinstance(line, InvocationTaken):
             self.serves[line.number] = line.relay
         self.lines.append(line)
 
@@ -242,7 +242,7 @@
             return
         zero = self.reactor.seconds() + LEAD
         for relay in self.group_of:
-            self.tell(Life(0, relay, "up"))
+            self.tell(RelayEvent(0, relay, "up"))
         self.setup.begin(zero)
         self.clients.receive(parts.DayBegin(zero))
         for group in self.groups:
@@ -446,10 +446,10 @@
             return self.relays.execute(order)
         match order.what:
             case "down":
-                self.tell(Life(self.setup.now(), order.relay, "down"))
+                self.tell(RelayEvent(self.setup.now(), order.relay, "down"))
                 group.tell(words.Kill(order.relay))
             case "up":
-                self.tell(Life(self.setup.now(), order.relay, "up"))
+                self.tell(RelayEvent(self.setup.now(), order.relay, "up"))
                 group.tell(words.Start(order.relay))
             case _:
                 self.wrong(f"relay {order.relay} is hollow: '{order.what}' can be done to real ones alone")
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -20,7 +20,7 @@
 from ...net.units import Value
 from ...parts import mix
 from ...record.files import Writer
-from ...record.lines import VERSION, End, Head, News as NewsLine, Told
+from ...record.lines import VERSION, EntryReceived, Head, InvocationEnded, News as NewsLine
 from ...world.clients import Arrival
 from ...world.day import Day
 from ...world.roster import Entry
@@ -221,7 +221,7 @@
         at = next((at for told, at in self.versions[relay] if told >= version), None)
         if at is not None:
             self.recorded.add((relay, name))
-            self.setup.record_line(Told(at, relay, name, entry.build, entry.state, entry.started))
+            self.setup.record_line(EntryReceived(at, relay, name, entry.build, entry.state, entry.started))
 
     def note_sent(self, address: tuple[str, int], size: int) -> None:
         other = self.heard_of.setdefault(self.numbers.get(address, -1), [0, 0, 0, 0])
@@ -352,7 +352,7 @@
         if serving.timer.active():
             serving.timer.cancel()
         self.serving.pop(arrival.number, None)
-        self.setup.record_line(End(self.setup.now(), serving.relay.index, arrival.number, answer))
+        self.setup.record_line(InvocationEnded(self.setup.now(), serving.relay.index, arrival.number, answer))
         again = self.clients.answered(self.setup.now(), arrival, answer, come_back)
         if again:
             self.repeats += 1
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -12,7 +12,22 @@
 from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
 from ..net.relay import number_of
 from ..parts import mix
-from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
+from ..record.lines import (
+    VERSION,
+    ConnectionOpened,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    News,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent as ShotLine,
+    ShotStarted,
+)
 from ..world.clients import Arrival
 from ..world.day import Day, Order
 from ..world.roster import Entry
@@ -89,7 +104,7 @@
     def stop(self) -> None:
         if self.stopped < 0:
             self.stopped, self.notes = self.model.now, 0
-            self.model.tell(Life(self.model.now, self.index, "stopped"))
+            self.model.tell(RelayEvent(self.model.now, self.index, "stopped"))
 
     def go_on(self) -> None:
         """It runs again: what waited comes at once, and after a gap it trusts nothing older, as the daemon does."""
@@ -97,7 +112,7 @@
             return
         model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
         self.stopped, self.backlog = -1, []
-        model.tell(Life(model.now, self.index, "on"))
+        model.tell(RelayEvent(model.now, self.index, "on"))
         if gap > GAP * TENTHS:
             disregard(self.facade.relay, self.clock())
             for name, (idle, _) in self.kept.items():
@@ -112,7 +127,7 @@
     def take(self, arrival: Arrival) -> None:
         model = self.model
         model.tell(
-            Take(
+            InvocationTaken(
                 model.now,
                 self.index,
                 arrival.number,
@@ -182,7 +197,7 @@
                 out.holds, wait = unit, 3 * way  # it proves itself by an empty query first
             elif unit.connect():
                 out.holds, out.new, wait = unit, True, 3 * way + model.parts.paths.handshake
-                model.tell(Met(now, self.index, name))
+                model.tell(ConnectionOpened(now, self.index, name))
             else:
                 return model.later(now + 2 * way, self.came, out, "full")
             model.later(now + wait + model.there, model.reach, self, out, unit)
@@ -212,7 +227,7 @@
             out.holds.disconnect()
         if outcome in ("served", "error", "full"):
             load = out.unit.load(model.now) if out.unit and out.unit.kind.report_every else None
-        model.tell(Came(model.now, self.index, serving.arrival.number, out.place, outcome))
+        model.tell(ShotEnded(model.now, self.index, serving.arrival.number, out.place, outcome))
         step = self.facade.report(Outcome(serving.number, out.place, outcome, load))
         if outcome == "served":
             self.end(serving, "wrong" if serving.wrong else "served")
@@ -282,7 +297,7 @@
         if self.waits(1, self.listed, entries, kind):
             return
         for entry in entries:
-            model.tell(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
+            model.tell(EntryReceived(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
         ahead = self.clock() - model.now  # units' starts are told in the time of all others' clocks
         told = [model.listed(entry) for entry in entries]
         self.facade.report(
@@ -363,7 +378,7 @@
         """From what is known at that place: the list as its agent has it, and the platform's state."""
         self.starts[relay] += 1
         door = self.doors[relay] = Door(self, relay, self.starts[relay])
-        self.tell(Life(self.now, relay, "up"))
+        self.tell(RelayEvent(self.now, relay, "up"))
         roster = self.day.roster
         door.stood()
         door.listed(roster.whole(roster.told[relay]), "old copy")
@@ -373,7 +388,7 @@
         door, self.doors[relay] = self.doors[relay], None
         if door is None:
             return
-        self.tell(Life(self.now, relay, "down"))
+        self.tell(RelayEvent(self.now, relay, "down"))
         self.faults += door.facade.faults
         for name, (idle, _) in door.kept.items():
             if name in self.day.fleet.units:
@@ -381,7 +396,7 @@
         for _, call, what in door.backlog:  # what it had not even read
             if call == door.taken:
                 self.open -= 1
-                self.tell(End(self.now, relay, what[0].number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, what[0].number, "lost"))
         for serving in door.serving.values():
             for out in serving.outs.values():
                 out.over = True
@@ -392,7 +407,7 @@
             if not serving.over:
                 serving.over = True
                 self.open -= 1
-                self.tell(End(self.now, relay, serving.arrival.number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, serving.arrival.number, "lost"))
 
     def acting(self, name: str) -> list[int]:
         """Who acts for the fleet as that, by the word of most relays."""
@@ -492,7 +507,7 @@
     def answered(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
         """An answer has come to its client."""
         self.open -= 1
-        self.tell(End(self.now, relay, arrival.number, answer))
+        self.tell(InvocationEnded(self.now, relay, arrival.number, answer))
         again = self.day.clients.answered(self.now, arrival, answer, come_back)
         if again:
             self.waiting += 1
@@ -527,13 +542,13 @@
     def touch(self, unit: Unit) -> None:
         """Takes up what a unit said, and when it wants to be woken."""
         for (door, out), work in unit.taken:
-            self.tell(Ran(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
+            self.tell(ShotStarted(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
         unit.taken.clear()
         if unit.said:
             said, unit.said = unit.said, []
             network, now = self.day.network, self.now
             for (door, out), outcome in said:
-                self.tell(Done(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
+                self.tell(ShotAnswered(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
                 if not out.over and network.reaches(now, door.index, unit.name, unit.zone):
                     self.later(now + network.way(door.index, unit.zone), door.came, out, outcome)
         if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from .. import __version__, settings
-from ..record.lines import VERSION, Came, End, Head, News, Shot, Take, Told
+from ..record.lines import VERSION, EntryReceived, Head, InvocationEnded, InvocationTaken, News, ShotEnded, ShotSent
 from ..record.recorder import Recorder
 from .clients import Answer, Forfeited, Rejected
 from .discovery import Entry, number_of
@@ -52,7 +52,7 @@
         customer = facade.place(statement.customer)
         at -= self.zero
         self.recorder.note(
-            Take(
+            InvocationTaken(
                 self.now(),
                 self.own,
                 number,
@@ -67,10 +67,10 @@
 
     def shot(self, number: int, place: int, unit: int, wait: int) -> None:
         name, build = self.names.get(unit, ("", 0))
-        self.recorder.note(Shot(self.now(), self.own, number, place, name, build, wait))
+        self.recorder.note(ShotSent(self.now(), self.own, number, place, name, build, wait))
 
     def came(self, number: int, place: int, outcome: str) -> None:
-        self.recorder.note(Came(self.now(), self.own, number, place, outcome))
+        self.recorder.note(ShotEnded(self.now(), self.own, number, place, outcome))
 
     def ended(self, number: int, answer: Answer | None) -> None:
         """None: its client has gone."""
@@ -83,7 +83,7 @@
             if isinstance(answer, Forfeited)
             else "served"
         )
-        self.recorder.note(End(self.now(), self.own, number, word))
+        self.recorder.note(InvocationEnded(self.now(), self.own, number, word))
 
     def listed(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -94,7 +94,9 @@
                 self.names[number] = entry.id, entry.build
             started = max(0, settings.tenths(entry.started) - self.zero) if entry.started else 0
             self.recorder.note(
-                Told(self.now(), self.own, entry.id, entry.build, STATES.get(entry.state, entry.state), started)
+                EntryReceived(
+                    self.now(), self.own, entry.id, entry.build, STATES.get(entry.state, entry.state), started
+                )
             )
 
     def stood(self, state: "State") -> None:
--- a/tealsail/record/files.py
+++ b/tealsail/record/files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO
 
-from .lines import VERSION, Any_Line, Close, Head, Line, Unreadable, decode, encode
+from .lines import VERSION, AnyLine, Close, Head, InvalidRecord, Line, decode, encode
 
 LONGEST = 1 << 20  # bytes of a line; a head holds a day
 LEVEL = 4  # of gzip
@@ -37,7 +37,7 @@
             self.file.close()
 
 
-class Notes:
+class ReadReport:
     """What a reader found amiss, in figures: lines skipped, steps back of the clock, whether the end is missing."""
 
     def __init__(self) -> None:
@@ -45,13 +45,13 @@
         self.first_problem = ""
 
 
-def read(path: Path | str, notes: Notes | None = None) -> Iterator[Any_Line]:
+def read(path: Path | str, notes: ReadReport | None = None) -> Iterator[AnyLine]:
     """The lines of a record, its head first; what can't be read is skipped and noted.  Without `notes` it raises.
 
     A last line cut in half (its writer was killed) is no fault, only noted.  Raises Unreadable for a file that is
     no record or of another version, OSError where there is none.
     """
-    strict, notes = notes is None, notes or Notes()
+    strict, notes = notes is None, notes or ReadReport()
     with open(path, "rb") as file:
         packed = file.peek(2)[:2] == b"\x1f\x8b"
         with gzip.open(file) if packed else file as lines:
@@ -61,7 +61,7 @@
                     text = lines.readline(LONGEST)
                 except (EOFError, OSError, zlib.error) as problem:  # packed, and cut off
                     if strict:
-                        raise Unreadable(f"{path}: {problem}") from None
+                        raise InvalidRecord(f"{path}: {problem}") from None
                     return
                 if not text:
                     return
@@ -71,13 +71,13 @@
                     continue
                 try:
                     if not text.endswith(b"\n"):
-                        raise Unreadable("half a line, or one beyond bounds")
+                        raise InvalidRecord("half a line, or one beyond bounds")
                     line = decode(text)
-                except Unreadable as problem:
+                except InvalidRecord as problem:
                     notes.skipped += 1
                     notes.first_problem = notes.first_problem or str(problem)
                     if strict:
-                        raise Unreadable(f"{path}: {problem}") from None
+                        raise InvalidRecord(f"{path}: {problem}") from None
                     continue
                 if line.at < last:
                     notes.steps_back += 1
@@ -91,10 +91,10 @@
     """The first line of a file that is said to be a record."""
     try:
         line = decode(text)
-    except Unreadable as problem:
-        raise Unreadable(f"{path}: not a record: {problem}") from None
+    except InvalidRecord as problem:
+        raise InvalidRecord(f"{path}: not a record: {problem}") from None
     if not isinstance(line, Head):
-        raise Unreadable(f"{path}: not a record: its first line is no head")
+        raise InvalidRecord(f"{path}: not a record: its first line is no head")
     if line.version != VERSION:
-        raise Unreadable(f"{path}: a record of version {line.version}; this program reads version {VERSION}")
+        raise InvalidRecord(f"{path}: a record of version {line.version}; this program reads version {VERSION}")
     return line
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -30,7 +30,7 @@
     day: dict[str, Any] = {}
 
 
-class Take(Line, tag="take"):
+class InvocationTaken(Line, tag="take"):
     """A relay took an invocation.  `intended`: when its client meant to send it; `first`: the number of the
     client's first try (its own, but for repeats); `give_up`: the abandon time."""
 
@@ -44,7 +44,7 @@
     first: int
 
 
-class Shot(Line, tag="shot"):
+class ShotSent(Line, tag="shot"):
     """A relay sent one; `wait`: its time-out."""
 
     relay: int
@@ -55,14 +55,14 @@
     wait: int
 
 
-class Met(Line, tag="met"):
+class ConnectionOpened(Line, tag="met"):
     """A relay made a new connection to a unit."""
 
     relay: int
     unit: str
 
 
-class Came(Line, tag="came"):
+class ShotEnded(Line, tag="came"):
     """A shot ended for its relay; the words are the facade's (tealsail/facade.py, Outcome)."""
 
     relay: int
@@ -71,7 +71,7 @@
     outcome: str
 
 
-class End(Line, tag="end"):
+class InvocationEnded(Line, tag="end"):
     """The final answer, one of ANSWERS, as the relay gave it (left: its client had gone)."""
 
     relay: int
@@ -79,7 +79,7 @@
     answer: str
 
 
-class Ran(Line, tag="ran"):
+class ShotStarted(Line, tag="ran"):
     """A unit took a shot in; `work`: tenths of a ms of one core of speed one.  It may have an effect."""
 
     relay: int
@@ -89,7 +89,7 @@
     work: int
 
 
-class Done(Line, tag="done"):
+class ShotAnswered(Line, tag="done"):
     """A unit gave its answer: served, wrong, error, full or reset."""
 
     relay: int
@@ -112,7 +112,7 @@
     warm_up: int
 
 
-class Told(Line, tag="told"):
+class EntryReceived(Line, tag="told"):
     """A relay was told of one entry of the list; `state`: open, draining or gone."""
 
     relay: int
@@ -142,7 +142,7 @@
     answer: str
 
 
-class Stage(Line, tag="stage"):
+class StageChanged(Line, tag="stage"):
     """The platform's truth, when it changed."""
 
     build: int
@@ -151,7 +151,7 @@
     cap: float
 
 
-class Life(Line, tag="life"):
+class RelayEvent(Line, tag="life"):
     """A relay's: up, down, stopped or on (its process does not run, runs again)."""
 
     relay: int
@@ -178,13 +178,29 @@
     late: int = 0
 
 
-Any_Line = (
-    Head | Take | Shot | Met | Came | End | Ran | Done | Unit | Told | News | Vote | Stage | Life | Fault | Log | Close
+AnyLine = (
+    Head
+    | InvocationTaken
+    | ShotSent
+    | ConnectionOpened
+    | ShotEnded
+    | InvocationEnded
+    | ShotStarted
+    | ShotAnswered
+    | Unit
+    | EntryReceived
+    | News
+    | Vote
+    | StageChanged
+    | RelayEvent
+    | Fault
+    | Log
+    | Close
 )
-ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(Any_Line)
+ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyLine)
 
 
-class Unreadable(Exception):
+class InvalidRecord(Exception):
     """A line or a record that is not of this format, in one sentence."""
 
 
@@ -193,9 +209,9 @@
     return ENCODER.encode(line) + b"\n"
 
 
-def decode(text: bytes) -> Any_Line:
+def decode(text: bytes) -> AnyLine:
     """Raises Unreadable."""
     try:
         return DECODER.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(f"no line of a record: {problem}") from None
+        raise InvalidRecord(f"no line of a record: {problem}") from None
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..record.lines import Fault as FaultLine, Stage, Vote
+from ..record.lines import Fault as FaultLine, StageChanged, Vote
 from .builds import Build
 from .clients import Clients, Habits, Workload
 from .desk import Desk, Plan
@@ -152,7 +152,7 @@
             desk.orders = []
         if desk.news:
             desk.news, self.moved = False, True
-            self.lines.append(Stage(now, desk.state.build, desk.state.stage, desk.state.phase, desk.state.cap))
+            self.lines.append(StageChanged(now, desk.state.build, desk.state.stage, desk.state.phase, desk.state.cap))
         for entry in fleet.changes:
             self.round_due = min(self.round_due, self.roster.change(now, entry))
         self.lines += fleet.lines
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,16 +10,25 @@
 
 from tealsail.lab import imports
 from tealsail.record import files, lines
-from tealsail.record.lines import Came, Close, End, Head, Shot, Take, Unreadable, Vote
+from tealsail.record.lines import (
+    Close,
+    Head,
+    InvalidRecord,
+    InvocationEnded,
+    InvocationTaken,
+    ShotEnded,
+    ShotSent,
+    Vote,
+)
 
 HEAD = Head(0, lines.VERSION, "model", "a day", 7, {"workloads": []})
 WORDS = st.text(max_size=20)
 TIMES = st.integers(0, 1 << 50)
 ANY = st.one_of(
-    st.builds(Take, TIMES, TIMES, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
-    st.builds(Shot, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
-    st.builds(Came, TIMES, TIMES, TIMES, TIMES, WORDS),
-    st.builds(End, TIMES, TIMES, TIMES, WORDS),
+    st.builds(InvocationTaken, TIMES, TIMES, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
+    st.builds(ShotSent, TIMES, TIMES, TIMES, TIMES, WORDS, TIMES, TIMES),
+    st.builds(ShotEnded, TIMES, TIMES, TIMES, TIMES, WORDS),
+    st.builds(InvocationEnded, TIMES, TIMES, TIMES, WORDS),
     st.builds(Vote, TIMES, TIMES, TIMES, TIMES, WORDS, WORDS),
 )
 
@@ -47,11 +56,11 @@
     def test_whatever_bytes_come_a_line_is_read_or_turned_down(self, data) -> None:
         try:
             self.assertIsInstance(lines.decode(data), lines.Line)
-        except Unreadable:
+        except InvalidRecord:
             pass
 
     def test_plain_and_packed_alike_and_the_same_bytes_twice(self) -> None:
-        ends = [End(at, 0, at, "served") for at in range(100)]
+        ends = [InvocationEnded(at, 0, at, "served") for at in range(100)]
         for name in ("a.record", "a.record.gz"):
             path = self.written(name, *ends)
             self.assertEqual(list(files.read(path)), [HEAD, *ends, Close(99, 101, 3)])
@@ -59,25 +68,25 @@
         self.assertEqual((self.folder / "a.record.gz").read_bytes()[:2], b"\x1f\x8b")
 
     def test_half_a_last_line_is_noted_and_all_before_it_counts(self) -> None:
-        path = self.written("a.record", End(5, 0, 1, "served"))
+        path = self.written("a.record", InvocationEnded(5, 0, 1, "served"))
         path.write_bytes(path.read_bytes()[:-7])
-        notes = files.Notes()
-        self.assertEqual(list(files.read(path, notes)), [HEAD, End(5, 0, 1, "served")])
+        notes = files.ReadReport()
+        self.assertEqual(list(files.read(path, notes)), [HEAD, InvocationEnded(5, 0, 1, "served")])
         self.assertEqual((notes.skipped, notes.cut_off), (1, True))
-        with self.assertRaises(Unreadable):
+        with self.assertRaises(InvalidRecord):
             list(files.read(path))
 
     def test_a_packed_record_whose_writer_was_killed(self) -> None:
-        path = self.written("a.record.gz", *(End(at, 0, at, "served") for at in range(5000)))
+        path = self.written("a.record.gz", *(InvocationEnded(at, 0, at, "served") for at in range(5000)))
         path.write_bytes(path.read_bytes()[:-2000])
-        notes = files.Notes()
+        notes = files.ReadReport()
         self.assertGreater(len(list(files.read(path, notes))), 100)
         self.assertTrue(notes.cut_off)
 
     def test_a_clock_that_steps_back_and_a_spoilt_line_are_noted(self) -> None:
-        path = self.written("a.record", End(500, 0, 1, "served"), End(400, 0, 2, "served"))
+        path = self.written("a.record", InvocationEnded(500, 0, 1, "served"), InvocationEnded(400, 0, 2, "served"))
         path.write_bytes(path.read_bytes().replace(b'["end",400', b'["what",400'))
-        notes = files.Notes()
+        notes = files.ReadReport()
         read = list(files.read(path, notes))
         self.assertEqual((len(read), notes.skipped, notes.steps_back, notes.cut_off), (3, 1, 1, False))
         self.assertIn("no line of a record", notes.first_problem)
@@ -86,18 +95,18 @@
         other = self.folder / "b.record"
         other.write_bytes(lines.encode(Head(0, 99, "model", "x", 1, {})))
         for path, why in ((other, "version 99"), (Path(__file__), "not a record")):
-            with self.assertRaisesRegex(Unreadable, why):
+            with self.assertRaisesRegex(InvalidRecord, why):
                 list(files.read(path))
 
     def test_a_long_record_is_read_in_bounded_memory(self) -> None:
         path = self.folder / "long.record.gz"
         with gzip.open(path, "wb", 1) as file:
             file.write(lines.encode(HEAD))
-            block = b"".join(lines.encode(End(at, 0, at, "served")) for at in range(1000))
+            block = b"".join(lines.encode(InvocationEnded(at, 0, at, "served")) for at in range(1000))
             for _ in range(300):
                 file.write(block)
         tracemalloc.start()
-        count = sum(1 for _ in files.read(path, files.Notes()))
+        count = sum(1 for _ in files.read(path, files.ReadReport()))
         _, most = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         self.assertEqual(count, 300_001)
@@ -105,20 +114,22 @@
 
     def test_a_line_without_an_end_does_not_fill_the_memory(self) -> None:
         path = self.folder / "wide.record"
-        path.write_bytes(lines.encode(HEAD) + b"[" * (5 << 20) + b"\n" + lines.encode(End(1, 0, 1, "served")))
-        notes = files.Notes()
+        path.write_bytes(
+            lines.encode(HEAD) + b"[" * (5 << 20) + b"\n" + lines.encode(InvocationEnded(1, 0, 1, "served"))
+        )
+        notes = files.ReadReport()
         tracemalloc.start()
         read = list(files.read(path, notes))
         _, most = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        self.assertEqual((read[-1], notes.skipped), (End(1, 0, 1, "served"), 6))
+        self.assertEqual((read[-1], notes.skipped), (InvocationEnded(1, 0, 1, "served"), 6))
         self.assertLess(most, 8 << 20)
 
     def imported(self, text: str, **how) -> tuple[imports.Imported, list]:
         source = self.folder / "trace.csv"
         source.write_text(text)
         found = imports.from_csv(source, self.folder / "trace.record", **how)
-        return found, [line for line in files.read(self.folder / "trace.record") if isinstance(line, Take)]
+        return found, [line for line in files.read(self.folder / "trace.record") if isinstance(line, InvocationTaken)]
 
     def test_csv_with_gaps_steps_back_and_spoilt_lines(self) -> None:
         found, takes = self.imported(
