--- a/tealsail/adapter/__init__.py
+++ b/tealsail/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire put before the decision module: frames, words and units."""
+"""Runs the decision module on the simulator's line protocol: parsing, dispatch, and translation of names and units."""
--- a/tealsail/adapter/__main__.py
+++ b/tealsail/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""python -m tealsail.adapter: the wire on standard input and output."""
+"""`python -m tealsail.adapter`: the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/tealsail/adapter/translation.py
+++ b/tealsail/adapter/translation.py
@@ -1,6 +1,9 @@
-"""The wire's words and units, translated to the project's own and back (settings: tealsail/settings.py)."""
+"""Translates the values and units of the simulator's protocol to those of the decision module.
 
-from .. import settings as table
+The names of settings are translated by tealsail/settings.py.
+"""
+
+from .. import settings as settings_table
 
 OUTCOMES = {
     "ok": "served",
@@ -12,16 +15,19 @@
     "cancelled": "cancelled",
     "moot": "moot",
 }
-STATES = {"IN": "open", "LAME": "draining", "OUT": "gone"}
-LISTS = {"patch": "changes", "whole": "whole", "stale_copy": "old copy", "broken": "failed"}
-ANSWERS = {"ok": "ok", "moot": "moot", "full": "full", "error": "error", "timeout": "timeout"}
+UNIT_STATES = {"IN": "open", "LAME": "draining", "OUT": "gone"}
+LIST_KINDS = {"patch": "changes", "whole": "whole", "stale_copy": "old copy", "broken": "failed"}
+VOTE_ANSWERS = {"ok": "ok", "moot": "moot", "full": "full", "error": "error", "timeout": "timeout"}
 
 
 def tenths(text: str) -> int:
-    """A time of the wire in whole tenths of a millisecond, never later than it was."""
-    return table.tenths(float(text))
+    """Converts a time in milliseconds to whole tenths of a millisecond, rounded down.
+
+    Raises ValueError for a text that is no number.
+    """
+    return settings_table.tenths(float(text))
 
 
 def settings(pairs: dict[str, str]) -> dict:
-    """The wire's path=value pairs as a plain map of the module's names."""
-    return table.facts(table.flat(pairs))
+    """Converts the protocol's path=value pairs to settings under the decision module's names."""
+    return settings_table.facts(settings_table.flat(pairs))
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -50,7 +50,7 @@
         logger.error("network: {}", formatEvent(event) or event.get("log_failure"))
 
 
-class Reloads:
+class ConfigurationReloader:
     """The configuration's file, read again when that is asked for.  One that can't be used changes nothing; one that
     is half written is looked at again, for as long as the former addresses may still answer."""
 
@@ -59,15 +59,15 @@
 
     def asked(self) -> None:
         cancel(self.timer)
-        self.read(0)
+        self.reload(0)
 
-    def read(self, tries: int) -> None:
+    def reload(self, tries: int) -> None:
         again = ""
         try:
             self.relay.assign(read_again(os.environ))
         except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, BadStart) as problem:
             if isinstance(problem, Torn) and tries < len(AGAIN):
-                self.timer = self.reactor.callLater(AGAIN[tries], self.read, tries + 1)
+                self.timer = self.reactor.callLater(AGAIN[tries], self.reload, tries + 1)
                 again = f" (read again in {AGAIN[tries]} s)"
             self.relay.counters.add("configuration.refused")
             logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), again)
@@ -83,7 +83,7 @@
         found = document.read(path)
         found.seats(facts)  # whether it fits what the platform told
         return found
-    except document.BadDocument as problem:
+    except document.InvalidDocument as problem:
         raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
 
 
@@ -116,7 +116,7 @@
     try:
         relay = Relay(reactor, told, Counters(), document, time.time)
         acts = {
-            signal.SIGHUP: Reloads(reactor, relay).asked,
+            signal.SIGHUP: ConfigurationReloader(reactor, relay).asked,
             signal.SIGUSR1: counted,
             signal.SIGTERM: stop,
             signal.SIGINT: stop,
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct
 
 from ..settings import facts, nested
-from ..setup.document import BadDocument, Document, convert as read_document
+from ..setup.document import Document, InvalidDocument, convert as read_document
 from ..world.builds import Build
 from ..world.clients import STREAM, Habits, Workload, weights
 from ..world.day import Parts
@@ -491,7 +491,7 @@
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
             scenario.operators().seats(scenario.facts(relay))
-    except BadDocument as problem:
+    except InvalidDocument as problem:
         wrong("document", str(problem))
     if scenario.operators().recording:
         wrong("document.recording", "a model or trial writes its own record")
--- a/tealsail/net/start.py
+++ b/tealsail/net/start.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from .. import settings
-from ..setup.validation import BadFacts, check
+from ..setup.validation import InvalidSettings, check_settings
 from .discovery import News, Unreadable, address, read_news
 from .platform import State, Unreadable as UnreadableState, read_state
 
@@ -76,8 +76,8 @@
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise BadStart(f"{path}: {problem}") from None
     try:
-        check(facts)
-    except BadFacts as problem:
+        check_settings(facts)
+    except InvalidSettings as problem:
         raise BadStart(f"{path}: settings: {problem}") from None
     return Assignment(
         environment.get("EDGE_NAME") or want(tree, "name", str),
--- a/tealsail/record/recorder.py
+++ b/tealsail/record/recorder.py
@@ -28,7 +28,7 @@
         self, path: Path | str, head: Head, most_bytes: int, most_waiting: int, keys: str, add: Callable[..., None]
     ) -> None:
         self.path, self.most, self.keys, self.add = Path(path), int(most_bytes * FULL_AT), keys, add
-        self.waiting: queue.Queue[Line | None] = queue.Queue(most_waiting)
+        self.queued_lines: queue.Queue[Line | None] = queue.Queue(most_waiting)
         self.full = False  # the file is, or it can't be written
         self.problem = ""
         self.writer = Writer(path)
@@ -40,7 +40,7 @@
         """Never waits."""
         if not self.full:
             try:
-                self.waiting.put_nowait(line)
+                self.queued_lines.put_nowait(line)
                 return self.add("record.lines")
             except queue.Full:
                 pass
@@ -55,7 +55,7 @@
     def write(self) -> None:
         """The thread."""
         try:
-            while (line := self.waiting.get()) is not None:
+            while (line := self.queued_lines.get()) is not None:
                 if self.full:
                     continue
                 self.writer(line)
@@ -63,14 +63,14 @@
                     self.full = self.path.stat().st_size >= self.most
         except Exception as problem:  # a full disk must not end a relay
             self.full, self.problem = True, f"{type(problem).__name__}: {problem}"
-            while self.waiting.get() is not None:
+            while self.queued_lines.get() is not None:
                 pass
 
     def close(self) -> None:
         """Writes what is queued; the record is whole then."""
         if not self.thread.is_alive():
             return
-        self.waiting.put(None)
+        self.queued_lines.put(None)
         self.thread.join()
         try:
             self.writer.close()
--- a/tealsail/setup/__init__.py
+++ b/tealsail/setup/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's document: what an installation adds to what the platform tells."""
+"""Checks of what a relay is given: the operator's document, and the platform's settings."""
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what is malformed ends the process with one plain message; what is unknown is skipped."""
+"""The simulator's protocol: a malformed line ends the process with one message; unknown names are skipped."""
 
 import io
 import unittest
@@ -14,13 +14,13 @@
 
 
 def reply(events: str) -> tuple[int, list[str], str]:
-    out, complaints = io.BytesIO(), io.StringIO()
-    code = serve(io.BytesIO(f"TURN moment=10\n{events}FLUSH\n".encode()), out, complaints)
-    return code, out.getvalue().decode().split("\n"), complaints.getvalue()
+    out, errors = io.BytesIO(), io.StringIO()
+    code = serve(io.BytesIO(f"TURN moment=10\n{events}FLUSH\n".encode()), out, errors)
+    return code, out.getvalue().decode().split("\n"), errors.getvalue()
 
 
-class Frames(unittest.TestCase):
-    def test_a_list_number_may_be_used_again_in_a_batch_and_an_instance_started_anew(self) -> None:
+class Protocol(unittest.TestCase):
+    def test_a_list_slot_is_reused_within_a_batch_and_a_relay_is_restarted(self) -> None:
         demand = "DEMAND relay=3 requestId={} grade=0 giveUpAt=500\n"
         code, lines, _ = reply(
             START
@@ -38,18 +38,18 @@
     def test_unknown_events_and_fields_are_skipped(self) -> None:
         self.assertEqual(reply(START + "NEWS relay=3 mood=fair\nTIMER relay=3 ctx=5 mood=fair\n")[0], 0)
 
-    def test_one_plain_message_names_the_line(self) -> None:
-        for events, said in (
+    def test_a_malformed_line_is_reported_with_its_number(self) -> None:
+        for events, message in (
             (START + "TIMER relay=3\n", "line 3: TIMER: no or unknown 'ctx'"),
             ("timer relay=3 ctx=1\n", "line 2: unknown message name 'timer'"),
             ("TIMER relay\n", "line 2: TIMER: 'relay' is not name=value"),
             ("TIMER relay=4\n", "line 2: TIMER for relay 4, which has not been started"),
             ("TURN moment=11\n", "line 2: TURN inside a batch"),
         ):
-            code, lines, complaints = reply(events)
-            self.assertEqual((code, lines, complaints), (2, [""], f"tealsail.adapter: {said}\n"))
+            code, lines, errors = reply(events)
+            self.assertEqual((code, lines, errors), (2, [""], f"tealsail.adapter: {message}\n"))
 
-    def test_a_failure_of_the_module_is_that_instances_fault(self) -> None:
+    def test_an_exception_of_the_decision_module_is_a_fault_of_its_relay(self) -> None:
         with unittest.mock.patch("traceback.print_exc"):
             code, lines, _ = reply(START + "DEMAND relay=3 requestId=1 grade=7 giveUpAt=500\n")
         self.assertEqual((code, lines[-2:]), (0, ["READY", ""]))
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -42,7 +42,7 @@
             ({"recording": {"file": "a", "keys": "some"}}, r"recording\.keys: invalid enum"),
             ({"what": 1}, "unknown field `what`"),
         ):
-            with self.assertRaisesRegex(document.BadDocument, why) as caught:
+            with self.assertRaisesRegex(document.InvalidDocument, why) as caught:
                 document.convert(tree, "t.toml")
             self.assertNotIn("\n", str(caught.exception))
         self.assertEqual(document.convert({"recording": {"file": "a"}}).recording.keys, "hashed")
@@ -51,7 +51,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("[recording\n")
             file.flush()
-            with self.assertRaisesRegex(document.BadDocument, r"\.toml: "):
+            with self.assertRaisesRegex(document.InvalidDocument, r"\.toml: "):
                 document.read(file.name)
 
     def test_a_relay_without_a_document_brings_in_nothing_of_it(self) -> None:
@@ -180,7 +180,7 @@
         dropped = self.counters.counts["record.dropped"]
         self.assertTrue(399 <= dropped <= 400, dropped)
         gate.set()
-        recorder.waiting.put(None)
+        recorder.queued_lines.put(None)
         recorder.thread.join()
         write.close()
         self.assertEqual(len(self.lines(InvocationEnded)), 500 - dropped)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -5,7 +5,7 @@
 from tealsail import policy
 from tealsail.choices.switch import Fixed, Switch
 from tealsail.net import start
-from tealsail.setup.validation import BadFacts, check
+from tealsail.setup.validation import InvalidSettings, check_settings
 
 from . import test_relay
 from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
@@ -59,9 +59,9 @@
 
     def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
         for facts in (MOVED, STAYED, {}):
-            check(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
-        with self.assertRaises(BadFacts):
-            check(dict(MOVED, relays=180, step=0, workloads=[HARMLESS]))
+            check_settings(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
+        with self.assertRaises(InvalidSettings):
+            check_settings(dict(MOVED, relays=180, step=0, workloads=[HARMLESS]))
 
 
 class Switched(unittest.TestCase):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.virtual import Model
 from tealsail.record.lines import InvocationEnded, InvocationTaken, Log, ShotSent, StageChanged, Unit
-from tealsail.setup.document import BadDocument, Zones, convert as document
+from tealsail.setup.document import InvalidDocument, Zones, convert as document
 from tealsail.world.rules import Rules
 from tealsail.world.spill import Spill
 
@@ -224,9 +224,9 @@
             ({"spill_over": -1}, r"spill_over: expected `float` >= 0"),
             ({"what": 1}, "unknown field"),
         ):
-            with self.assertRaisesRegex(BadDocument, why):
+            with self.assertRaisesRegex(InvalidDocument, why):
                 document({"zones": tree}).seats({"zones": ["a", "b", "c"], "zone": "a"})
-        with self.assertRaisesRegex(BadDocument, "this relay's zone 'z' is none of a, b"):
+        with self.assertRaisesRegex(InvalidDocument, "this relay's zone 'z' is none of a, b"):
             document({"zones": {}}).seats({"zones": ["a", "b"], "zone": "z"})
         with self.assertRaisesRegex(BadScenario, "document: .*no zone x"):
             convert(day(document={"zones": {"costs": {"a x": 1.0}}}))
