--- a/tealsail/record/__init__.py
+++ b/tealsail/record/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded traffic: one format for what relays, model runs and trials did."""
+"""Records of traffic: one format for what relays, model runs and trials did."""
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -1,7 +1,11 @@
-"""What a record is made of: one small typed value for each line, and their one encoding.
+"""The lines of a record: a typed value for each kind, and their encoding.
 
-A record is a head and then lines in the order of their times, as JSON arrays whose first item names the kind.  All
-times (`at` and others) are whole tenths of a millisecond of one clock; a record's own zero is in its head.
+A record is a head, lines in the order of their times, and a close.  A line is a JSON array: its tag, then the fields of
+its class in their order.  All times are whole tenths of a millisecond of one clock.  They count from the record's own
+zero; the head of a relay's record has its Unix time.
+
+Fields that several lines have: `relay` is the relay's index, `number` the invocation's number, `place` the index of the
+shot among those of its invocation, and `unit` the unit's name.
 """
 
 from typing import Any
@@ -9,61 +13,60 @@
 import msgspec
 
 VERSION = 1
-ANSWERS = ("served", "wrong", "rejected", "forfeited", "left", "lost")  # lost: with a relay that died
+# Answers to invocations.  left: the client had gone; lost: the relay died with it.
+ANSWERS = ("served", "wrong", "rejected", "forfeited", "left", "lost")
 
 
 class Line(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=True):
-    """What all lines have."""
+    """The base of all lines."""
 
-    at: int
+    at: int  # time of the event
 
 
 class Head(Line, tag="head"):
-    """First in each record.  `facts` are the settings in the module's names (tealsail/settings.py); `day` tells
-    what was played, for whoever wants to play it again."""
+    """The first line of each record."""
 
     version: int
     source: str  # model, trial, relay or import
-    name: str
+    name: str  # of the scenario, the relay or the imported file
     seed: int
-    facts: dict[str, Any]
-    day: dict[str, Any] = {}
+    facts: dict[str, Any]  # the settings under the decision module's names (tealsail/settings.py)
+    day: dict[str, Any] = {}  # what was played, so that it can be played again
 
 
 class InvocationTaken(Line, tag="take"):
-    """A relay took an invocation.  `intended`: when its client meant to send it; `first`: the number of the
-    client's first try (its own, but for repeats); `give_up`: the abandon time."""
+    """A relay accepted an invocation from a client."""
 
     relay: int
     number: int
-    intended: int
-    workload: int
-    customer: int
+    intended: int  # time at which the client meant to send it
+    workload: int  # index among the head's workloads
+    customer: int  # index among the head's customers
     key: str
-    give_up: int
-    first: int
+    give_up: int  # time at which the client abandons it
+    first: int  # number of the client's first try; equal to `number` unless this is a repeat
 
 
 class ShotSent(Line, tag="shot"):
-    """A relay sent one; `wait`: its time-out."""
+    """A relay sent a shot to a unit."""
 
     relay: int
     number: int
     place: int
     unit: str
     build: int
-    wait: int
+    wait: int  # time-out of the shot
 
 
 class ConnectionOpened(Line, tag="met"):
-    """A relay made a new connection to a unit."""
+    """A relay opened a connection to a unit."""
 
     relay: int
     unit: str
 
 
 class ShotEnded(Line, tag="came"):
-    """A shot ended for its relay; the words are the facade's (tealsail/facade.py, Outcome)."""
+    """A shot ended for its relay; `outcome` is as in `Outcome` of tealsail/facade.py."""
 
     relay: int
     number: int
@@ -72,58 +75,57 @@
 
 
 class InvocationEnded(Line, tag="end"):
-    """The final answer, one of ANSWERS, as the relay gave it (left: its client had gone)."""
+    """A relay gave the final answer to an invocation."""
 
     relay: int
     number: int
-    answer: str
+    answer: str  # one of ANSWERS
 
 
 class ShotStarted(Line, tag="ran"):
-    """A unit took a shot in; `work`: tenths of a ms of one core of speed one.  It may have an effect."""
+    """A unit took a shot in, which may have an effect from then on."""
 
     relay: int
     number: int
     place: int
     unit: str
-    work: int
+    work: int  # tenths of a millisecond on one core of speed 1
 
 
 class ShotAnswered(Line, tag="done"):
-    """A unit gave its answer: served, wrong, error, full or reset."""
+    """A unit answered a shot."""
 
     relay: int
     number: int
     place: int
     unit: str
-    outcome: str
+    outcome: str  # served, wrong, error, full or reset
 
 
 class Unit(Line, tag="unit"):
-    """A unit's life, by `event`: launched, runs, drains, dies, fell, gone, hangs, silent, mends.  `capacity`: cores
-    times speed; from `cold_from` of that it warms evenly over `warm_up`."""
+    """A unit changed its state."""
 
     unit: str
     build: int
     zone: str
-    event: str
-    capacity: float
-    cold_from: float
-    warm_up: int
+    event: str  # launched, runs, drains, dies, fell, gone, hangs, silent or mends
+    capacity: float  # cores times speed
+    cold_from: float  # share of the capacity that a cold unit starts with; it grows linearly
+    warm_up: int  # time until it has its whole capacity
 
 
 class EntryReceived(Line, tag="told"):
-    """A relay was told of one entry of the list; `state`: open, draining or gone."""
+    """A relay received one entry of the list of units."""
 
     relay: int
     unit: str
     build: int
-    state: str
-    started: int
+    state: str  # open, draining or gone
+    started: int  # time of the unit's start; 0: long ago
 
 
 class News(Line, tag="news"):
-    """A relay was told where the newest build stands."""
+    """A relay received the rollout stage of the newest build."""
 
     relay: int
     build: int
@@ -133,17 +135,17 @@
 
 
 class Vote(Line, tag="vote"):
-    """A relay's vote as it came in, and what the platform said: ok, moot, full, error, or nothing."""
+    """A relay's vote arrived at the platform."""
 
     relay: int
     build: int
     stage: int
     verdict: str
-    answer: str
+    answer: str  # the platform's: ok, moot, full, error or nothing
 
 
 class StageChanged(Line, tag="stage"):
-    """The platform's truth, when it changed."""
+    """The platform changed the rollout stage of the newest build."""
 
     build: int
     stage: int
@@ -152,30 +154,30 @@
 
 
 class RelayEvent(Line, tag="life"):
-    """A relay's: up, down, stopped or on (its process does not run, runs again)."""
+    """A relay changed its state."""
 
     relay: int
-    event: str
+    event: str  # up, down, stopped (its process does not run) or on (it runs again)
 
 
 class Fault(Line, tag="fault"):
-    """A line of the scenario's script was carried out."""
+    """A line of the scenario's script of faults was carried out."""
 
     text: str
 
 
 class Log(Line, tag="log"):
-    """A line of a relay's log."""
+    """A relay wrote a line to its log."""
 
     relay: int
     text: str
 
 
 class Close(Line, tag="close"):
-    """Last in a whole record: so many lines came before, and `late` is by how much its clients ran late at worst."""
+    """The last line of a complete record."""
 
-    lines: int
-    late: int = 0
+    lines: int  # number of lines before this one
+    late: int = 0  # how late the clients of a trial sent: the 99th percentile
 
 
 AnyLine = (
@@ -201,17 +203,17 @@
 
 
 class InvalidRecord(Exception):
-    """A line or a record that is not of this format, in one sentence."""
+    """A line or file that is not of this format; the text is one sentence."""
 
 
 def encode(line: Line) -> bytes:
-    """One line, with its end."""
+    """Encodes a line as JSON, with a line feed at its end."""
     return ENCODER.encode(line) + b"\n"
 
 
 def decode(text: bytes) -> AnyLine:
-    """Raises Unreadable."""
+    """Decodes a line.  Raises InvalidRecord."""
     try:
         return DECODER.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise InvalidRecord(f"no line of a record: {problem}") from None
+        raise InvalidRecord(f"not a line of a record: {problem}") from None
