--- a/tealsail/__main__.py
+++ b/tealsail/__main__.py
@@ -1,11 +1,11 @@
-"""python -m tealsail: the relay on sockets."""
+"""`python -m tealsail`: the command line."""
 
 import sys
 
 from .command.signals import SIGNALS
 
 if sys.argv[1:2] == ["serve"]:
-    SIGNALS.keep()  # before anything that takes time
+    SIGNALS.hold_early()  # before the slow imports: a signal that comes while they run must not end the relay
 
 from .command.main import main  # noqa: E402
 
--- a/tealsail/command/__init__.py
+++ b/tealsail/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: what is chosen, and what is printed."""
+"""The command line: its sub-commands, and the tables that they print."""
--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -1,4 +1,4 @@
-"""`tealsail scale`: a scale run, what it showed between its faults, and what each role cost."""
+"""`tealsail scale`: plays a scale run, and prints what it showed between its faults and what each role cost."""
 
 import sys
 from pathlib import Path
@@ -12,107 +12,125 @@
 from ..lab.scale.reading import NONE, RoleSeen, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import InvalidRecord
-from .capacity import DEFAULT_FROM
-from .lab import WIDTH, Shown, number, save
+from .capacity import DEFAULT_RUN_FILE
+from .lab import OUTPUT_WIDTH, ProgressBar, integer_option, save_json
 
 
-def run(chosen: dict[str, Any]) -> int:
-    """Returns the exit code: 1 if a rule was broken or a relay went wrong, 2 if it could not be played or is void."""
-    out = Console(highlight=False, width=None if sys.stdout.isatty() else WIDTH)
+def run(arguments: dict[str, Any]) -> int:
+    """Carries out the command and returns the exit code.
+
+    1: a rule was broken or a relay went wrong; 2: the run could not be played, or is void.
+    """
+    console = Console(highlight=False, width=None if sys.stdout.isatty() else OUTPUT_WIDTH)
     try:
-        return scale(chosen, out)
+        return play_scale_run(arguments, console)
     except (BadScenario, InvalidRecord, OSError, ValueError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
 
-def decimal(chosen: dict[str, Any], name: str, least: float, most: float) -> float:
-    """A figure of the command line, in bounds."""
-    text = chosen[name]
-    if not text.replace(".", "", 1).isdigit() or not least <= float(text) <= most:
-        raise ValueError(f"{name}={text}: not a figure from {least:g} to {most:g}")
+def decimal_option(arguments: dict[str, Any], name: str, lowest: float, highest: float) -> float:
+    """Parses a decimal number of the command line.  Raises ValueError if it is not from `lowest` to `highest`."""
+    text = arguments[name]
+    if not text.replace(".", "", 1).isdigit() or not lowest <= float(text) <= highest:
+        raise ValueError(f"{name}={text}: not a number from {lowest:g} to {highest:g}")
     return float(text)
 
 
-def scale(chosen: dict[str, Any], out: Console) -> int:
-    scenario = read(chosen["SCENARIO"])
-    seed = number(chosen, "--seed", 0, 1 << 62) if chosen["--seed"] else scenario.seed
-    real, processes = number(chosen, "--real", 1, 100), number(chosen, "--processes", 1, 90)
-    slow, list_every = decimal(chosen, "--slow", 1, 100), decimal(chosen, "--list-every", 0, 10)
-    with Shown("scale run"):
-        found = runs.play(scenario, seed, real, processes, slow, list_every, chosen["--logs"])
-    show(found, slow, out)
-    show_foretold(found, Path(chosen["--from"] or DEFAULT_FROM), out)
-    save(chosen["--json"], found)
-    if chosen["--chart"]:
+def play_scale_run(arguments: dict[str, Any], console: Console) -> int:
+    """Plays the run, prints and saves what it showed, and returns the exit code."""
+    scenario = read(arguments["SCENARIO"])
+    seed = integer_option(arguments, "--seed", 0, 1 << 62) if arguments["--seed"] else scenario.seed
+    real = integer_option(arguments, "--real", 1, 100)
+    processes = integer_option(arguments, "--processes", 1, 90)
+    slowdown = decimal_option(arguments, "--slow", 1, 100)
+    list_interval = decimal_option(arguments, "--list-every", 0, 10)
+    with ProgressBar("scale run"):
+        scale_run = runs.play(scenario, seed, real, processes, slowdown, list_interval, arguments["--logs"])
+    print_run(scale_run, slowdown, console)
+    print_forecast(scale_run, Path(arguments["--from"] or DEFAULT_RUN_FILE), console)
+    save_json(arguments["--json"], scale_run)
+    if arguments["--chart"]:
         from ..lab.scale import chart
 
-        chart.draw(chosen["--chart"], found)
-        out.print(f"chart: {chosen['--chart']}")
-    return 2 if found.void else int(not found.kept)
+        chart.draw(arguments["--chart"], scale_run)
+        console.print(f"chart: {arguments['--chart']}")
+    return 2 if scale_run.void else int(not scale_run.kept)
 
 
-def show(found: Run, slow: float, out: Console) -> None:
-    clock = "on a true clock" if slow == 1 else f"on clocks {slow:g} times as slow as true ones"
-    out.print(
-        f"{found.name}: {found.relays} relays, {len(found.real)} of them real, {found.units} backends, "
-        f"{found.requests_per_second:g} requests/s, {found.seconds:g} s {clock}"
+def print_run(scale_run: Run, slowdown: float, console: Console) -> None:
+    """Prints all that a run showed; `slowdown` is the number of true seconds that one of its seconds took."""
+    clock = "in real time" if slowdown == 1 else f"(each {slowdown:g} s in real time)"
+    console.print(
+        f"{scale_run.name}: {scale_run.relays} relays, {len(scale_run.real)} of them real, "
+        f"{scale_run.units} backends, "
+        f"{scale_run.requests_per_second:g} requests/s, {scale_run.seconds:g} s {clock}"
     )
-    out.print(
-        f"{found.processes} processes, {found.memory_mb:.0f} MB at the most, {found.setup_seconds:.0f} s to come up, "
-        f"{found.day_seconds:.0f} s to play; arrivals at hollow relays over 10 ms late: {found.late_part:.2%}"
+    console.print(
+        f"{scale_run.processes} processes, {scale_run.memory_mb:.0f} MB at most, "
+        f"{scale_run.setup_seconds:.0f} s to start, "
+        f"{scale_run.day_seconds:.0f} s to play; arrivals at hollow relays over 10 ms late: {scale_run.late_part:.2%}"
     )
-    stalled = f"a process stood behind for {found.stalled_part:.2%} of the day at worst"
-    out.print(f"VOID, the machine was too busy: {stalled}" if found.void else stalled)
-    out.print(window_table(found))
-    out.print(role_table(found))
-    for role in found.roles:
+    stalled = f"the worst process ran late for {scale_run.stalled_part:.2%} of the day"
+    console.print(f"VOID, the machine was too busy: {stalled}" if scale_run.void else stalled)
+    console.print(window_table(scale_run))
+    console.print(role_table(scale_run))
+    for role in scale_run.roles:
         if role.kinds:
             parts = ", ".join(f"{kind} {part:.3%}" for kind, part in sorted(role.kinds.items()))
-            out.print(f"{role.role}, of a core in the mean: {parts}")
-    groups = " ".join(f"{part:.2f}" for part in found.group_cpu)
-    out.print(f"cores of hollow processes, stand-ins included: {groups}; of the director: {found.director_cpu:.2f}")
-    if found.shed:
-        out.print(f"datagrams that hollow relays turned away: {found.shed}")
-    for text in found.problems:
-        out.print(f"WRONG: {text}")
-    if found.breaches:
-        out.print("rules BROKEN: " + ", ".join(f"{name} {count}" for name, count in found.breaches.items()))
-        for text in found.broken:
-            out.print(f"  {text}")
+            console.print(f"{role.role}, mean share of a core by kind of work: {parts}")
+    groups = " ".join(f"{part:.2f}" for part in scale_run.group_cpu)
+    console.print(
+        f"cores used by each process of hollow relays, its stand-ins included: {groups}; "
+        f"by the director: {scale_run.director_cpu:.2f}"
+    )
+    if scale_run.shed:
+        console.print(f"datagrams refused by hollow relays: {scale_run.shed}")
+    for text in scale_run.problems:
+        console.print(f"WRONG: {text}")
+    if scale_run.breaches:
+        console.print("rules BROKEN: " + ", ".join(f"{name} {count}" for name, count in scale_run.breaches.items()))
+        for text in scale_run.broken:
+            console.print(f"  {text}")
     else:
-        out.print("rules: none broken")
+        console.print("rules: none broken")
+
 
+def print_forecast(scale_run: Run, path: Path, console: Console) -> None:
+    """Prints each measured cost beside the forecast by the slopes of the capacity run in `path`.
 
-def show_foretold(found: Run, path: Path, out: Console) -> None:
-    """Each cost beside what the file's slopes foretell; where it is further off, the largest term and its slope."""
+    For a cost further off than 20%, also the largest term of its forecast and its slope.
+    """
     if not path.exists():
-        return out.print(f"nothing is foretold: no {path}; `tealsail capacity --json={path}` writes one")
-    table = Table(title=f"seen beside what {path} foretells at this size")
-    for place, column in enumerate(("role", "cost", "foretold", "seen", "ratio", "within 20%")):
-        table.add_column(column, justify="left" if place < 2 else "right")
-    compared = foretold.compare(found, slopes.read(path))
+        return console.print(f"no forecast, since there is no {path}; `tealsail capacity --json={path}` writes one")
+    table = Table(title=f"measured costs beside the forecast from {path} for this size")
+    for index, column in enumerate(("role", "cost", "forecast", "measured", "ratio", "within 20%")):
+        table.add_column(column, justify="left" if index < 2 else "right")
+    compared = foretold.compare(scale_run, slopes.read(path))
     for each in compared:
-        near = "yes" if each.within else "NO"
+        within = "yes" if each.within else "NO"
         amount = f"{each.foretold:.4g} ±{each.error:.2g}"
-        table.add_row(each.role, each.cost, amount, f"{each.seen:.4g}", f"{each.ratio:.2f}", near)
-    out.print(table)
+        table.add_row(each.role, each.cost, amount, f"{each.seen:.4g}", f"{each.ratio:.2f}", within)
+    console.print(table)
     for each in compared:
         if not each.within:
-            out.print(
-                f"{each.role}, {each.cost}: {each.ratio:.2f} times what was foretold; most of that: {each.because}"
+            console.print(
+                f"{each.role}, {each.cost}: {each.ratio:.2f} times the forecast; its largest term: {each.because}"
             )
 
 
-def shown(value: float, form: str) -> str:
+def format_known(value: float, form: str) -> str:
+    """Formats a figure, or a dash where there was nothing to measure."""
     return "-" if value == NONE else format(value, form)
 
 
-def window_table(found: Run) -> Table:
+def window_table(scale_run: Run) -> Table:
+    """A row for each window between kinds of faults."""
     table = Table(
-        title="between the faults (worst: attempts at one backend in 100 ms over its share; p99 in ms; restored in s)"
+        title="between the faults (worst: most attempts at one backend in 100 ms, relative to its even share; "
+        "p99 in ms; restored in s)"
     )
-    for place, column in enumerate(
+    for index, column in enumerate(
         (
             "what",
             "from s",
@@ -127,8 +145,8 @@
             "restored",
         )
     ):
-        table.add_column(column, justify="left" if place == 0 else "right")
-    for each in found.windows:
+        table.add_column(column, justify="left" if index == 0 else "right")
+    for each in scale_run.windows:
         restored = "" if each.name == "calm" else "not seen" if each.restored_s == NONE else f"{each.restored_s:.0f}"
         table.add_row(
             each.name,
@@ -138,35 +156,38 @@
             f"{each.service:.4f}",
             f"{each.waste:.4f}",
             f"{each.worst_100ms:.1f}",
-            shown(each.p99_real_ms, ".0f"),
-            shown(each.p99_all_ms, ".0f"),
+            format_known(each.p99_real_ms, ".0f"),
+            format_known(each.p99_all_ms, ".0f"),
             f"{each.messages_per_second:.0f}",
             restored,
         )
     return table
 
 
-def three(spread: Spread, form: str) -> str:
+def format_spread(spread: Spread, form: str) -> str:
+    """The mean, the 99th percentile and the worst."""
     return " ".join(format(value, form) for value in spread)
 
 
-def role_table(found: Run) -> Table:
-    table = Table(title="what a role's process cost: mean, 99th of a hundred, worst; out and in a second")
-    for place, column in enumerate(
-        ("role", "many", "% of a core", "MB", "datagrams out", "datagrams in", "bytes out", "bytes in")
+def role_table(scale_run: Run) -> Table:
+    """A row for each role."""
+    table = Table(title="cost of a process by role: mean, 99th percentile, worst; messages and bytes per second")
+    for index, column in enumerate(
+        ("role", "processes", "% of a core", "MB", "datagrams out", "datagrams in", "bytes out", "bytes in")
     ):
-        table.add_column(column, justify="left" if place == 0 else "right")
-    for role in found.roles:
+        table.add_column(column, justify="left" if index == 0 else "right")
+    for role in scale_run.roles:
         table.add_row(role.role, str(role.many), *role_cells(role))
     return table
 
 
 def role_cells(role: RoleSeen) -> list[str]:
+    """The cells of a row from the third column on."""
     return [
-        three(Spread(*(100 * part for part in role.processor)), ".2f"),
-        three(role.memory_mb, ".1f"),
-        three(role.datagrams_out, ".0f"),
-        three(role.datagrams_in, ".0f"),
-        three(role.bytes_out, ".0f"),
-        three(role.bytes_in, ".0f"),
+        format_spread(Spread(*(100 * part for part in role.processor)), ".2f"),
+        format_spread(role.memory_mb, ".1f"),
+        format_spread(role.datagrams_out, ".0f"),
+        format_spread(role.datagrams_in, ".0f"),
+        format_spread(role.bytes_out, ".0f"),
+        format_spread(role.bytes_in, ".0f"),
     ]
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -1,4 +1,4 @@
-"""One relay in the foreground, from its start to its end."""
+"""The commands `serve` and `check`: run one relay in the foreground, or only read its configuration."""
 
 import os
 import signal
@@ -19,109 +19,123 @@
 from .signals import SIGNALS
 
 
-def run(chosen: dict[str, Any], environment: Mapping[str, str]) -> int:
-    """`serve` and `check`; returns the exit code."""
+def run(arguments: dict[str, Any], environment: Mapping[str, str]) -> int:
+    """Carries out `serve` or `check` and returns the exit code: 0, or 2 for a configuration that can't be used."""
     try:
-        told = read(environment)
-        document = operators(chosen["--document"], told.facts)
-        if chosen["check"]:
+        assignment = read(environment)
+        document = read_document(arguments["--document"], assignment.facts)
+        if arguments["check"]:
             print(
-                f"{told.name}: listens at {told.listen}; {len(told.known.entries)} units known; "
-                f"{len(told.facts['workloads'])} workloads; {len(told.peers)} relays"
+                f"{assignment.name}: listens at {assignment.listen}; {len(assignment.known.entries)} units known; "
+                f"{len(assignment.facts['workloads'])} workloads; {len(assignment.peers)} relays"
             )
             return 0
         logger.remove()
         logger.add(
             sys.stderr,
-            level=chosen["--log-level"].upper(),
+            level=arguments["--log-level"].upper(),
             backtrace=False,
             diagnose=False,
             format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}",
         )
-        return serve(told, document)
+        return serve(assignment, document)
     except (BadStart, CannotListenError, ValueError, OSError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
 
-def network_fault(event: dict) -> None:
-    """What the network library has to say: only what went wrong, as a line of ours."""
+def log_network_error(event: dict) -> None:
+    """Observer of Twisted's log: writes its warnings and errors to the relay's log, and drops the rest."""
     if event["log_level"] >= LogLevel.warn:
         logger.error("network: {}", formatEvent(event) or event.get("log_failure"))
 
 
 class ConfigurationReloader:
-    """The configuration's file, read again when that is asked for.  One that can't be used changes nothing; one that
-    is half written is looked at again, for as long as the former addresses may still answer."""
+    """Reads the configuration file again on request.
+
+    A file that can't be used changes nothing.  One that is half written is read again after the pauses of AGAIN, for as
+    long as the former addresses may still answer.
+    """
 
     def __init__(self, reactor: Any, relay: Relay) -> None:
         self.reactor, self.relay, self.timer = reactor, relay, None
 
-    def asked(self) -> None:
+    def start(self) -> None:
+        """Begins a reload; one that waits for its next attempt is dropped."""
         cancel(self.timer)
         self.reload(0)
 
-    def reload(self, tries: int) -> None:
-        again = ""
+    def reload(self, attempts: int) -> None:
+        """Reads the file and assigns it to the relay; `attempts` were made before."""
+        retry_note = ""
         try:
             self.relay.assign(read_again(os.environ))
         except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, BadStart) as problem:
-            if isinstance(problem, Torn) and tries < len(AGAIN):
-                self.timer = self.reactor.callLater(AGAIN[tries], self.reload, tries + 1)
-                again = f" (read again in {AGAIN[tries]} s)"
+            if isinstance(problem, Torn) and attempts < len(AGAIN):
+                self.timer = self.reactor.callLater(AGAIN[attempts], self.reload, attempts + 1)
+                retry_note = f" (read again in {AGAIN[attempts]} s)"
             self.relay.counters.add("configuration.refused")
-            logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), again)
+            logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), retry_note)
+
 
+def read_document(path: str, facts: dict[str, Any]) -> Any:
+    """Reads the operator's document, and returns None if there is no file.
 
-def operators(path: str, facts: dict[str, Any]) -> Any:
-    """The operator's document, None where there is no file; its library is brought in only where there is one."""
+    The module for documents is imported only if there is one.  Raises BadStart for a document that can't be used, or
+    does not fit the platform's settings `facts`.
+    """
     if not os.path.exists(path):
         return None
     from ..setup import document
 
     try:
-        found = document.read(path)
-        found.seats(facts)  # whether it fits what the platform told
-        return found
+        parsed = document.read(path)
+        parsed.seats(facts)  # raises if the document does not fit the settings
+        return parsed
     except document.InvalidDocument as problem:
         raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
 
 
 def steady_clock() -> Callable[[], float]:
-    """Seconds of a clock that never steps; one that counts the time in which a machine sleeps where the system has
-    it."""
+    """Returns a clock in seconds that never steps.
+
+    Where the system has CLOCK_BOOTTIME it is that one, which goes on while the machine is suspended.
+    """
     try:
-        boot = time.CLOCK_BOOTTIME
-        time.clock_gettime(boot)
+        boot_clock = time.CLOCK_BOOTTIME
+        time.clock_gettime(boot_clock)
     except (AttributeError, OSError):
         return time.monotonic
-    return lambda: time.clock_gettime(boot)
+    return lambda: time.clock_gettime(boot_clock)
+
 
+def serve(assignment: Any, document: Any = None) -> int:
+    """Runs one relay until SIGTERM or SIGINT; SIGUSR1 logs the counters, SIGHUP reads the configuration file again.
 
-def serve(told: Any, document: Any = None) -> int:
-    """Run one relay until SIGTERM or SIGINT; SIGUSR1 prints the counters, SIGHUP has the file read again."""
+    Raises BadStart for settings that the relay can't use.
+    """
     from twisted.internet import reactor
 
-    reactor.seconds = steady_clock()  # its timers too: a step of the wall clock must not fire or hold them
-    globalLogBeginner.beginLoggingTo([network_fault], redirectStandardIO=False)
+    reactor.seconds = steady_clock()  # its timers too, so that a step of the wall clock neither fires nor delays them
+    globalLogBeginner.beginLoggingTo([log_network_error], redirectStandardIO=False)
 
-    def counted() -> None:
+    def log_counters() -> None:
         relay.count_seats()
         logger.info("counters {}", relay.counters.show())
 
     def stop() -> None:
-        if not relay.stopped:  # a second signal asks for nothing more
+        if not relay.stopped:  # a second signal changes nothing
             relay.stop().addCallback(lambda _: reactor.stop())
 
     try:
-        relay = Relay(reactor, told, Counters(), document, time.time)
-        acts = {
-            signal.SIGHUP: ConfigurationReloader(reactor, relay).asked,
-            signal.SIGUSR1: counted,
+        relay = Relay(reactor, assignment, Counters(), document, time.time)
+        handlers = {
+            signal.SIGHUP: ConfigurationReloader(reactor, relay).start,
+            signal.SIGUSR1: log_counters,
             signal.SIGTERM: stop,
             signal.SIGINT: stop,
-        }  # before any client: from then on an end is in order
-        SIGNALS.act(acts, reactor.callFromThread)
+        }  # set before the relay accepts clients, so that it ends in an orderly way from then on
+        SIGNALS.set_handlers(handlers, reactor.callFromThread)
         relay.start()
     except (ArithmeticError, AttributeError, LookupError, TypeError) as problem:
         raise BadStart(f"the settings can't be used: {type(problem).__name__}: {problem}") from None
--- a/tealsail/command/signals.py
+++ b/tealsail/command/signals.py
@@ -1,4 +1,4 @@
-"""Signals from the program's first line on: what comes before there is anything to act on it is kept until there is."""
+"""Handling of signals from the start of the program: those that come too early are held until there are handlers."""
 
 import signal
 from collections.abc import Callable
@@ -6,24 +6,34 @@
 
 
 class Signals:
-    """SIGHUP and SIGUSR1 end a process that has no handler, which would be a crash of a relay that only starts."""
+    """Holds early signals and delivers them once handlers are set.
 
-    KEPT = signal.SIGHUP, signal.SIGUSR1
+    SIGHUP and SIGUSR1 end a process that has no handler for them, and a relay that is still starting would crash.
+    """
+
+    HELD = signal.SIGHUP, signal.SIGUSR1
 
     def __init__(self) -> None:
-        self.early: dict[int, None] = {}  # each once, in the order of their coming
+        self.early: dict[int, None] = {}  # signal number -> None: each once, in the order of arrival
 
-    def keep(self) -> None:
-        for number in self.KEPT:
+    def hold_early(self) -> None:
+        """Holds the signals of HELD from now on."""
+        for number in self.HELD:
             signal.signal(number, lambda number, frame: self.early.setdefault(number))
 
-    def act(self, acts: dict[int, Callable[[], Any]], later: Callable[[Callable[[], Any]], Any]) -> None:
-        """From now on each has its act, which `later` hands to the loop; first of all for those that were kept."""
-        for number, act in acts.items():
-            signal.signal(number, lambda number, frame, act=act: later(act))
+    def set_handlers(
+        self, handlers: dict[int, Callable[[], Any]], schedule: Callable[[Callable[[], Any]], Any]
+    ) -> None:
+        """Sets a handler for each signal, and calls those of the signals held so far.
+
+        `handlers` maps signal numbers to handlers, among them all of HELD.  `schedule` has the event loop call one, and
+        must be callable from a signal handler.
+        """
+        for number, handler in handlers.items():
+            signal.signal(number, lambda number, frame, handler=handler: schedule(handler))
         early, self.early = self.early, {}
         for number in early:
-            later(acts[number])
+            schedule(handlers[number])
 
 
-SIGNALS = Signals()  # the process has one of each
+SIGNALS = Signals()  # one for the process
