--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-VERSION = 1
+VERSION = 1  # of the format, written in the head
 # Answers to invocations.  left: the client had gone; lost: the relay died with it.
 ANSWERS = ("served", "wrong", "rejected", "forfeited", "left", "lost")
 
@@ -44,7 +44,7 @@
     customer: int  # index among the head's customers
     key: str
     give_up: int  # time at which the client abandons it
-    first: int  # number of the client's first try; equal to `number` unless this is a repeat
+    first: int  # number of the client's first try: `number` itself unless this is a repeat; -1: not known
 
 
 class ShotSent(Line, tag="shot"):
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -22,7 +22,7 @@
 
 
 class Recording(Struct, forbid_unknown_fields=True, frozen=True):
-    """A record of this relay's traffic.  `keys` says whether they are written as they are, hashed, or left out."""
+    """A record of this relay's traffic.  `keys`: keys are written as they are, hashed, or left out."""
 
     file: Annotated[str, Meta(min_length=1, max_length=1000)]
     most_mb: Annotated[int, Meta(ge=1, le=100_000)] = 256  # size of the file
@@ -51,9 +51,9 @@
     span_ms: Milliseconds = 2_000.0  # over which shares are counted
     memory_s: Annotated[float, Meta(ge=1, le=1e6)] = 600.0  # half-life of what counts as usual
     first: Annotated[float, Meta(gt=0, le=1)] = 0.1  # share of its traffic with which a returning zone begins
-    step_ms: Milliseconds = 500.0  # between increases of that share
-    least: Annotated[int, Meta(ge=1, le=10_000)] = 5  # answers in time that an increase needs
-    late_part: Fraction = 0.1  # of answers late or failed, above which the share is reduced
+    step_ms: Milliseconds = 500.0  # between doublings of that share
+    least: Annotated[int, Meta(ge=1, le=10_000)] = 5  # answers in time that a doubling needs
+    late_part: Fraction = 0.1  # of answers late or failed, above which the share is halved
     wait_ms: Milliseconds = 500.0  # before a return begins; doubled with each flap
     longest_wait_ms: Milliseconds = 60_000.0  # limit of that doubling
     calm_ms: Milliseconds = 30_000.0  # a zone lost later than this after its return has not flapped
