--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -11,11 +11,11 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
-from ..choices.endings import AGAIN
+from ..choices.connection_lifetimes import REREAD_DELAYS_S
+from ..net.connections import cancel
 from ..net.counters import Counters
-from ..net.kept import cancel
 from ..net.relay import Relay
-from ..net.start import BadStart, Torn, read, read_again
+from ..net.relay_configuration import ConfigurationError, UnreadableConfiguration, read, reread
 from .signals import SIGNALS
 
 
@@ -39,7 +39,7 @@
             format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}",
         )
         return serve(assignment, document)
-    except (BadStart, CannotListenError, ValueError, OSError) as problem:
+    except (ConfigurationError, CannotListenError, ValueError, OSError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
@@ -69,11 +69,11 @@
         """Reads the file and assigns it to the relay; `attempts` were made before."""
         retry_note = ""
         try:
-            self.relay.assign(read_again(os.environ))
-        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, BadStart) as problem:
-            if isinstance(problem, Torn) and attempts < len(AGAIN):
-                self.timer = self.reactor.callLater(AGAIN[attempts], self.reload, attempts + 1)
-                retry_note = f" (read again in {AGAIN[attempts]} s)"
+            self.relay.reconfigure(reread(os.environ))
+        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, ConfigurationError) as problem:
+            if isinstance(problem, UnreadableConfiguration) and attempts < len(REREAD_DELAYS_S):
+                self.timer = self.reactor.callLater(REREAD_DELAYS_S[attempts], self.reload, attempts + 1)
+                retry_note = f" (read again in {REREAD_DELAYS_S[attempts]} s)"
             self.relay.counters.add("configuration.refused")
             logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), retry_note)
 
@@ -93,7 +93,7 @@
         parsed.seats(facts)  # raises if the document does not fit the settings
         return parsed
     except document.InvalidDocument as problem:
-        raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
+        raise ConfigurationError(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
 
 
 def steady_clock() -> Callable[[], float]:
@@ -120,11 +120,11 @@
     globalLogBeginner.beginLoggingTo([log_network_error], redirectStandardIO=False)
 
     def log_counters() -> None:
-        relay.count_seats()
+        relay.collect_choice_counts()
         logger.info("counters {}", relay.counters.show())
 
     def stop() -> None:
-        if not relay.stopped:  # a second signal changes nothing
+        if not relay.shutdown:  # a second signal changes nothing
             relay.stop().addCallback(lambda _: reactor.stop())
 
     try:
@@ -138,6 +138,6 @@
         SIGNALS.set_handlers(handlers, reactor.callFromThread)
         relay.start()
     except (ArithmeticError, AttributeError, LookupError, TypeError) as problem:
-        raise BadStart(f"the settings can't be used: {type(problem).__name__}: {problem}") from None
+        raise ConfigurationError(f"the settings can't be used: {type(problem).__name__}: {problem}") from None
     reactor.run(installSignalHandlers=False)
     return 0
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,14 +3,14 @@
 import unittest
 
 from hypothesis import given, settings, strategies as st
+from tealsail.world.platform import Desk, Plan
+from tealsail.world.unit_list import Entry, Roster
 
-from tealsail.world import draws
+from tealsail.world import random_draws
 from tealsail.world.builds import Build
 from tealsail.world.clients import STREAM, TRY, Clients, Habits, Workload
-from tealsail.world.desk import Desk, Plan
 from tealsail.world.fleet import Fleet, Layout
 from tealsail.world.network import Network, Paths, Trouble
-from tealsail.world.roster import Entry, Roster
 from tealsail.world.unit import NEVER, Asked, Kind, Unit
 
 MS, SECOND = 10, 10_000
@@ -399,9 +399,11 @@
     def test_clients_heed_when_a_rejection_says_to_come_back(self) -> None:
         """Guards against the first real surge's fault: repeats came at once, and service was better than it can be."""
         from tealsail.lab.loopback.clients import read_retry_after
-        from tealsail.net.messages import trouble
+        from tealsail.net.messages import error_response
 
-        self.assertEqual([read_retry_after(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
+        self.assertEqual(
+            [read_retry_after(error_response("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000]
+        )
 
 
 class Networks(unittest.TestCase):
