--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -21,7 +21,7 @@
 
 from ..record.files import read
 from ..record.lines import Came, Done, End, Head, Ran, Shot, Take, Told, Unit
-from ..world.draws import POINTS
+from ..world.random_draws import POINTS
 from .scenario import BadScenario, Scenario, convert, over
 
 FEW, ENOUGH = 200, 400  # shots: fewer are said to be few; from so many quantiles count
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -14,8 +14,8 @@
 
 from ...record.lines import News, Told
 from ...world.day import Day
-from ...world.desk import State
-from ...world.roster import Entry
+from ...world.platform import State
+from ...world.unit_list import Entry
 from .addresses import calling_relay
 from .trial_setup import TrialSetup
 
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -23,7 +23,7 @@
 from ...record.lines import VERSION, End, Head, News as NewsLine, Told
 from ...world.clients import Arrival
 from ...world.day import Day
-from ...world.roster import Entry
+from ...world.unit_list import Entry
 from ..loopback.clients import PATIENCE, statement_text, take_line
 from ..loopback.control_plane import STATES
 from ..loopback.process_group import raise_descriptor_limit
--- a/tealsail/lab/scale/words.py
+++ b/tealsail/lab/scale/words.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ...world.roster import Entry
+from ...world.unit_list import Entry
 
 
 class Word(msgspec.Struct, array_like=True, frozen=True, tag=True):
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -17,11 +17,11 @@
 from ..world.builds import Build
 from ..world.clients import STREAM, Habits, Workload, weights
 from ..world.day import Parts
-from ..world.desk import Plan
-from ..world.draws import Table, lognormal
 from ..world.faults import Fault
 from ..world.fleet import Layout
 from ..world.network import Paths
+from ..world.platform import Plan
+from ..world.random_draws import Table, lognormal
 from ..world.unit import Kind
 from .script import Unclear, read_script
 
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -15,8 +15,8 @@
 from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
 from ..world.day import Day, Order
-from ..world.roster import Entry
 from ..world.unit import NEVER, Asked, Unit
+from ..world.unit_list import Entry
 from .scenario import Scenario
 from .traffic import clients_of
 
--- a/tealsail/world/clients.py
+++ b/tealsail/world/clients.py
@@ -3,8 +3,8 @@
 import heapq
 from typing import NamedTuple
 
-from . import draws
-from .draws import Gaps, Sorts, share
+from . import random_draws as draws
+from .random_draws import Gaps, Sorts, share
 
 STREAM, TRY = 10**7, 10**12  # numbers: try * TRY + stream * STREAM + place in the stream
 SECOND = 10_000
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -13,13 +13,13 @@
 from ..record.lines import Fault as FaultLine, Stage, Vote
 from .builds import Build
 from .clients import Clients, Habits, Workload
-from .desk import Desk, Plan
-from .draws import PICKS, Table, share
 from .faults import Fault
 from .fleet import Fleet, Layout
 from .network import Network, Paths, Trouble
-from .roster import Roster
+from .platform import Desk, Plan
+from .random_draws import PICKS, Table, share
 from .unit import NEVER, Kind, Unit
+from .unit_list import Roster
 
 OTHER = 1_000_000  # draws of a line's second party, apart from its first's
 TURN = 400  # tenths of a ms: of a relay that has a share of a core
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ..record.lines import Came, Done, Head, Life, Line, Log, Met, Ran, Unit
-from .draws import Gaps
+from .random_draws import Gaps
 
 SPAN, HERD = 50_000, 1_000  # tenths of a ms: windows of evenness, of herds
 FEWEST, THIN = 5, 10  # units of a build, shots for each of them in a window that counts
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -9,11 +9,11 @@
 from typing import Any, NamedTuple
 
 from ..record.lines import Unit as UnitLine
-from . import draws
+from . import random_draws as draws
 from .builds import Build
-from .draws import Table, share
-from .roster import Entry
+from .random_draws import Table, share
 from .unit import NEVER, Kind, Unit
+from .unit_list import Entry
 
 
 class Layout(NamedTuple):
--- a/tealsail/world/unit.py
+++ b/tealsail/world/unit.py
@@ -11,7 +11,7 @@
 
 from ..parts import Ring
 from .builds import Build
-from .draws import FATE, OWN, WORK, Table, share
+from .random_draws import FATE, OWN, WORK, Table, share
 
 NEVER = 1 << 60
 COLD_STEP = 500  # tenths of a ms: how often a cold unit's speed is taken anew
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -8,7 +8,7 @@
 
 from tealsail.choices.pauses import Pauses, by_fleet, first_question
 from tealsail.parts import Chance
-from tealsail.world.keeper import Keeper
+from tealsail.world.discovery_server import Keeper
 
 RELAYS, WITHIN = 40, 10.0
 
