--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -18,7 +18,7 @@
 from ..record.lines import Done, Head, Ran
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
-from ..world.unit import NEVER, Asked, Unit
+from ..world.unit import NEVER, IncomingShot, Unit
 from .bars import Bar, bars
 from .fits import drawn
 from .runs import day_seed, play
@@ -90,14 +90,14 @@
             arrival, now = clients.next(), due
             unit = choose(arrival.relay)
             choosers.own[arrival.relay][unit.name] += 1
-            unit.take(now, Asked(arrival, arrival.first, arrival.workload))
+            unit.take(now, IncomingShot(arrival, arrival.first, arrival.workload))
         else:
             break
         for asked, work in unit.taken:
             evenness(Ran(now, asked.relay, asked.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for asked, outcome in said:
+        outcomes, unit.outcomes = unit.outcomes, []
+        for asked, outcome in outcomes:
             evenness(Done(now, asked.relay, asked.number, 0, unit.name, outcome))
             choosers.own[asked.relay][unit.name] -= 1
             if outcome == "served":
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -19,7 +19,7 @@
 from ..record.lines import Done, Head, Ran
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
-from ..world.unit import NEVER, Asked, Unit
+from ..world.unit import NEVER, IncomingShot, Unit
 from .bars import Bar, Difference, bars, differences
 from .runs import day_seed
 from .scenario import Scenario
@@ -75,7 +75,9 @@
 
     def __init__(self, number: int, units: Sequence[Unit], seed: int, relays: int, has_digests: bool) -> None:
         self.number, self.chance = number, Chance(mix(seed, number, 23))
-        self.order = sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.some(units)
+        self.order = (
+            sorted(units, key=lambda unit: mix(number, unit.identity)) if len(units) < 1_000 else self.some(units)
+        )
         self.known: dict[str, Known] = {}
         self.few = float(FEW)
         self.usual = 0.0  # ms that an answer takes
@@ -115,7 +117,7 @@
     def sent(self, unit: Unit, now: int) -> None:
         self.of(unit).out += 1
         if self.digests:
-            self.digests.sent(unit.mark, now)
+            self.digests.sent(unit.identity, now)
 
     def ended(self, unit: Unit, now: int, latency: int) -> None:
         known = self.of(unit)
@@ -123,7 +125,7 @@
         self.usual += 0.05 * (latency - self.usual) if self.usual else latency
         known.pace += 0.1 * (min(8.0, latency / self.usual) - known.pace)
         if self.digests:
-            self.digests.ended(unit.mark, now)
+            self.digests.ended(unit.identity, now)
 
 
 class Tracker:
@@ -180,7 +182,7 @@
 
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
         known = relay.of(unit)
-        return (known.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
+        return (known.out + relay.digests.others(unit.identity, self.now) + self.chance.share()) * known.pace
 
     # time
     def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
@@ -236,7 +238,7 @@
 
     def attempt(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
         relay.sent(unit, self.now)
-        unit.take(self.now, Asked((arrival, self.now), arrival.first, arrival.workload))
+        unit.take(self.now, IncomingShot((arrival, self.now), arrival.first, arrival.workload))
         self.after(unit)
 
     def wake(self, unit: Unit, at: int) -> None:
@@ -249,8 +251,8 @@
         for (arrival, _), work in unit.taken:
             self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for (arrival, sent), outcome in said:
+        outcomes, unit.outcomes = unit.outcomes, []
+        for (arrival, sent), outcome in outcomes:
             self.evenness(Done(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
             relay = self.relays[arrival.relay]
             relay.ended(unit, self.now, self.now - sent)
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -21,7 +21,7 @@
 
 from ..record.files import read
 from ..record.lines import Came, Done, End, Head, Ran, Shot, Take, Told, Unit
-from ..world.random_draws import POINTS
+from ..world.random_draws import QUANTILE_STEPS
 from .scenario import BadScenario, Scenario, convert, over
 
 FEW, ENOUGH = 200, 400  # shots: fewer are said to be few; from so many quantiles count
@@ -168,7 +168,7 @@
     from statistics import NormalDist
 
     normal = NormalDist(centre, max(spread, 1e-6))
-    edge = 0.25 / POINTS
+    edge = 0.25 / QUANTILE_STEPS
     return [round(exp(normal.inv_cdf(min(max(float(part), edge), 1 - edge))) / 10, 4) for part in parts]
 
 
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -19,7 +19,7 @@
 
 from ...net import messages
 from ...record.lines import Life, Log, News, Told
-from ...world.day import Day, Order
+from ...world.day import Day, RelayCommand
 from .addresses import LIST, PLATFORM
 from .clock_offset import CLOCK_FILE
 from .control_plane import endpoint_list, rollout_state
@@ -193,7 +193,7 @@
 
     def configuration(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
-        roster, state = self.day.roster, self.day.desk.state
+        roster, state = self.day.roster, self.day.platform.state
         entries = roster.whole(roster.told[relay])
         now = setup.now()
         for entry in entries:
@@ -231,7 +231,7 @@
             self.on_change()
 
     # what the script does
-    def execute(self, order: Order) -> None:
+    def execute(self, order: RelayCommand) -> None:
         running, process = self.running.get(order.relay, (None, None))
         match order.what:
             case "down" if running:
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -19,7 +19,7 @@
 from ...facade import Facade, Standing
 from ...record.files import read
 from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
-from ...world.day import Day, Order
+from ...world.day import Day, RelayCommand
 from ...world.unit import Unit
 from ..loopback import process_messages as parts
 from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
@@ -162,7 +162,7 @@
         own = Day(
             scenario.parts(), seed, clients_of(scenario, seed)
         ).fleet.units  # of real relays; machines of the day idle
-        self.backends = Backends(self.setup, own, self.fell)
+        self.backends = Backends(self.setup, own, self.crashed)
         self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
         self.clients = RealClients(self.setup, self.real)
         self.groups: list[Group] = []
@@ -320,7 +320,7 @@
                 if answer != "nothing":
                     group.tell(words.Voted(relay, answer))
             case words.Fell(name):
-                self.fell(name)
+                self.crashed(name)
             case words.Traffic(second, sent, received):
                 so_far = self.traffic.setdefault(second, [0, 0])
                 so_far[0] += sent
@@ -385,11 +385,11 @@
         self.reactor.callLater(0, self.took_up)
         return answer
 
-    def fell(self, name: str) -> None:
+    def crashed(self, name: str) -> None:
         unit = self.day.fleet.units.get(name)
-        if unit and not unit.dead:
-            unit.fell = unit.told_fallen = True
-            self.day.fallen(self.setup.now(), unit)
+        if unit and not unit.is_dead:
+            unit.crashed = unit.crash_reported = True
+            self.day.record_crash(self.setup.now(), unit)
             self.took_up()
 
     def took_up(self) -> None:
@@ -398,11 +398,11 @@
         for line in left.lines:
             self.tell(line)
         changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitLine) and line.at)
-        self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.touched))
-        if left.rounds and not self.list_timer:
+        self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.changed_units))
+        if left.list_versions and not self.list_timer:
             self.list_timer = self.reactor.callLater(self.plan.list_every, self.tell_list)
-        if self.day.moved and self.setup.now() >= self.day.desk.silent_until:
-            self.day.moved = False
+        if self.day.rollout_changed and self.setup.now() >= self.day.platform.silent_until:
+            self.day.rollout_changed = False
             self.tell_rollout()
         for order in left.relays:
             self.carry_out(order)
@@ -418,7 +418,7 @@
             before, self.told[name] = self.told.get(name), word
             self.number(name)
             self.backends.change(word)
-            if word.dead or before and (before.mark, before.started) != (word.mark, word.started):
+            if word.is_dead or before and (before.identity, before.started) != (word.identity, word.started):
                 self.listener.ended(name)
             for group in self.groups:
                 group.tell(word)
@@ -434,12 +434,12 @@
             self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.publish, relay, roster.version)
 
     def tell_rollout(self) -> None:
-        state = self.day.desk.state
+        state = self.day.platform.state
         self.platform.publish()
         for group in self.groups:
             group.tell(words.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """A script may kill hollow relays, which come up again; only a real one has a process that can be stopped."""
         group = self.group_of.get(order.relay)
         if group is None:
@@ -521,17 +521,17 @@
         return words.Backend(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
     return words.Backend(
         name,
-        unit.mark,
+        unit.identity,
         unit.build.number,
         unit.speed,
         unit.zone,
         unit.cell,
         unit.started,
-        unit.hung,
-        unit.slow,
+        unit.is_hung,
+        unit.slowdown,
         unit.errors,
-        unit.draining,
-        unit.dead,
+        unit.is_draining,
+        unit.is_dead,
     )
 
 
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -112,7 +112,7 @@
         self.clients, self.lags = day.clients, day.roster.lag
         self.listing = Listing(self.setup, day)
         self.backends = Backends(self.setup, day.fleet.units, lambda name: say(words.Fell(name)))
-        state = day.desk.state
+        state = day.platform.state
         self.rollout = words.Rollout(state.build, state.stage, state.phase, state.cap, 0)
         self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
         self.outside = Outside(
--- a/tealsail/lab/scale/reading.py
+++ b/tealsail/lab/scale/reading.py
@@ -162,7 +162,7 @@
     for relays, stalls in zip(
         played.hollow, played.stalls
     ):  # the checker's own allowance for a process that did not run
-        judged.rules.halts |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
+        judged.rules.stops |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
     seconds = Seconds(judged, played.real, int(scenario.seconds))
     duties: Counter[str] = Counter()
     faults: list[Fault] = []
--- a/tealsail/lab/scale/words.py
+++ b/tealsail/lab/scale/words.py
@@ -33,17 +33,17 @@
     """A backend as the director has it: a new one, or what has changed of one."""
 
     name: str
-    mark: int
+    identity: int
     build: int
     speed: float
     zone: str
     cell: int
     started: int
-    hung: bool
-    slow: float
+    is_hung: bool
+    slowdown: float
     errors: float
-    draining: bool
-    dead: bool
+    is_draining: bool
+    is_dead: bool
 
 
 class Listed(Word, tag="listed"):
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -4,16 +4,16 @@
 
 from ..record.files import Notes, read
 from ..record.lines import Head, Take, Unreadable
-from ..world.clients import STREAM, Arrival, Clients, Habits, Workload
+from ..world.clients import NUMBERS_PER_STREAM, Arrival, ClientBehaviour, Clients, Workload
 from .scenario import BadScenario, Scenario
 
-MOST = STREAM - 1  # first tries of a trace
+MOST = NUMBERS_PER_STREAM - 1  # first tries of a trace
 
 
 class Trace(Clients):
     """In place of drawn arrivals.  Repeats are the clients' own, as drawn.  Reads on as the day goes on."""
 
-    def __init__(self, scenario: Scenario, habits: Habits, workloads: list[Workload], seed: int) -> None:
+    def __init__(self, scenario: Scenario, habits: ClientBehaviour, workloads: list[Workload], seed: int) -> None:
         super().__init__(
             habits._replace(rate=0.0),
             workloads,
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -14,8 +14,8 @@
 from ..parts import mix
 from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
-from ..world.day import Day, Order
-from ..world.unit import NEVER, Asked, Unit
+from ..world.day import Day, RelayCommand
+from ..world.unit import NEVER, IncomingShot, Unit
 from ..world.unit_list import Entry
 from .scenario import Scenario
 from .traffic import clients_of
@@ -130,7 +130,7 @@
     def taken(self, arrival: Arrival) -> None:
         model, facade = self.model, self.facade
         workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
-        repeat = arrival.repeat and model.parts.habits.marks
+        repeat = arrival.repeat and model.parts.behaviour.marks
         number, step = facade.pick(
             workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
         )
@@ -168,10 +168,10 @@
         model.later(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.overdue, out)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
-        way = model.day.network.way(self.index, zone)
-        if unit is None or unit.dead:  # refused at once
+        delay = model.day.network.delay(self.index, zone)
+        if unit is None or unit.is_dead:  # refused at once
             self.kept.pop(name, None)
-            model.later(now + 2 * way, self.came, out, "unreachable")
+            model.later(now + 2 * delay, self.came, out, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
             unit.disconnect(self.kept.pop(name, (0, 0))[0])
             model.later(now + model.connect_wait, self.came, out, "unreachable")
@@ -179,12 +179,12 @@
             kept = self.kept.get(name)
             if kept and kept[0] and now - kept[1] < model.idle_time:
                 kept[0] -= 1
-                out.holds, wait = unit, 3 * way  # it proves itself by an empty query first
+                out.holds, wait = unit, 3 * delay  # it proves itself by an empty query first
             elif unit.connect():
-                out.holds, out.new, wait = unit, True, 3 * way + model.parts.paths.handshake
+                out.holds, out.new, wait = unit, True, 3 * delay + model.parts.paths.handshake
                 model.tell(Met(now, self.index, name))
             else:
-                return model.later(now + 2 * way, self.came, out, "full")
+                return model.later(now + 2 * delay, self.came, out, "full")
             model.later(now + wait + model.there, model.reach, self, out, unit)
 
     def expire(self, unit: Unit, used: int) -> None:
@@ -226,7 +226,7 @@
     def give_up(self, out: Out, outcome: str) -> None:
         if out.unit:
             self.model.later(
-                self.model.now + self.model.day.network.way(self.index, out.unit.zone), self.model.stop, out
+                self.model.now + self.model.day.network.delay(self.index, out.unit.zone), self.model.stop, out
             )
         self.came(out, outcome if out.unit else "moot")  # nothing was written yet
 
@@ -296,7 +296,7 @@
         self.schedule()
 
     def stood(self) -> None:
-        model, state = self.model, self.model.day.desk.state
+        model, state = self.model, self.model.day.platform.state
         if self.waits(1, self.stood):
             return
         model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
@@ -410,12 +410,12 @@
     def anew(self, relay: int) -> None:
         """One that did not run for a while asks for what others keep."""
         door, roster = self.doors[relay], self.day.roster
-        if door and self.day.network.has(self.now, relay, "list"):
+        if door and self.day.network.reaches_service(self.now, relay, "list"):
             door.listed(roster.whole(roster.told[relay]), "whole")
         if door:
             self.tell_state(relay)
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """What the script does to a relay's process.  A step of its wall clock moves nothing: its time is even
         (tealsail/choices/clock.py).  A relay from another checkout is only restarted: the model has one program."""
         door = self.doors[order.relay]
@@ -462,7 +462,7 @@
             door.schedule()
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
-        if not self.day.network.has(self.now, door.index, "platform"):
+        if not self.day.network.reaches_service(self.now, door.index, "platform"):
             answer = "nothing"  # it never came
         else:
             answer = self.day.vote(self.now, door.index, build, stage, verdict)
@@ -512,11 +512,11 @@
         """The last byte of a shot has come to its unit."""
         if out.over:
             return
-        if unit.dead:
+        if unit.is_dead:
             return door.came(out, "unreachable")
         out.unit = unit
         arrival = out.serving.arrival
-        unit.take(self.now, Asked((door, out), arrival.first, arrival.workload), out.new)
+        unit.take(self.now, IncomingShot((door, out), arrival.first, arrival.workload), out.new)
         self.touch(unit)
 
     def stop(self, out: Out) -> None:
@@ -529,16 +529,16 @@
         for (door, out), work in unit.taken:
             self.tell(Ran(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
         unit.taken.clear()
-        if unit.said:
-            said, unit.said = unit.said, []
+        if unit.outcomes:
+            outcomes, unit.outcomes = unit.outcomes, []
             network, now = self.day.network, self.now
-            for (door, out), outcome in said:
+            for (door, out), outcome in outcomes:
                 self.tell(Done(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
                 if not out.over and network.reaches(now, door.index, unit.name, unit.zone):
-                    self.later(now + network.way(door.index, unit.zone), door.came, out, outcome)
-        if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
-            unit.told_fallen = True
-            self.day.fallen(self.now, unit)
+                    self.later(now + network.delay(door.index, unit.zone), door.came, out, outcome)
+        if unit.crashed and unit.name in self.day.fleet.units and not unit.crash_reported:
+            unit.crash_reported = True
+            self.day.record_crash(self.now, unit)
             self.took_up()
         due = unit.due
         if due < unit.wake_at:
@@ -564,13 +564,13 @@
         left = day.left()
         for line in left.lines:
             self.tell(line)
-        for unit in left.touched:
+        for unit in left.changed_units:
             self.touch(unit)
-        for version in left.rounds:
+        for version in left.list_versions:
             for relay, lag in enumerate(day.roster.lag):
                 self.later(self.now + lag, self.tell_list, relay, version)
-        if day.moved and self.now >= day.desk.silent_until:
-            day.moved = False
+        if day.rollout_changed and self.now >= day.platform.silent_until:
+            day.rollout_changed = False
             for relay in range(len(self.doors)):
                 self.later(self.now + self.news_wait, self.tell_state, relay)
         for order in left.relays:
@@ -581,17 +581,17 @@
             self.later(max(due, self.now + 1), self.wake_day, due)
 
     def tell_list(self, relay: int, version: int) -> None:
-        if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
+        if self.day.roster.is_frozen(self.now, relay) or not self.day.network.reaches_service(self.now, relay, "list"):
             return  # told once it moves again, or is reached
-        _, entries = self.day.roster.news(relay, version)
+        _, entries = self.day.roster.take_changes(relay, version)
         if entries and self.doors[relay]:
             self.doors[relay].listed(entries, "changes")
 
     def tell_state(self, relay: int) -> None:
         if (
             self.doors[relay]
-            and self.now >= self.day.desk.silent_until
-            and self.day.network.has(self.now, relay, "platform")
+            and self.now >= self.day.platform.silent_until
+            and self.day.network.reaches_service(self.now, relay, "platform")
         ):
             self.doors[relay].stood()
 
--- a/tealsail/world/__init__.py
+++ b/tealsail/world/__init__.py
@@ -1,5 +1,6 @@
-"""The stand-ins: units, their list, the platform, clients, the network, faults; and the checker of the rules.
+"""Simulated environment of the relays (units, their list, the platform, clients, the network, faults) and the checkers.
 
-Each is a machine without I/O: it is handed the time and what came in, and keeps what goes out and when it wants to be
-woken.  Two drivers run them: a heap of events in virtual time (tealsail/lab/virtual.py), and sockets on loopback.
+Each part is a state machine without I/O: it is given the time and its input, and keeps its output and the time at which
+it has to be woken.  Two drivers run these machines: an event queue in virtual time (tealsail/lab/virtual.py), and
+sockets on loopback.
 """
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -1,9 +1,11 @@
-"""One day of the world: units, their list, the platform and what goes wrong, as one machine.
-
-Whoever drives it calls `wake` at `due` and then takes up what it left: `lines` for the record, `touched` units whose
-`said` and `due` may have changed, `rounds` (a version of the list to tell relays of), `moved` (the platform's state has
-changed, or is to be told anew) and `relays` (what is done to processes of relays).  Who acts for the fleet (`the
-keeper`) is asked of `roles` when a line of the script is carried out: the driver reads it from what relays log.
+"""One day of everything that is not a relay: units, their list, the platform, clients, the network and faults, as one
+state machine without I/O.
+
+The driver calls `wake` at `due` and then takes what `left` returns: lines for the record, units whose outcomes and
+`due` may have changed, versions of the list to publish, and commands for the relays' processes.  `rollout_changed` says
+that the platform's state has to be sent, again or for the first time.  `roles` returns the relays that act for the
+fleet in a role such as `keeper`; the driver reads that from the relays' logs, and it is asked when a line of the script
+is carried out.
 """
 
 import heapq
@@ -12,288 +14,307 @@
 
 from ..record.lines import Fault as FaultLine, Stage, Vote
 from .builds import Build
-from .clients import Clients, Habits, Workload
+from .clients import ClientBehaviour, Clients, Workload
 from .faults import Fault
-from .fleet import Fleet, Layout
-from .network import Network, Paths, Trouble
-from .platform import Desk, Plan
-from .random_draws import PICKS, Table, share
-from .unit import NEVER, Kind, Unit
-from .unit_list import Roster
+from .fleet import Fleet, FleetLayout
+from .network import Network, NetworkPaths, NoteFault
+from .platform import Platform, RolloutPlan
+from .random_draws import SELECTION, QuantileTable, uniform
+from .unit import NEVER, Unit, UnitKind
+from .unit_list import UnitList
 
-OTHER = 1_000_000  # draws of a line's second party, apart from its first's
-TURN = 400  # tenths of a ms: of a relay that has a share of a core
+SECOND_PARTY_SALT = 1_000_000  # sets the draws of a cut's second party apart from those of its first
+HOLD_PERIOD = 400  # tenths of a ms; a held relay runs for its share of each period
 
 
-class Parts(NamedTuple):
+class DayParts(NamedTuple):
     """What a day is made of.  Times are tenths of a ms."""
 
-    layout: Layout
-    kind: Kind
-    builds: dict[int, Build]
+    layout: FleetLayout
+    kind: UnitKind
+    builds: dict[int, Build]  # by number
     base: int  # the build that runs at the start
-    works: list[Table]  # by workload
+    works: list[QuantileTable]  # by workload
     workloads: list[Workload]
     customers: list[tuple[str, float]]  # name and share
-    habits: Habits
-    plan: Plan
-    paths: Paths
-    relay_zones: list[str]
-    list_late: tuple[int, int]
-    offers: list[tuple[int, int]]  # when, which build
+    behaviour: ClientBehaviour
+    plan: RolloutPlan
+    paths: NetworkPaths
+    relay_zones: list[str]  # by relay
+    list_delay: tuple[int, int]  # range of the relays' delays of the unit list
+    offers: list[tuple[int, int]]  # time and build
     faults: list[Fault]
-    span: int
+    span: int  # length of the day
+
 
+class RelayCommand(NamedTuple):
+    """A command for a relay's process.
 
-class Order(NamedTuple):
-    """To be done to a relay's process: down (killed), up, restart, stop (nothing of it runs), on (it runs again),
-    rate (its clocks run so many times as fast), step (its wall clock steps by so many seconds), switch (restart, from
-    the other checkout)."""
+    `what` is down (kill it), up, restart, stop (nothing of it runs), on (it runs again), rate (its clocks run `amount`
+    times as fast), step (its wall clock steps by `amount` seconds) or switch (restart it from the other checkout).
+    """
 
     relay: int
     what: str
     amount: float = 0.0
 
 
-class Left(NamedTuple):
-    """What a day left to do for whoever drives it."""
+class DayOutput(NamedTuple):
+    """What the driver has to carry out."""
 
-    lines: list[Any]
-    touched: list[Unit]
-    rounds: list[int]
-    relays: list[Order]
+    lines: list[Any]  # for the record
+    changed_units: list[Unit]
+    list_versions: list[int]  # to publish to relays
+    relays: list[RelayCommand]
 
 
 class Day:
-    """All that is not a relay."""
+    """The state machine; times are tenths of a ms."""
 
-    def __init__(self, parts: Parts, seed: int, clients: Clients) -> None:
+    def __init__(self, parts: DayParts, seed: int, clients: Clients) -> None:
         self.parts, self.seed, self.clients = parts, seed, clients
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
-        self.roster = Roster(*parts.list_late, len(parts.relay_zones), seed)
-        self.desk = Desk(parts.plan, parts.base)
+        self.roster = UnitList(*parts.list_delay, len(parts.relay_zones), seed)
+        self.platform = Platform(parts.plan, parts.base)
         self.network = Network(parts.paths, parts.relay_zones, seed)
         self.lines: list[Any] = []
-        self.touched: dict[Unit, None] = {}
-        self.rounds: list[int] = []
-        self.moved = False
-        self.relays: list[Order] = []
-        self.roles: Callable[[str], list[int]] = lambda name: []  # who acts for the fleet as that
+        self.changed_units: dict[Unit, None] = {}
+        self.list_versions: list[int] = []
+        self.rollout_changed = False
+        self.commands: list[RelayCommand] = []
+        self.roles: Callable[[str], list[int]] = lambda name: []  # relays that act in that role
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count, self.round_due = 0, NEVER
+        self.count, self.list_due = 0, NEVER  # timers set so far; when the list is published next
         for at, build in parts.offers:
             self.later(at, self.offer, build)
-        for place, fault in enumerate(parts.faults):
-            self.later(fault.at, self.begin, fault, place)
-            if fault.kind == "surge":  # arrivals are drawn ahead
+        for index, fault in enumerate(parts.faults):
+            self.later(fault.at, self.begin_fault, fault, index)
+            if fault.kind == "surge":  # streams of arrivals are created in advance
                 names = [name for name, _ in parts.customers]
                 self.clients.surge(
                     names.index(fault.who) if fault.who else -1, fault.times, fault.at, fault.at + fault.span
                 )
         self.settle(0)
-        for relay in range(len(parts.relay_zones)):  # at the start all is known
+        for relay in range(len(parts.relay_zones)):  # at the start all relays know the whole list
             self.roster.told[relay] = self.roster.version
-        self.rounds, self.round_due = [], NEVER
+        self.list_versions, self.list_due = [], NEVER
 
-    # the machine
-    def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
+    # time, input and output
+    def later(self, at: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Sets a timer."""
         self.count += 1
-        heapq.heappush(self.timers, (at, self.count, call, what))
+        heapq.heappush(self.timers, (at, self.count, call, arguments))
 
     @property
     def due(self) -> int:
-        return min(self.timers[0][0] if self.timers else NEVER, self.fleet.due, self.desk.due, self.round_due)
+        """When to call `wake`."""
+        return min(self.timers[0][0] if self.timers else NEVER, self.fleet.due, self.platform.due, self.list_due)
 
     def wake(self, now: int) -> None:
+        """Does all that is due."""
         while self.timers and self.timers[0][0] <= now:
-            _, _, call, what = heapq.heappop(self.timers)
-            call(now, *what)
+            _, _, call, arguments = heapq.heappop(self.timers)
+            call(now, *arguments)
         self.fleet.wake(now)
         self.settle(now)
-        if self.round_due <= now:
-            self.round_due = NEVER
-            self.rounds.append(self.roster.version)
+        if self.list_due <= now:
+            self.list_due = NEVER
+            self.list_versions.append(self.roster.version)
 
     def vote(self, now: int, relay: int, build: int, stage: int, verdict: str) -> str:
-        """A relay's vote has come in; returns the answer, `nothing` for none."""
-        answer = self.desk.vote(now, relay, build, stage, verdict)
+        """Takes a relay's vote; returns the platform's answer, `nothing` for none."""
+        answer = self.platform.vote(now, relay, build, stage, verdict)
         self.lines.append(Vote(now, relay, build, stage, verdict, answer))
         self.settle(now)
         return answer
 
-    def fallen(self, now: int, unit: Unit) -> None:
-        """A unit fell over under what it was sent: the fleet learns of it."""
+    def record_crash(self, now: int, unit: Unit) -> None:
+        """A unit has crashed by overload, as its driver has seen."""
         self.fleet.kill(now, unit)
         self.settle(now)
 
-    def left(self) -> Left:
-        """Taken up once, all but `moved`: whether the news goes out depends on whether the platform is silent."""
-        left = Left(self.lines, list(self.touched), self.rounds, self.relays)
-        self.lines, self.touched, self.rounds, self.relays = [], {}, [], []
-        return left
+    def left(self) -> DayOutput:
+        """Returns the output so far and clears it.  `rollout_changed` is not part of it, since the driver keeps it
+        while the platform is silent."""
+        output = DayOutput(self.lines, list(self.changed_units), self.list_versions, self.commands)
+        self.lines, self.changed_units, self.list_versions, self.commands = [], {}, [], []
+        return output
 
     def settle(self, now: int) -> None:
-        """The platform's orders are carried out, and what the fleet did is listed, until nothing is left to do."""
-        fleet, desk = self.fleet, self.desk
+        """Carries out the platform's orders until there are none, then lists and records what the fleet did."""
+        fleet, platform = self.fleet, self.platform
         while True:
-            desk.running(now, desk.state.build, fleet.all_run(desk.state.build))
-            if desk.state.phase == "going back" and not desk.orders and not fleet.left(desk.state.build):
-                desk.gone_back(now, desk.state.build)
-            desk.count(now)
-            if not desk.orders:
+            platform.update_launch(now, platform.state.build, fleet.all_run(platform.state.build))
+            if (
+                platform.state.phase == "going back"
+                and not platform.orders
+                and not fleet.has_build(platform.state.build)
+            ):
+                platform.complete_rollback(now, platform.state.build)
+            platform.count(now)
+            if not platform.orders:
                 break
-            for order, build, part in desk.orders:
+            for order, build, share in platform.orders:
                 if order == "launch":
-                    fleet.launch(now, build, part)
+                    fleet.launch(now, build, share)
                 elif order == "back":
-                    fleet.back(now, build, desk.base)
+                    fleet.roll_back(now, build, platform.base)
                 else:
                     fleet.release(now, build)
-            desk.orders = []
-        if desk.news:
-            desk.news, self.moved = False, True
-            self.lines.append(Stage(now, desk.state.build, desk.state.stage, desk.state.phase, desk.state.cap))
+            platform.orders = []
+        if platform.state_changed:
+            platform.state_changed, self.rollout_changed = False, True
+            self.lines.append(
+                Stage(now, platform.state.build, platform.state.stage, platform.state.phase, platform.state.cap)
+            )
         for entry in fleet.changes:
-            self.round_due = min(self.round_due, self.roster.change(now, entry))
+            self.list_due = min(self.list_due, self.roster.change(now, entry))
         self.lines += fleet.lines
-        self.touched.update(dict.fromkeys(fleet.ended))
+        self.changed_units.update(dict.fromkeys(fleet.ended))
         fleet.changes, fleet.lines, fleet.ended = [], [], []
 
     def offer(self, now: int, build: int) -> None:
-        self.desk.offer(now, build)
+        self.platform.offer(now, build)
 
     # faults
-    def begin(self, now: int, fault: Fault, place: int) -> None:
+    def begin_fault(self, now: int, fault: Fault, index: int) -> None:
+        """Carries out a line of the script; its place `index` sets its draws apart from those of other lines."""
         self.lines.append(FaultLine(now, fault.text))
         match fault.kind:
             case "kill" | "hang" | "silence" | "slow" | "fail" | "drain":
-                units = self.fleet.chosen(fault.many, fault.part, fault.zone, fault.build, place)
+                units = self.fleet.select(fault.many, fault.part, fault.zone, fault.build, index)
                 for unit in units:
-                    self.strike(now, fault, unit)
+                    self.hit_unit(now, fault, unit)
                 if fault.span and fault.kind in ("hang", "slow", "fail"):
-                    self.later(now + fault.span, self.mend, fault, units)
+                    self.later(now + fault.span, self.mend_units, fault, units)
             case "zone":
-                for unit in self.fleet.chosen(0, 1.0, fault.zone, -1, place):
+                for unit in self.fleet.select(0, 1.0, fault.zone, -1, index):
                     self.fleet.kill(now, unit, fault.span)
             case "list":
-                self.round_due = self.roster.stale(now, fault.span)
+                self.list_due = self.roster.freeze(now, fault.span)
             case "platform silent":
-                self.desk.silence(now, fault.span)
-                self.later(now + fault.span, self.heard_again)
+                self.platform.silence(now, fault.span)
+                self.later(now + fault.span, self.end_silence)
             case "platform busy":
-                self.desk.busy(now, fault.span)
+                self.platform.make_busy(now, fault.span)
             case "notes":
-                self.network.troubles.append(Trouble(fault.who, now + fault.span, fault.times, fault.far))
+                self.network.note_faults.append(NoteFault(fault.who, now + fault.span, fault.times, fault.far))
             case "cut":
                 until = now + fault.span if fault.span else NEVER
-                self.cut(now, fault, place, until)
-            case "ring":
-                many = len(self.parts.relay_zones)
-                for relay in range(many):
-                    self.network.apart[relay, (relay + 1) % many] = now + fault.span
-                    self.network.apart[(relay + 1) % many, relay] = now + fault.span
+                self.cut(now, fault, index, until)
+            case "ring":  # each relay is cut off from its two neighbours by number
+                relays = len(self.parts.relay_zones)
+                for relay in range(relays):
+                    self.network.relay_cuts[relay, (relay + 1) % relays] = now + fault.span
+                    self.network.relay_cuts[(relay + 1) % relays, relay] = now + fault.span
             case _:
-                for relay in self.chosen(fault.who, fault.many, fault.part, fault.zone, place):
-                    self.befall(now, fault, relay)
+                for relay in self.select_relays(fault.who, fault.many, fault.part, fault.zone, index):
+                    self.hit_relay(now, fault, relay)
 
-    def chosen(self, who: str, many: int, part: float, zone: str, salt: int) -> list[int]:
-        """Relays that a fault hits: one by its number, by what it does for the fleet, so many, or that part of a
-        zone's."""
+    def select_relays(self, who: str, many: int, share: float, zone: str, salt: int) -> list[int]:
+        """Relays that a fault hits: one by its number, those in a role, or `many` or a share of those of a zone ('':
+        any)."""
         if who.isdigit():
             return [int(who)]
         if who:
             return self.roles(who)
-        fit = [relay for relay, own in enumerate(self.parts.relay_zones) if zone in ("", own)]
-        fit.sort(key=lambda relay: (share(self.seed, PICKS, salt, relay, 2), relay))
-        return sorted(fit[: many if many else round(part * len(fit)) or 1])
-
-    def cut(self, now: int, fault: Fault, place: int, until: int) -> None:
-        """Relays from a zone's units, the list, the platform, or other relays (both ways, or what the first send)."""
-        network, all_of_them = self.network, range(len(self.parts.relay_zones))
-        ours = self.chosen(fault.who, fault.many, fault.part, fault.zone, place)
+        candidates = [relay for relay, own in enumerate(self.parts.relay_zones) if zone in ("", own)]
+        candidates.sort(key=lambda relay: (uniform(self.seed, SELECTION, salt, relay, 2), relay))
+        return sorted(candidates[: many if many else round(share * len(candidates)) or 1])
+
+    def cut(self, now: int, fault: Fault, index: int, until: int) -> None:
+        """Cuts relays off from the units of a zone, the list, the platform, or other relays (in both directions, or
+        only what the first side sends)."""
+        network, all_relays = self.network, range(len(self.parts.relay_zones))
+        first_side = self.select_relays(fault.who, fault.many, fault.part, fault.zone, index)
         if fault.whom.startswith("zone"):
-            network.cuts.update({(relay, fault.whom[5:]): until for relay in ours})
+            network.zone_cuts.update({(relay, fault.whom[5:]): until for relay in first_side})
         elif fault.whom in ("list", "platform"):
-            network.away.update({(relay, fault.whom): until for relay in ours})
-            self.later(until, self.reached_again)
+            network.service_cuts.update({(relay, fault.whom): until for relay in first_side})
+            self.later(until, self.end_service_cut)
         else:
-            theirs = all_of_them if fault.whom == "others" else self.chosen(*fault.party, place + OTHER)
-            for one in ours:
-                for other in theirs:
-                    if other != one and (fault.whom != "others" or other not in ours):
-                        network.apart[one, other] = until
+            second_side = (
+                all_relays if fault.whom == "others" else self.select_relays(*fault.party, index + SECOND_PARTY_SALT)
+            )
+            for relay in first_side:
+                for other in second_side:
+                    if other != relay and (fault.whom != "others" or other not in first_side):
+                        network.relay_cuts[relay, other] = until
                         if not fault.one_way:
-                            network.apart[other, one] = until
+                            network.relay_cuts[other, relay] = until
 
-    def befall(self, now: int, fault: Fault, relay: int) -> None:
-        """What is done to one relay's process."""
+    def hit_relay(self, now: int, fault: Fault, relay: int) -> None:
+        """Carries out a fault on one relay's process."""
         match fault.kind:
             case "kill relays":
-                self.relays.append(Order(relay, "down"))
+                self.commands.append(RelayCommand(relay, "down"))
                 if fault.span:
-                    self.later(now + fault.span, self.order, Order(relay, "up"))
+                    self.later(now + fault.span, self.command, RelayCommand(relay, "up"))
             case "restart relays":
-                self.relays.append(Order(relay, "restart"))
+                self.commands.append(RelayCommand(relay, "restart"))
             case "switch relays":
-                self.relays.append(Order(relay, "switch"))
+                self.commands.append(RelayCommand(relay, "switch"))
             case "pause relays":
-                self.relays.append(Order(relay, "stop"))
+                self.commands.append(RelayCommand(relay, "stop"))
                 if fault.span:
-                    self.later(now + fault.span, self.order, Order(relay, "on"))
-            case "hold relays":  # a share of a core: stopped for the rest of each turn
-                for turn in range(now, now + fault.span, TURN):
-                    self.later(turn, self.order, Order(relay, "stop"))
-                    self.later(turn + int((1 - fault.times) * TURN), self.order, Order(relay, "on"))
+                    self.later(now + fault.span, self.command, RelayCommand(relay, "on"))
+            case "hold relays":  # it gets a share of a core: stopped at the start of each period
+                for start in range(now, now + fault.span, HOLD_PERIOD):
+                    self.later(start, self.command, RelayCommand(relay, "stop"))
+                    self.later(start + int((1 - fault.times) * HOLD_PERIOD), self.command, RelayCommand(relay, "on"))
             case "step clocks":
-                self.relays.append(Order(relay, "step", fault.times))
+                self.commands.append(RelayCommand(relay, "step", fault.times))
             case "run clocks":
-                self.relays.append(Order(relay, "rate", fault.times))
+                self.commands.append(RelayCommand(relay, "rate", fault.times))
                 if fault.span:
-                    self.later(now + fault.span, self.order, Order(relay, "rate", 1.0))
+                    self.later(now + fault.span, self.command, RelayCommand(relay, "rate", 1.0))
             case "stale lists":
-                self.roster.stale_at(relay, now + fault.span)
-                self.later(now + fault.span, self.list_again)
+                self.roster.freeze_relay(relay, now + fault.span)
+                self.later(now + fault.span, self.publish_list)
 
-    def order(self, now: int, order: Order) -> None:
-        self.relays.append(order)
+    def command(self, now: int, command: RelayCommand) -> None:
+        self.commands.append(command)
 
-    def list_again(self, now: int) -> None:
-        """Lists that stood still are told of what is new."""
-        self.round_due = min(self.round_due, now)
+    def publish_list(self, now: int) -> None:
+        """Publishes the list now, for relays whose lists were frozen."""
+        self.list_due = min(self.list_due, now)
 
-    def reached_again(self, now: int) -> None:
-        """Relays that were cut off hear of the list and of the platform anew."""
-        self.moved = True
-        self.list_again(now)
+    def end_service_cut(self, now: int) -> None:
+        """Relays that were cut off are told the list and the platform's state."""
+        self.rollout_changed = True
+        self.publish_list(now)
 
-    def strike(self, now: int, fault: Fault, unit: Unit) -> None:
-        self.touched[unit] = None
+    def hit_unit(self, now: int, fault: Fault, unit: Unit) -> None:
+        """Carries out a fault on one unit."""
+        self.changed_units[unit] = None
         match fault.kind:
             case "kill":
                 self.fleet.kill(now, unit, fault.span)
             case "hang":
                 unit.hang(now)
-                self.fleet.line(now, unit, "hangs")
+                self.fleet.record(now, unit, "hangs")
             case "slow":
-                unit.slow_down(now, fault.times)
-                self.fleet.line(now, unit, "slows")
+                unit.set_slowdown(now, fault.times)
+                self.fleet.record(now, unit, "slows")
             case "fail":
                 unit.errors = fault.times
-                self.fleet.line(now, unit, "fails")
+                self.fleet.record(now, unit, "fails")
             case "silence":
-                self.network.silent[unit.name] = now + fault.span if fault.span else NEVER
-                self.fleet.line(now, unit, "silent")
+                self.network.silent_units[unit.name] = now + fault.span if fault.span else NEVER
+                self.fleet.record(now, unit, "silent")
             case "drain":
                 self.fleet.drain(now, unit)
 
-    def mend(self, now: int, fault: Fault, units: list[Unit]) -> None:
+    def mend_units(self, now: int, fault: Fault, units: list[Unit]) -> None:
+        """Ends the faults hang, slow and fail of those units that are still alive."""
         for unit in units:
-            if not unit.dead:
+            if not unit.is_dead:
                 unit.hang(now, False)
-                unit.slow_down(now, 1.0)
+                unit.set_slowdown(now, 1.0)
                 unit.errors = unit.kind.unsteady
-                self.touched[unit] = None
-                self.fleet.line(now, unit, "mends")
+                self.changed_units[unit] = None
+                self.fleet.record(now, unit, "mends")
 
-    def heard_again(self, now: int) -> None:
-        self.moved = True
+    def end_silence(self, now: int) -> None:
+        """The platform tells its state again."""
+        self.rollout_changed = True
--- a/tealsail/world/discovery_server.py
+++ b/tealsail/world/discovery_server.py
@@ -1,25 +1,32 @@
-"""The list's keeper where relays ask for lists: so many questions at a time, each of them some work."""
+"""A discovery server under load, for days on which relays ask for the list of units: a bounded queue of questions."""
 
 from collections import deque
 
 
-class Keeper:
-    """A stand-in that holds so few questions at a time and works them off one by one, those as well that nobody waits
-    for any longer; a whole list is more work than what is new.  Times are seconds."""
+class DiscoveryServer:
+    """Holds a limited number of questions and works on them one by one.
 
-    HOLDS, WHOLE, NEW, PATIENCE = 8, 0.45, 0.1, 2.0  # questions; for each; until an asker is told: no answer
+    It also works on questions whose relays have stopped waiting; a whole list is more work than the changes.  Times are
+    seconds.
+    """
+
+    MOST_HELD = 8  # questions
+    WHOLE_LIST_WORK = 0.45  # seconds
+    CHANGES_WORK = 0.1  # seconds
+    ANSWER_TIMEOUT = 2.0  # seconds until a relay stops waiting
 
     def __init__(self) -> None:
         self.free_at = 0.0
-        self.held: deque[float] = deque()  # when each will have been worked off
+        self.held: deque[float] = deque()  # when the work on each held question ends
 
     def ask(self, now: float, whole: bool) -> tuple[float, bool]:
-        """When the answer comes, and whether it is one."""
+        """Returns when the question ends for the relay, and whether with an answer.  A full server rejects it at
+        once."""
         while self.held and self.held[0] <= now:
             self.held.popleft()
-        if len(self.held) >= self.HOLDS:
+        if len(self.held) >= self.MOST_HELD:
             return now, False
-        self.free_at = max(now, self.free_at) + (self.WHOLE if whole else self.NEW)
+        self.free_at = max(now, self.free_at) + (self.WHOLE_LIST_WORK if whole else self.CHANGES_WORK)
         self.held.append(self.free_at)
-        done = self.free_at - now <= self.PATIENCE
-        return (self.free_at if done else now + self.PATIENCE), done
+        is_answered = self.free_at - now <= self.ANSWER_TIMEOUT
+        return (self.free_at if is_answered else now + self.ANSWER_TIMEOUT), is_answered
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -1,44 +1,48 @@
-"""How even the load was over the fleet, from a record and nothing else; it shares no code with the decisions it looks
-at.
-
-- evenness: shots by unit over 5 s, the 99th of a hundred and the least over the median;
-- waste: the share of shots that came to a unit with all cores busy while a sound unit of its build stood empty;
-- herd: the most that any unit got within 100 ms, over its even share then (of a shot at the least);
-- idle: the longest that a sound unit got nothing, in shots that its even share would have been;
-- handshakes a second at one unit, the most;
-- who acted for the fleet, by the word of most relays.
-
-Beside each stands what independent even draws would have given: every shot drawn anew among the units that were open
-to it.
+"""How evenly the load was spread over the fleet.  It reads records only and shares no code with the decisions.
+
+- evenness: shots by unit over 5 s, as the 99th percentile and the least over the median;
+- waste: the share of shots that came to a unit with all cores busy while a sound unit of its build had none;
+- herd: the most shots that any unit got within 100 ms, over its even share in that time (at least one shot);
+- idle: the longest time for which a sound unit got nothing, in shots that its even share would have been;
+- handshakes: the most at one unit in a second;
+- owners: which relay acted for the fleet, by what most relays say.
+
+The `_chance` figures beside these are what independent even draws would have given: each shot drawn anew among the
+units that were open to it.
 """
 
 from collections import Counter, defaultdict
 from typing import Any
 
 from ..record.lines import Came, Done, Head, Life, Line, Log, Met, Ran, Unit
-from .random_draws import Gaps
+from .random_draws import PoissonGaps
+
+WIDE_WINDOW = 50_000  # tenths of a ms, for evenness
+BRIEF_WINDOW = 1_000  # tenths of a ms, for herds
+FEWEST_UNITS = 5  # of a build, for a window to count
+FEWEST_SHOTS_PER_UNIT = 10  # on average, for a wide window to count
+SECOND = 10_000  # tenths of a ms
+MOST_OWNERS_KEPT = 200  # changes of the relays that act for the fleet
+UNSOUND = ("hangs", "silent", "fails", "slows")  # events of a unit that make it unsound until it mends
 
-SPAN, HERD = 50_000, 1_000  # tenths of a ms: windows of evenness, of herds
-FEWEST, THIN = 5, 10  # units of a build, shots for each of them in a window that counts
-SECOND = 10_000
-MOST_TOLD = 200  # changes of who acts
-UNSOUND = ("hangs", "silent", "fails", "slows")
 
+class UnitState:
+    """A unit, as the record has it up to now.
 
-class Server:
-    """A unit as the record has it."""
+    `even` and `drawn_even` are its build's sum of even shares when the unit last got a shot, and when it was last
+    drawn.
+    """
 
-    __slots__ = ("build", "open", "sound", "hand", "even", "drawn_even")
+    __slots__ = ("build", "is_open", "is_sound", "held", "even", "drawn_even")
 
     def __init__(self, build: int) -> None:
-        self.build, self.open, self.sound, self.hand = build, True, True, 0
-        self.even = self.drawn_even = (
-            0.0  # the build's sum of even shares when it last got a shot; when it was last drawn
-        )
+        self.build, self.is_open, self.is_sound = build, True, True
+        self.held = 0  # shots that it holds
+        self.even = self.drawn_even = 0.0
 
 
 class Window:
-    """Counts of one build's shots by unit, and of even draws."""
+    """Shots of one build by unit in a window of time, and as even draws would have spread them."""
 
     def __init__(self) -> None:
         self.begun, self.got, self.drawn = 0, Counter(), Counter()
@@ -50,36 +54,36 @@
 
 
 class Evenness:
-    """Feed it a record, line by line; then `close()`, `figures()`, `use()` and `owners`."""
+    """Reads a record line by line, then `close` is called; results are `figures()`, `use()` and `owners`."""
 
     def __init__(self) -> None:
-        self.cores = 1.0
-        self.units: dict[str, Server] = {}
-        self.open: dict[int, list[str]] = defaultdict(list)  # build -> units that are open
-        self.empty: dict[int, set[str]] = defaultdict(set)  # and of these the sound ones with nothing in hand
-        self.at: dict[tuple[int, int, int], str] = {}  # shots in units' hands
-        self.sums: dict[int, float] = defaultdict(float)  # build -> even shares so far
-        self.wide: dict[int, Window] = defaultdict(Window)
+        self.cores = 1.0  # of a unit
+        self.units: dict[str, UnitState] = {}
+        self.open_units: dict[int, list[str]] = defaultdict(list)  # by build
+        self.empty_units: dict[int, set[str]] = defaultdict(set)  # by build, those open and sound without any shot
+        self.unit_of: dict[tuple[int, int, int], str] = {}  # relay, number and place of a shot -> unit that holds it
+        self.even_sums: dict[int, float] = defaultdict(float)  # build -> sum of even shares so far
+        self.wide: dict[int, Window] = defaultdict(Window)  # by build
         self.brief: dict[int, Window] = defaultdict(Window)
-        self.spread: list[tuple[float, float, float, float]] = []
+        self.spreads: list[tuple[float, float, float, float]] = []  # of wide windows: `spread` of shots and of draws
         self.herd = self.herd_chance = self.idle = self.idle_chance = 0.0
         self.shots = self.wasted = 0
-        self.by_second: dict[str, Counter[int]] = defaultdict(Counter)
-        self.met: Counter[tuple[str, int]] = Counter()
-        self.luck = Gaps(7, 7)
-        self.words: dict[int, str] = {}  # relay -> who acts, by its word
-        self.acting, self.keepers_at_once = "", 1
-        self.owners: list[str] = []
-        self.last = 0
+        self.by_second: dict[str, Counter[int]] = defaultdict(Counter)  # unit -> second -> shots
+        self.handshakes: Counter[tuple[str, int]] = Counter()  # by unit and second
+        self.draws = PoissonGaps(7, 7)
+        self.duties: dict[int, str] = {}  # relay -> who acts for the fleet, as it last logged
+        self.owner, self.keepers_at_once = "", 1
+        self.owners: list[str] = []  # a line of text for each change
+        self.last = 0  # time of the latest line
         self.handlers = {
-            Head: self.head,
-            Unit: self.unit,
-            Ran: self.ran,
-            Done: self.done,
-            Came: self.done,
-            Met: self.meet,
-            Log: self.log,
-            Life: self.life,
+            Head: self.read_head,
+            Unit: self.read_unit,
+            Ran: self.read_ran,
+            Done: self.read_done,
+            Came: self.read_done,
+            Met: self.read_met,
+            Log: self.read_log,
+            Life: self.read_life,
         }
 
     def __call__(self, line: Line) -> None:
@@ -88,150 +92,153 @@
         if handler:
             handler(line)
 
-    def head(self, line: Head) -> None:
+    def read_head(self, line: Head) -> None:
         self.cores = float(line.day.get("unit", {}).get("cores", 2.0))
 
     # units
-    def unit(self, line: Unit) -> None:
+    def read_unit(self, line: Unit) -> None:
         name = line.unit
         if line.event == "runs":
-            self.leave(name)
-            one = self.units[name] = Server(line.build)
-            one.even = one.drawn_even = self.sums[line.build]
-            self.open[line.build].append(name)
-            self.empty[line.build].add(name)
+            self.close_unit(name)
+            state = self.units[name] = UnitState(line.build)
+            state.even = state.drawn_even = self.even_sums[line.build]
+            self.open_units[line.build].append(name)
+            self.empty_units[line.build].add(name)
         elif line.event in ("dies", "fell", "gone", "drains"):
-            self.leave(name)
+            self.close_unit(name)
             if line.event != "drains":
                 self.units.pop(name, None)
         elif name in self.units and line.event in UNSOUND:
-            self.units[name].sound = False
-            self.empty[line.build].discard(name)
+            self.units[name].is_sound = False
+            self.empty_units[line.build].discard(name)
         elif name in self.units and line.event == "mends":
-            one = self.units[name]
-            one.sound, one.even = True, self.sums[one.build]
-            if one.open and not one.hand:
-                self.empty[one.build].add(name)
-
-    def leave(self, name: str) -> None:
-        """It is open no longer."""
-        one = self.units.get(name)
-        if one and one.open:
-            self.rest(one)
-            one.open = False
-            self.open[one.build].remove(name)
-            self.empty[one.build].discard(name)
-
-    def rest(self, one: Server) -> None:
-        """How long it has got nothing, up to now."""
-        if one.open and one.sound:
-            self.idle = max(self.idle, self.sums[one.build] - one.even)
+            state = self.units[name]
+            state.is_sound, state.even = True, self.even_sums[state.build]
+            if state.is_open and not state.held:
+                self.empty_units[state.build].add(name)
+
+    def close_unit(self, name: str) -> None:
+        """The unit is no longer open."""
+        state = self.units.get(name)
+        if state and state.is_open:
+            self.measure_idle(state)
+            state.is_open = False
+            self.open_units[state.build].remove(name)
+            self.empty_units[state.build].discard(name)
+
+    def measure_idle(self, state: UnitState) -> None:
+        """Takes into `idle` for how long the unit has got nothing up to now."""
+        if state.is_open and state.is_sound:
+            self.idle = max(self.idle, self.even_sums[state.build] - state.even)
 
     # shots
-    def ran(self, line: Ran) -> None:
-        one = self.units.get(line.unit)
-        if one is None:
+    def read_ran(self, line: Ran) -> None:
+        state = self.units.get(line.unit)
+        if state is None:
             return
-        key, build = (line.relay, line.number, line.place), one.build
+        key, build = (line.relay, line.number, line.place), state.build
         self.shots += 1
         self.by_second[line.unit][line.at // SECOND] += 1
-        if one.hand >= self.cores and self.empty[build]:
+        if state.held >= self.cores and self.empty_units[build]:
             self.wasted += 1
-        self.at[key] = line.unit
-        one.hand += 1
-        self.empty[build].discard(line.unit)
-        if not one.open:
+        self.unit_of[key] = line.unit
+        state.held += 1
+        self.empty_units[build].discard(line.unit)
+        if not state.is_open:
             return
-        others = self.open[build]
-        drawn = others[min(len(others) - 1, int(self.luck.share() * len(others)))]
-        self.windows(line.at, build)
+        candidates = self.open_units[build]
+        drawn = candidates[min(len(candidates) - 1, int(self.draws.uniform() * len(candidates)))]
+        self.end_windows(line.at, build)
         for window in (self.wide[build], self.brief[build]):
             window.got[line.unit] += 1
             window.drawn[drawn] += 1
-        self.rest(one)
-        self.sums[build] += 1 / len(others)
-        one.even = self.sums[build]
-        by_chance = self.units[drawn]
-        if by_chance.sound:
-            self.idle_chance = max(self.idle_chance, self.sums[build] - by_chance.drawn_even)
-        by_chance.drawn_even = self.sums[build]
-
-    def windows(self, at: int, build: int) -> None:
-        """Ends those of a build whose time is over."""
+        self.measure_idle(state)
+        self.even_sums[build] += 1 / len(candidates)
+        state.even = self.even_sums[build]
+        drawn_state = self.units[drawn]
+        if drawn_state.is_sound:
+            self.idle_chance = max(self.idle_chance, self.even_sums[build] - drawn_state.drawn_even)
+        drawn_state.drawn_even = self.even_sums[build]
+
+    def end_windows(self, at: int, build: int) -> None:
+        """Ends the build's windows whose time is over, and begins new ones."""
         wide, brief = self.wide[build], self.brief[build]
-        if at >= brief.begun + HERD:
+        if at >= brief.begun + BRIEF_WINDOW:
             self.end_brief(build, brief)
-            brief.restart(at - at % HERD)
-        if at >= wide.begun + SPAN:
+            brief.restart(at - at % BRIEF_WINDOW)
+        if at >= wide.begun + WIDE_WINDOW:
             self.end_wide(build, wide)
-            wide.restart(at - at % SPAN)
+            wide.restart(at - at % WIDE_WINDOW)
 
     def end_brief(self, build: int, window: Window) -> None:
-        many = len(self.open[build])
-        if window.got and many >= FEWEST:
-            even = max(1.0, sum(window.got.values()) / many)
+        units = len(self.open_units[build])
+        if window.got and units >= FEWEST_UNITS:
+            even = max(1.0, sum(window.got.values()) / units)
             self.herd = max(self.herd, max(window.got.values()) / even)
             self.herd_chance = max(self.herd_chance, max(window.drawn.values()) / even)
 
     def end_wide(self, build: int, window: Window) -> None:
-        """Units that were open all the while: of those that came or went a part would be missed."""
-        names = [name for name in self.open[build] if name in window.got or self.units[name].sound]
-        if len(names) >= FEWEST and sum(window.got.values()) >= THIN * len(names):
-            self.spread.append(
+        """Counts units that are open now: of those that came or went part of the window would be missing."""
+        names = [name for name in self.open_units[build] if name in window.got or self.units[name].is_sound]
+        if len(names) >= FEWEST_UNITS and sum(window.got.values()) >= FEWEST_SHOTS_PER_UNIT * len(names):
+            self.spreads.append(
                 (*spread([window.got[name] for name in names]), *spread([window.drawn[name] for name in names]))
             )
 
-    def done(self, line: Done | Came) -> None:
-        self.ended((line.relay, line.number, line.place))
+    def read_done(self, line: Done | Came) -> None:
+        self.end_shot((line.relay, line.number, line.place))
 
-    def ended(self, key: tuple[int, int, int]) -> None:
-        name = self.at.pop(key, None)
-        one = self.units.get(name) if name else None
-        if one and one.hand:
-            one.hand -= 1
-            if not one.hand and one.open and one.sound:
-                self.empty[one.build].add(name)
+    def end_shot(self, key: tuple[int, int, int]) -> None:
+        name = self.unit_of.pop(key, None)
+        state = self.units.get(name) if name else None
+        if state and state.held:
+            state.held -= 1
+            if not state.held and state.is_open and state.is_sound:
+                self.empty_units[state.build].add(name)
 
-    def meet(self, line: Met) -> None:
-        self.met[line.unit, line.at // SECOND] += 1
+    def read_met(self, line: Met) -> None:
+        self.handshakes[line.unit, line.at // SECOND] += 1
 
-    # who acts
-    def log(self, line: Log) -> None:
+    # relays that act for the fleet
+    def read_log(self, line: Log) -> None:
         if line.text.startswith("duties "):
-            self.words[line.relay] = line.text.split()[1]
-            self.count(line.at)
+            self.duties[line.relay] = line.text.split()[1]
+            self.count_duties(line.at)
 
-    def life(self, line: Life) -> None:
-        """With a relay that ends its shots end; the model has no line for each of them, and units seemed busy for
-        good."""
+    def read_life(self, line: Life) -> None:
+        """With a relay that goes down its shots end.  The model has no line for each of them; without this the units
+        seemed busy for the rest of the day."""
         if line.event == "down":
-            for key in [key for key in self.at if key[0] == line.relay]:
-                self.ended(key)
-        if line.event == "down" and self.words.pop(line.relay, None):
-            self.count(line.at)
-
-    def count(self, at: int) -> None:
-        many = Counter(self.words.values())
-        if many:
-            first = min(many, key=lambda word: (-many[word], word))
-            share = sum(count > len(self.words) / 10 for count in many.values())
-            self.keepers_at_once = max(self.keepers_at_once, share if len(self.words) >= 10 else 1)
-            if first != self.acting and 2 * many[first] > len(self.words) and len(self.owners) < MOST_TOLD:
-                self.acting = first
+            for key in [key for key in self.unit_of if key[0] == line.relay]:
+                self.end_shot(key)
+        if line.event == "down" and self.duties.pop(line.relay, None):
+            self.count_duties(line.at)
+
+    def count_duties(self, at: int) -> None:
+        """Finds the owner that more than half of the relays name, and how many owners are named by more than a tenth
+        of the relays each."""
+        counts = Counter(self.duties.values())
+        if counts:
+            first = min(counts, key=lambda owner: (-counts[owner], owner))
+            named = sum(count > len(self.duties) / 10 for count in counts.values())
+            self.keepers_at_once = max(self.keepers_at_once, named if len(self.duties) >= 10 else 1)
+            if first != self.owner and 2 * counts[first] > len(self.duties) and len(self.owners) < MOST_OWNERS_KEPT:
+                self.owner = first
                 self.owners.append(
-                    f"{at / SECOND:7.2f}s {first} by the word of {many[first]} of {len(self.words)} relays"
+                    f"{at / SECOND:7.2f}s {first} by the word of {counts[first]} of {len(self.duties)} relays"
                 )
 
-    # what came of it
+    # results
     def close(self) -> None:
-        for one in self.units.values():
-            self.rest(one)
+        """Ends the record, and with it all windows."""
+        for state in self.units.values():
+            self.measure_idle(state)
         for build in list(self.brief):
             self.end_brief(build, self.brief[build])
             self.end_wide(build, self.wide[build])
 
     def figures(self) -> dict[str, float]:
-        """By name; nothing for a record without units."""
+        """Figures by name; empty for a record without units."""
         if not self.shots:
             return {}
         found = {
@@ -241,23 +248,23 @@
             "idle": self.idle,
             "idle_chance": self.idle_chance,
         }
-        for place, name in enumerate(("even_99th", "even_least", "even_99th_chance", "even_least_chance")):
-            if self.spread:
-                found[name] = sum(each[place] for each in self.spread) / len(self.spread)
-        if self.met:
-            found["handshakes_most"] = float(max(self.met.values()))
+        for index, name in enumerate(("even_99th", "even_least", "even_99th_chance", "even_least_chance")):
+            if self.spreads:
+                found[name] = sum(each[index] for each in self.spreads) / len(self.spreads)
+        if self.handshakes:
+            found["handshakes_most"] = float(max(self.handshakes.values()))
         if self.owners:
             found["keepers_at_once"] = float(self.keepers_at_once)
         return found
 
     def use(self) -> dict[str, list[int]]:
-        """Shots at each unit by second."""
+        """Shots by second at each unit."""
         seconds = self.last // SECOND + 1
         return {name: [counts[second] for second in range(seconds)] for name, counts in self.by_second.items()}
 
 
 def spread(counts: list[int]) -> tuple[float, float]:
-    """The 99th of a hundred and the least, over the median."""
+    """The 99th percentile and the least, over the median (taken as at least 1)."""
     ordered: list[Any] = sorted(counts)
-    middle = max(1, ordered[len(ordered) // 2])
-    return ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))] / middle, ordered[0] / middle
+    median = max(1, ordered[len(ordered) // 2])
+    return ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))] / median, ordered[0] / median
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -1,7 +1,9 @@
-"""The units' truth: which run where, launches and drains that the platform orders, deaths and returns.
+"""The real state of the units: which run on which machine, launches and drains that the platform orders, crashes and
+restarts.
 
-A place holds one unit, or two while one replaces the other.  What happens is kept in `changes` (for the list), `lines`
-(for the record) and `ended` (units whose connections break); timers are its own, `due` and `wake`.
+A machine runs one unit, or two while one replaces the other.  What happens is kept in `changes` (for the unit list),
+`lines` (for the record) and `ended` (units whose connections break).  The fleet has timers of its own, with `due` and
+`wake`.
 """
 
 import heapq
@@ -9,195 +11,222 @@
 from typing import Any, NamedTuple
 
 from ..record.lines import Unit as UnitLine
-from . import random_draws as draws
+from . import random_draws
 from .builds import Build
-from .random_draws import Table, share
-from .unit import NEVER, Kind, Unit
+from .random_draws import QuantileTable, uniform
+from .unit import NEVER, Unit, UnitKind
 from .unit_list import Entry
 
 
-class Layout(NamedTuple):
+class FleetLayout(NamedTuple):
     """What the fleet is like.  Times are tenths of a ms."""
 
-    places: int = 12
+    machines: int = 12
     zones: tuple[str, ...] = ("a",)
     cells: int = 1
-    speeds: float = 0.1  # machines' speeds spread evenly over 1 by so much, both ways
-    start: tuple[int, int] = (8_000, 20_000)  # from a launch until it runs
-    drain: int = 20_000  # a draining one is gone after so long
-    notice: int = 30_000  # a dead one leaves the list after so long
-    beside: bool = False  # earlier units stay until the release
+    speeds: float = 0.1  # machines' speeds are spread evenly over 1 minus this to 1 plus this
+    start: tuple[int, int] = (8_000, 20_000)  # range of the time from a launch until the unit runs
+    drain: int = 20_000  # a draining unit is gone after this time
+    notice: int = 30_000  # a dead unit leaves the list after this time
+    beside: bool = False  # units of earlier builds stay until the release
 
 
-class Place:
-    """Where one unit of the fleet runs."""
+class Machine:
+    """A machine of the fleet."""
 
     def __init__(self, number: int, zone: str, cell: int) -> None:
         self.number, self.zone, self.cell = number, zone, cell
-        self.unit: Unit | None = None  # what serves here
-        self.coming: tuple[int, int] | None = None  # build and ticket of a launch
+        self.unit: Unit | None = None  # that serves on it
+        self.launching: tuple[int, int] | None = None  # build and number of a launch that has not ended
 
 
 class Fleet:
-    """Runs the units of one day."""
+    """The units of one day.  Times are tenths of a ms."""
 
     def __init__(
-        self, layout: Layout, kind: Kind, builds: dict[int, Build], works: list[Table], base: int, seed: int
+        self,
+        layout: FleetLayout,
+        kind: UnitKind,
+        builds: dict[int, Build],
+        works: list[QuantileTable],
+        base: int,
+        seed: int,
     ) -> None:
-        self.layout, self.kind, self.builds, self.works, self.seed = layout, kind, builds, works, seed
-        self.base = base  # the build that new places run
-        self.units: dict[str, Unit] = {}  # all that run or drain, by name
+        self.layout, self.kind, self.builds, self.seed = layout, kind, builds, seed
+        self.works = works  # distribution of the work, by workload
+        self.base = base  # the build that new machines run
+        self.units: dict[str, Unit] = {}  # by name, without those that are gone
         self.changes: list[Entry] = []
         self.lines: list[Any] = []
         self.ended: list[Unit] = []
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = self.names = self.tickets = 0
-        self.places = [
-            Place(number, layout.zones[number % len(layout.zones)], number // len(layout.zones) % layout.cells)
-            for number in range(layout.places)
+        self.count = self.names = self.launches = 0  # timers set, names given and launches begun so far
+        self.machines = [
+            Machine(number, layout.zones[number % len(layout.zones)], number // len(layout.zones) % layout.cells)
+            for number in range(layout.machines)
         ]
-        for place in self.places:
-            self.run(0, place, base, 0)
+        for machine in self.machines:
+            self.run(0, machine, base, 0)
 
-    # the machine
+    # timers
     @property
     def due(self) -> int:
+        """When to call `wake`."""
         return self.timers[0][0] if self.timers else NEVER
 
     def wake(self, now: int) -> None:
+        """Runs the timers that are due."""
         while self.timers and self.timers[0][0] <= now:
-            _, _, call, what = heapq.heappop(self.timers)
-            call(now, *what)
+            _, _, call, arguments = heapq.heappop(self.timers)
+            call(now, *arguments)
 
-    def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
+    def later(self, at: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Sets a timer."""
         self.count += 1
-        heapq.heappush(self.timers, (at, self.count, call, what))
+        heapq.heappush(self.timers, (at, self.count, call, arguments))
 
     # orders of the platform
-    def launch(self, now: int, build: int, part: float) -> None:
-        """Brings `build` to that part of the places; machines start at times of their own."""
-        order = sorted(self.places, key=lambda place: share(self.seed, draws.PICKS, build, place.number))
-        for place in order[: max(1, round(part * len(order)))]:
-            if not self.runs(place, build) and not (place.coming and place.coming[0] == build):
-                self.start(now, place, build)
-
-    def start(self, now: int, place: Place, build: int) -> None:
-        least, most = self.layout.start
-        self.tickets += 1
-        place.coming = (build, self.tickets)
-        wait = least + int(share(self.seed, draws.LIST, build, place.number, 1) * (most - least))
-        self.later(now + wait, self.started, place, build, self.tickets)
+    def launch(self, now: int, build: int, share: float) -> None:
+        """Brings `build` to that share of the machines, each after a start time of its own."""
+        order = sorted(
+            self.machines, key=lambda machine: uniform(self.seed, random_draws.SELECTION, build, machine.number)
+        )
+        for machine in order[: max(1, round(share * len(order)))]:
+            if not self.runs(machine, build) and not (machine.launching and machine.launching[0] == build):
+                self.start(now, machine, build)
 
-    def started(self, now: int, place: Place, build: int, ticket: int) -> None:
-        if place.coming != (build, ticket):  # called back since
+    def start(self, now: int, machine: Machine, build: int) -> None:
+        """Begins a launch on one machine; a launch that had not ended there is called off."""
+        least, most = self.layout.start
+        self.launches += 1
+        machine.launching = (build, self.launches)
+        wait = least + int(uniform(self.seed, random_draws.DELAYS, build, machine.number, 1) * (most - least))
+        self.later(now + wait, self.complete_launch, machine, build, self.launches)
+
+    def complete_launch(self, now: int, machine: Machine, build: int, launch: int) -> None:
+        """The new unit runs, unless its launch has been called off; the earlier one drains, or stays beside it until
+        the release."""
+        if machine.launching != (build, launch):
             return
-        place.coming, earlier = None, place.unit
-        self.run(now, place, build, now)
+        machine.launching, earlier = None, machine.unit
+        self.run(now, machine, build, now)
         if earlier and not (self.layout.beside and build > earlier.build.number):
-            self.drain(now, earlier)  # else it stays until the release, beside this one
-
-    def back(self, now: int, build: int, base: int) -> None:
-        """Takes a build off: its launches are called off, and what runs it is replaced by the earlier build."""
-        for place in self.places:
-            if place.coming and place.coming[0] == build:
-                place.coming = None
-            if self.runs(place, build):
-                stays = next(
+            self.drain(now, earlier)
+
+    def roll_back(self, now: int, build: int, base: int) -> None:
+        """Takes a build off: its launches are called off, and its units are replaced by units of `base`."""
+        for machine in self.machines:
+            if machine.launching and machine.launching[0] == build:
+                machine.launching = None
+            if self.runs(machine, build):
+                earlier = next(
                     (
                         unit
                         for unit in self.units.values()
-                        if unit.place is place and unit.build.number == base and not unit.draining and not unit.dead
+                        if unit.place is machine
+                        and unit.build.number == base
+                        and not unit.is_draining
+                        and not unit.is_dead
                     ),
                     None,
                 )
-                if stays:
-                    self.drain(now, place.unit)
-                    place.unit = stays
+                if earlier:
+                    self.drain(now, machine.unit)
+                    machine.unit = earlier
                 else:
-                    self.start(now, place, base)
+                    self.start(now, machine, base)
         self.base = base
 
     def release(self, now: int, build: int) -> None:
-        """What earlier builds still run drains."""
+        """Drains all units of earlier builds."""
         self.base = build
         for unit in list(self.units.values()):
-            if unit.build.number < build and not unit.draining:
+            if unit.build.number < build and not unit.is_draining:
                 self.drain(now, unit)
 
-    def runs(self, place: Place, build: int) -> bool:
-        return bool(place.unit and place.unit.build.number == build and not place.unit.draining)
+    def runs(self, machine: Machine, build: int) -> bool:
+        """Whether the machine serves with that build."""
+        return bool(machine.unit and machine.unit.build.number == build and not machine.unit.is_draining)
 
     def all_run(self, build: int) -> bool:
-        """Whether no launch of it is out."""
-        return not any(place.coming and place.coming[0] == build for place in self.places)
+        """Whether all launches of the build have ended."""
+        return not any(machine.launching and machine.launching[0] == build for machine in self.machines)
 
-    def left(self, build: int) -> bool:
-        """Whether any unit of it is there or coming."""
-        return any(unit.build.number == build and not unit.dead for unit in self.units.values()) or not self.all_run(
+    def has_build(self, build: int) -> bool:
+        """Whether any unit of the build is alive or being launched."""
+        return any(unit.build.number == build and not unit.is_dead for unit in self.units.values()) or not self.all_run(
             build
         )
 
     # units
-    def run(self, now: int, place: Place, build: int, started: int, name: str = "", speed: float = 0.0) -> Unit:
-        """A machine runs at that place from now on; `started` 0: long ago."""
+    def run(self, now: int, machine: Machine, build: int, started: int, name: str = "", speed: float = 0.0) -> Unit:
+        """Runs a new unit on the machine, under a new name unless one is given; `started` 0: before the day."""
         if not name:
             self.names += 1
             name = f"u{self.names}"
-        mark = self.names * 1_000_000 + place.number
-        speed = speed or 1 + self.layout.speeds * (2 * share(self.seed, draws.SPEED, place.number, build) - 1)
-        kept = self.builds.get(build) or Build(build)
-        unit = Unit(name, mark, kept, self.kind, speed, place.zone, place.cell, started, self.works, self.seed)
-        unit.place = place
-        place.unit = self.units[name] = unit
-        self.tell(now, unit, "open")
-        self.line(now, unit, "runs")
+        identity = self.names * 1_000_000 + machine.number
+        speed = speed or 1 + self.layout.speeds * (
+            2 * uniform(self.seed, random_draws.SPEED, machine.number, build) - 1
+        )
+        known_build = self.builds.get(build) or Build(build)
+        unit = Unit(
+            name, identity, known_build, self.kind, speed, machine.zone, machine.cell, started, self.works, self.seed
+        )
+        unit.place = machine
+        machine.unit = self.units[name] = unit
+        self.list_unit(now, unit, "open")
+        self.record(now, unit, "runs")
         return unit
 
     def drain(self, now: int, unit: Unit) -> None:
-        if not unit.draining and not unit.dead:
+        """Drains a unit, which is gone after the drain time of the layout."""
+        if not unit.is_draining and not unit.is_dead:
             unit.drain(now)
-            self.tell(now, unit, "draining")
-            self.line(now, unit, "drains")
-            self.later(now + self.layout.drain, self.gone, unit)
+            self.list_unit(now, unit, "draining")
+            self.record(now, unit, "drains")
+            self.later(now + self.layout.drain, self.remove, unit)
 
-    def gone(self, now: int, unit: Unit) -> None:
-        """It leaves the fleet for good; what it still holds is reset."""
+    def remove(self, now: int, unit: Unit) -> None:
+        """Removes a unit for good; shots that it still holds are reset."""
         if self.units.get(unit.name) is unit:
             del self.units[unit.name]
             unit.die(now)
             self.ended.append(unit)
             if unit.place.unit is unit:
                 unit.place.unit = None
-            self.tell(now, unit, "gone")
-            self.line(now, unit, "gone")
+            self.list_unit(now, unit, "gone")
+            self.record(now, unit, "gone")
 
     def kill(self, now: int, unit: Unit, span: int = 0) -> None:
-        """Its process ends, and after `span` (0: never) another one comes up cold under its name."""
-        if unit.dead and not unit.fell:
+        """Ends a unit's process; after `span` (0: never) another one starts cold under its name."""
+        if unit.is_dead and not unit.crashed:
             return
         unit.die(now)
         self.ended.append(unit)
-        self.line(now, unit, "fell" if unit.fell else "dies")
-        self.later(now + self.layout.notice, self.noticed, unit)
+        self.record(now, unit, "fell" if unit.crashed else "dies")
+        self.later(now + self.layout.notice, self.remove_dead, unit)
         if span:
-            self.later(now + span, self.returns, unit)
+            self.later(now + span, self.restart, unit)
 
-    def noticed(self, now: int, unit: Unit) -> None:
-        if self.units.get(unit.name) is unit:  # else it is back already
+    def remove_dead(self, now: int, unit: Unit) -> None:
+        """A dead unit leaves the list, unless another process has started under its name."""
+        if self.units.get(unit.name) is unit:
             del self.units[unit.name]
-            self.tell(now, unit, "gone")
-            self.line(now, unit, "gone")
+            self.list_unit(now, unit, "gone")
+            self.record(now, unit, "gone")
 
-    def returns(self, now: int, unit: Unit) -> None:
-        """Cold, with the same name, and the build of its place as it is now."""
-        place = unit.place
-        if place.unit is unit:
-            self.run(now, place, unit.build.number, now, unit.name, unit.speed)
+    def restart(self, now: int, unit: Unit) -> None:
+        """Starts a killed unit again, cold, with the same name and build, unless its machine has another unit."""
+        machine = unit.place
+        if machine.unit is unit:
+            self.run(now, machine, unit.build.number, now, unit.name, unit.speed)
 
-    def tell(self, now: int, unit: Unit, state: str) -> None:
+    def list_unit(self, now: int, unit: Unit, state: str) -> None:
+        """A change for the unit list."""
         self.changes.append(Entry(unit.name, unit.build.number, state, unit.zone, unit.cell, 1.0, unit.started))
 
-    def line(self, now: int, unit: Unit, event: str) -> None:
+    def record(self, now: int, unit: Unit, event: str) -> None:
+        """A line for the record."""
         self.lines.append(
             UnitLine(
                 now,
@@ -211,12 +240,16 @@
             )
         )
 
-    def chosen(self, many: int, part: float, zone: str, build: int, salt: int) -> list[Unit]:
-        """Units that a fault hits: so many, or that part, of a zone ('': any) and a build (-1: any)."""
-        fit = [
+    def select(self, many: int, share: float, zone: str, build: int, salt: int) -> list[Unit]:
+        """Units that a fault hits: `many`, or a share, of those of a zone ('': any) and a build (-1: any); `salt`
+        tells the draws of one fault from those of others."""
+        candidates = [
             unit
             for unit in self.units.values()
-            if not unit.dead and not unit.draining and zone in ("", unit.zone) and build in (-1, unit.build.number)
+            if not unit.is_dead
+            and not unit.is_draining
+            and zone in ("", unit.zone)
+            and build in (-1, unit.build.number)
         ]
-        fit.sort(key=lambda unit: (share(self.seed, draws.PICKS, salt, unit.mark), unit.name))
-        return fit[: many if many else round(part * len(fit)) or (1 if part else 0)]
+        candidates.sort(key=lambda unit: (uniform(self.seed, random_draws.SELECTION, salt, unit.identity), unit.name))
+        return candidates[: many if many else round(share * len(candidates)) or (1 if share else 0)]
--- a/tealsail/world/network.py
+++ b/tealsail/world/network.py
@@ -1,96 +1,106 @@
-"""The network between relays and units and between relays: delays, cuts, and notes that are lost, late, doubled or
-old."""
+"""The network between relays and units and between relays: delays, cuts, and notes lost, late, doubled or replayed."""
 
 from typing import Any, NamedTuple
 
-from .random_draws import NOTES, share
+from .random_draws import NOTES, uniform
 
 
-class Paths(NamedTuple):
-    """Times are tenths of a ms, one way."""
+class NetworkPaths(NamedTuple):
+    """Delays of the network.  Times are tenths of a ms, one way."""
 
-    near: int = 2  # inside a zone
-    far: int = 10  # to another
-    handshake: int = 5  # a new connection's more, on top of the way there and back
-    note_least: int = 5  # notes between relays
-    note_most: int = 50
-    note_loss: float = 0.0
-    distances: dict[tuple[str, str], int] = {}  # by zone pairs, where they differ from `far`
+    near: int = 2  # within a zone
+    far: int = 10  # to another zone
+    handshake: int = 5  # added by a new connection, on top of its round trip
+    note_least: int = 5  # notes between relays take from this
+    note_most: int = 50  # to this
+    note_loss: float = 0.0  # share of notes that are lost
+    distances: dict[tuple[str, str], int] = {}  # by pair of zones, where they differ from `far`
 
 
-class Trouble(NamedTuple):
-    """What befalls a part of all notes until a time: lost, late (by `far`), doubled, reordered (late by up to `far`,
-    each by chance) or replayed (a copy again after `far`)."""
+class NoteFault(NamedTuple):
+    """A fault of a share of all notes, until a time.  Times are tenths of a ms.
+
+    `kind` is lost, late (by `far`), doubled, reordered (each note late by a random time up to `far`) or replayed (a
+    second copy after `far`).
+    """
 
     kind: str
     until: int
-    part: float
+    part: float  # share of the notes
     far: int = 0
 
 
 class Network:
-    """Tells how long a message takes, or that it never comes.  `plain` and `take_over` carry what is wrong with it to
-    another process that plays a part of the same day."""
+    """Tells how long a message takes, or that it never arrives.  Times are tenths of a ms.
+
+    `plain` and `restore` carry its faults to another process that plays a part of the same day.
+    """
 
-    def __init__(self, paths: Paths, relay_zones: list[str], seed: int) -> None:
+    def __init__(self, paths: NetworkPaths, relay_zones: list[str], seed: int) -> None:
         self.paths, self.zones, self.seed = paths, relay_zones, seed
-        self.cuts: dict[tuple[int, str], int] = {}  # relay and zone -> cut off until
-        self.silent: dict[str, int] = {}  # unit -> nothing from or to it until
-        self.apart: dict[tuple[int, int], int] = {}  # relay and relay: what one sends the other is lost until
-        self.away: dict[tuple[int, str], int] = {}  # relay and `list` or `platform`: cut off until
-        self.troubles: list[Trouble] = []
-        self.notes = 0
+        self.zone_cuts: dict[tuple[int, str], int] = {}  # relay and zone of units -> cut off until
+        self.silent_units: dict[str, int] = {}  # unit -> nothing from it or to it until
+        self.relay_cuts: dict[tuple[int, int], int] = {}  # sender and receiver -> notes are lost until
+        self.service_cuts: dict[tuple[int, str], int] = {}  # relay and `list` or `platform` -> cut off until
+        self.note_faults: list[NoteFault] = []
+        self.notes = 0  # so far
 
     def plain(self) -> list[Any]:
-        """All that is wrong, as lists."""
-        return [[[*key, until] for key, until in each.items()] for each in (self.cuts, self.apart, self.away)] + [
-            [[name, until] for name, until in self.silent.items()],
-            [list(each) for each in self.troubles],
+        """All faults, as lists that JSON can hold."""
+        return [
+            [[*key, until] for key, until in cuts.items()]
+            for cuts in (self.zone_cuts, self.relay_cuts, self.service_cuts)
+        ] + [
+            [[name, until] for name, until in self.silent_units.items()],
+            [list(fault) for fault in self.note_faults],
         ]
 
-    def take_over(self, plain: list[Any]) -> None:
-        cuts, apart, away, silent, troubles = plain
-        self.cuts, self.apart, self.away = (
-            {(first, second): until for first, second, until in each} for each in (cuts, apart, away)
+    def restore(self, plain: list[Any]) -> None:
+        """Replaces all faults by what `plain` returned."""
+        zone_cuts, relay_cuts, service_cuts, silent_units, note_faults = plain
+        self.zone_cuts, self.relay_cuts, self.service_cuts = (
+            {(first, second): until for first, second, until in cuts} for cuts in (zone_cuts, relay_cuts, service_cuts)
         )
-        self.silent, self.troubles = dict(silent), [Trouble(*each) for each in troubles]
+        self.silent_units, self.note_faults = dict(silent_units), [NoteFault(*fault) for fault in note_faults]
 
-    def way(self, relay: int, zone: str) -> int:
-        """One way from a relay to a unit of that zone."""
+    def delay(self, relay: int, zone: str) -> int:
+        """From a relay to a unit of that zone, one way."""
         own = self.zones[relay]
         if own == zone:
             return self.paths.near
         return self.paths.distances.get((own, zone), self.paths.distances.get((zone, own), self.paths.far))
 
     def reaches(self, now: int, relay: int, unit: str, zone: str) -> bool:
-        return now >= self.silent.get(unit, 0) and now >= self.cuts.get((relay, zone), 0)
+        """Whether a relay and a unit reach each other."""
+        return now >= self.silent_units.get(unit, 0) and now >= self.zone_cuts.get((relay, zone), 0)
 
-    def has(self, now: int, relay: int, service: str) -> bool:
-        """Whether a relay reaches the list or the platform."""
-        return now >= self.away.get((relay, service), 0)
+    def reaches_service(self, now: int, relay: int, service: str) -> bool:
+        """Whether a relay reaches the service `list` (discovery) or `platform`."""
+        return now >= self.service_cuts.get((relay, service), 0)
 
     def note(self, now: int, sender: int, to: int) -> list[int]:
-        """How long each copy of a note takes; none: it is lost."""
+        """Sends a note from one relay to another; returns the delay of each copy that arrives, none if it is lost."""
         self.notes += 1
-        if self.apart and now < self.apart.get((sender, to), 0):
+        if self.relay_cuts and now < self.relay_cuts.get((sender, to), 0):
             return []
-        paths, draw = self.paths, share(self.seed, NOTES, self.notes, sender, to)
+        paths, draw = self.paths, uniform(self.seed, NOTES, self.notes, sender, to)
         loss = paths.note_loss
-        if self.troubles:
-            self.troubles = [each for each in self.troubles if now < each.until]
-            loss = max([loss, *(each.part for each in self.troubles if each.kind == "lost")])
-        if loss and share(self.seed, NOTES, self.notes, to, sender, 1) < loss:
+        if self.note_faults:
+            self.note_faults = [fault for fault in self.note_faults if now < fault.until]
+            loss = max([loss, *(fault.part for fault in self.note_faults if fault.kind == "lost")])
+        if loss and uniform(self.seed, NOTES, self.notes, to, sender, 1) < loss:
             return []
-        copies = [paths.note_least + int(draw * (paths.note_most - paths.note_least))]
-        for place, each in enumerate(self.troubles, 2):
-            if each.kind == "lost" or share(self.seed, NOTES, self.notes, sender, to, place) >= each.part:
+        delays = [paths.note_least + int(draw * (paths.note_most - paths.note_least))]
+        for index, fault in enumerate(self.note_faults, 2):
+            if fault.kind == "lost" or uniform(self.seed, NOTES, self.notes, sender, to, index) >= fault.part:
                 continue
-            if each.kind == "late":
-                copies = [wait + each.far for wait in copies]
-            elif each.kind == "reordered":
-                copies = [
-                    wait + int(share(self.seed, NOTES, self.notes, to, sender, place) * each.far) for wait in copies
+            if fault.kind == "late":
+                delays = [delay + fault.far for delay in delays]
+            elif fault.kind == "reordered":
+                delays = [
+                    delay + int(uniform(self.seed, NOTES, self.notes, to, sender, index) * fault.far)
+                    for delay in delays
                 ]
-            else:
-                copies.append(copies[0] + each.far)  # doubled, at once; replayed, later
-        return copies
+            else:  # doubled, with `far` 0, or replayed
+                delays.append(delays[0] + fault.far)
+        return delays
--- a/tealsail/world/random_draws.py
+++ b/tealsail/world/random_draws.py
@@ -1,7 +1,7 @@
-"""Chance for the stand-ins: draws that depend on what they are for, not on the order in which they are made.
+"""Random numbers of the simulation, which depend on what they are for and not on the order in which they are drawn.
 
-Two options are compared on the same random numbers: a draw is a hash of the day's seed, its purpose and whom it is
-for, so a day that sends one shot more does not shift all later draws.
+A draw is a hash of the day's seed, its purpose and the keys of what it is for.  So two options are compared on the same
+random numbers, and a day that sends one shot more does not shift all later draws.
 """
 
 from bisect import bisect_right
@@ -11,79 +11,104 @@
 
 from ..parts import mix
 
-POINTS = 512  # parts of a table
-ARRIVALS, WORK, FATE, SPEED, LIST, NOTES, RETRY, TURNS, PICKS, OWN = range(1, 11)  # what draws are for
+QUANTILE_STEPS = 512  # steps between the quantiles of a table
+(
+    ARRIVALS,  # workload, customer and key of an arrival
+    WORK,  # work of an invocation
+    OUTCOME,  # errors and wrong answers of a faulty build
+    SPEED,  # speed of a machine
+    DELAYS,  # delays of the unit list and of launches
+    NOTES,  # delay and loss of a relay's note to another
+    RETRY,  # wait before a client's repeat
+    FAULT_AGE,  # age at which a build's fault begins
+    SELECTION,  # units, machines and relays that a fault or a launch hits
+    UNIT_ERRORS,  # a unit's own errors, whatever build it runs
+) = range(1, 11)  # purposes of draws
 
 
-def share(seed: int, purpose: int, *whom: int) -> float:
-    """Evenly between 0 and 1, the same for the same arguments on any machine."""
-    return (mix(seed, purpose, *whom, 0) >> 11) / (1 << 53)
+def uniform(seed: int, purpose: int, *keys: int) -> float:
+    """Uniform in [0, 1), the same for the same arguments on any machine."""
+    return (mix(seed, purpose, *keys, 0) >> 11) / (1 << 53)
 
 
-class Table(NamedTuple):
-    """A distribution as its quantiles in whole units, evenly spaced: what a fit finds and what a formula gives
-    alike, and the same on any machine whatever its mathematical library does in the last bit."""
+class QuantileTable(NamedTuple):
+    """A distribution as its evenly spaced quantiles, as integers.
+
+    Fits and formulas give the same kind of table, and it is the same on any machine, whatever the last bit of its
+    mathematical library's results.
+    """
 
     quantiles: tuple[int, ...]
 
-    def at(self, part: float) -> int:
-        """The quantile of `part` (0 to 1), by straight lines between the table's."""
-        place = part * (len(self.quantiles) - 1)
-        low = int(place)
+    def at(self, probability: float) -> int:
+        """The quantile of `probability` (0 to 1), interpolated linearly."""
+        position = probability * (len(self.quantiles) - 1)
+        low = int(position)
         if low >= len(self.quantiles) - 1:
             return self.quantiles[-1]
         first, second = self.quantiles[low], self.quantiles[low + 1]
-        return first + int((second - first) * (place - low))
+        return first + int((second - first) * (position - low))
 
     @property
     def mean(self) -> float:
+        """Mean of the interpolated distribution (trapezoidal rule)."""
         inner = sum(self.quantiles[1:-1]) + (self.quantiles[0] + self.quantiles[-1]) / 2
         return inner / (len(self.quantiles) - 1)
 
-    def times(self, factor: float) -> "Table":
-        return Table(tuple(max(1, round(each * factor)) for each in self.quantiles))
+    def scaled(self, factor: float) -> "QuantileTable":
+        """All quantiles times `factor`, rounded and at least 1."""
+        return QuantileTable(tuple(max(1, round(each * factor)) for each in self.quantiles))
+
 
+def lognormal(mean: float, cv: float) -> QuantileTable:
+    """Log-normal distribution of that mean and coefficient of variation.
 
-def lognormal(mean: float, cv: float) -> Table:
-    """Of that mean and coefficient of variation; the ends are cut at half of a table's part."""
+    Its ends are taken a quarter of a step inside 0 and 1; the table is then scaled to restore the mean.
+    """
     sigma = log(1 + cv * cv) ** 0.5
     normal = NormalDist(log(mean) - sigma * sigma / 2, sigma or 1e-9)
-    parts = [min(max(place / POINTS, 0.25 / POINTS), 1 - 0.25 / POINTS) for place in range(POINTS + 1)]
-    table = Table(tuple(max(1, round(exp(normal.inv_cdf(part)))) for part in parts))
-    return table.times(mean / table.mean)  # what the cut took away
+    probabilities = [
+        min(max(step / QUANTILE_STEPS, 0.25 / QUANTILE_STEPS), 1 - 0.25 / QUANTILE_STEPS)
+        for step in range(QUANTILE_STEPS + 1)
+    ]
+    table = QuantileTable(tuple(max(1, round(exp(normal.inv_cdf(probability)))) for probability in probabilities))
+    return table.scaled(mean / table.mean)
 
 
-def empirical(seen: list[int]) -> Table:
-    """The quantiles of what was seen.  Raises ValueError for nothing."""
-    if not seen:
+def empirical(values: list[int]) -> QuantileTable:
+    """Quantiles of observed values.  Raises ValueError if there are none."""
+    if not values:
         raise ValueError("a distribution needs at least one value")
-    ordered, most = sorted(seen), min(POINTS, max(1, len(seen) - 1))
-    return Table(tuple(max(1, ordered[round(place * (len(ordered) - 1) / most)]) for place in range(most + 1)))
+    ordered, steps = sorted(values), min(QUANTILE_STEPS, max(1, len(values) - 1))
+    return QuantileTable(tuple(max(1, ordered[round(step * (len(ordered) - 1) / steps)]) for step in range(steps + 1)))
 
 
-class Sorts:
-    """Draws one of several by weights."""
+class WeightedChoice:
+    """Draws an index by weights."""
 
     def __init__(self, weights: list[float]) -> None:
-        total, self.edges = sum(weights) or 1.0, []
+        total, self.cumulative = sum(weights) or 1.0, []
         for weight in weights:
-            self.edges.append((self.edges[-1] if self.edges else 0.0) + weight / total)
+            self.cumulative.append((self.cumulative[-1] if self.cumulative else 0.0) + weight / total)
 
-    def at(self, part: float) -> int:
-        return min(len(self.edges) - 1, bisect_right(self.edges, part))
+    def at(self, probability: float) -> int:
+        """The index for a uniform draw in [0, 1)."""
+        return min(len(self.cumulative) - 1, bisect_right(self.cumulative, probability))
 
 
-class Gaps:
-    """The gaps of a Poisson stream of one event a unit of time, from a generator of its own."""
+class PoissonGaps:
+    """Gaps between the events of a Poisson process with one event per unit of time, from a generator of its own."""
 
     MASK = (1 << 64) - 1
 
     def __init__(self, *seed: int) -> None:
         self.state = mix(*seed, 0)
 
-    def share(self) -> float:
+    def uniform(self) -> float:
+        """Uniform in [0, 1), by a linear congruential generator with the constants of Knuth's MMIX."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & self.MASK
         return (self.state >> 33) / (1 << 31)
 
     def gap(self) -> float:
-        return round(-log(1 - self.share()), 9)  # rounded: the last bit differs between machines
+        """The next gap; rounded, since the last bit of a logarithm differs between machines."""
+        return round(-log(1 - self.uniform()), 9)
--- a/tealsail/world/unit_list.py
+++ b/tealsail/world/unit_list.py
@@ -1,12 +1,12 @@
-"""The list of units, as each relay's agent has it: late, stale or silent."""
+"""The list of units, as the discovery agent of each relay has it: delayed, stale or unreachable."""
 
 from typing import NamedTuple
 
-from .random_draws import LIST, share
+from .random_draws import DELAYS, uniform
 
 
 class Entry(NamedTuple):
-    """One unit; `state`: open, draining or gone; `started` 0 for long ago."""
+    """One unit; `state` is open, draining or gone; `started` is tenths of a ms, 0 for a unit older than the day."""
 
     name: str
     build: int
@@ -17,51 +17,57 @@
     started: int
 
 
-class Roster:
-    """Keeps versions.  A change is known to a relay's agent some time after it happened, the same time for all
-    changes of one round at one relay; while it is stale nothing new goes out, and what has piled up goes at its end."""
+class UnitList:
+    """Versions of the list, and the version that each relay knows.  Times are tenths of a ms.
 
-    ROUND = 1_000  # tenths of a ms: changes of so long go out together
+    Changes are published in rounds.  A relay's agent learns of a round after a delay, which is the same for all rounds
+    of that relay.  While the list is frozen nothing is published; at the end all that has accumulated is.
+    """
 
-    def __init__(self, least: int, most: int, relays: int, seed: int) -> None:
-        self.entries: dict[str, Entry] = {}  # all that is not gone
-        self.log: list[Entry] = []  # every change; its place + 1 is its version
-        self.lag = [least + int(share(seed, LIST, relay) * (most - least)) for relay in range(relays)]
+    ROUND = 1_000  # tenths of a ms between rounds
+
+    def __init__(self, least_delay: int, most_delay: int, relays: int, seed: int) -> None:
+        self.entries: dict[str, Entry] = {}  # by name, without those that are gone
+        self.log: list[Entry] = []  # all changes; version n is the state after the first n
+        self.lag = [
+            least_delay + int(uniform(seed, DELAYS, relay) * (most_delay - least_delay)) for relay in range(relays)
+        ]  # tenths of a ms, by relay
         self.told = [0] * relays  # the version that each relay's agent has
-        self.stale_until = self.round_at = 0
-        self.late_at: dict[int, int] = {}  # relay -> its agent stands still until
+        self.frozen_until = self.round_at = 0
+        self.relay_frozen_until: dict[int, int] = {}  # relay -> end of its own agent's freeze
 
     def change(self, now: int, entry: Entry) -> int:
-        """Returns when the round that tells of it goes out."""
+        """Logs a change; returns when the round that publishes it is due."""
         self.log.append(entry)
         if entry.state == "gone":
             self.entries.pop(entry.name, None)
         else:
             self.entries[entry.name] = entry
-        self.round_at = max(self.stale_until, (now // self.ROUND + 1) * self.ROUND)
+        self.round_at = max(self.frozen_until, (now // self.ROUND + 1) * self.ROUND)
         return self.round_at
 
-    def stale(self, now: int, span: int) -> int:
-        """Nothing new for so long; returns its end, when a round is due."""
-        self.stale_until = max(self.stale_until, now + span)
-        return self.stale_until
+    def freeze(self, now: int, span: int) -> int:
+        """Publishes nothing for `span`; returns the end, when a round is due."""
+        self.frozen_until = max(self.frozen_until, now + span)
+        return self.frozen_until
 
-    def stale_at(self, relay: int, until: int) -> None:
-        """One relay's agent alone stands still: lists of different age at different relays."""
-        self.late_at[relay] = max(until, self.late_at.get(relay, 0))
+    def freeze_relay(self, relay: int, until: int) -> None:
+        """Freezes the list of one relay alone, so that relays have lists of different age."""
+        self.relay_frozen_until[relay] = max(until, self.relay_frozen_until.get(relay, 0))
 
-    def stands(self, now: int, relay: int) -> bool:
-        return now < self.late_at.get(relay, 0)
+    def is_frozen(self, now: int, relay: int) -> bool:
+        """Whether the list of this relay alone is frozen."""
+        return now < self.relay_frozen_until.get(relay, 0)
 
-    def news(self, relay: int, version: int) -> tuple[int, list[Entry]]:
-        """What that relay's agent is told up to `version` beyond what it has, the last word on each unit; and the
-        version that it has then."""
+    def take_changes(self, relay: int, version: int) -> tuple[int, list[Entry]]:
+        """Brings a relay's agent up to `version`; returns the version that it then has, and the latest entry of each
+        unit that changed."""
         since, self.told[relay] = self.told[relay], max(self.told[relay], version)
-        last = {entry.name: entry for entry in self.log[since:version]}
-        return self.told[relay], list(last.values())
+        latest = {entry.name: entry for entry in self.log[since:version]}
+        return self.told[relay], list(latest.values())
 
     def whole(self, version: int) -> list[Entry]:
-        """The list as it was at that version."""
+        """The whole list as of that version."""
         entries: dict[str, Entry] = {}
         for entry in self.log[:version]:
             entries[entry.name] = entry
@@ -69,4 +75,5 @@
 
     @property
     def version(self) -> int:
+        """The latest version."""
         return len(self.log)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -14,8 +14,8 @@
 from tealsail.lab.script import Unclear, read_script
 from tealsail.record.lines import Came, Done, End, Head, Life, Log, Met, Ran, Shot, Take, Told, Unit
 from tealsail.world.evenness import Evenness
-from tealsail.world.network import Network, Paths, Trouble
-from tealsail.world.rules import Rules
+from tealsail.world.network import Network, NetworkPaths, NoteFault
+from tealsail.world.rules import RuleChecker
 
 from .test_lab import SECOND, day
 
@@ -73,8 +73,8 @@
 
 class Notes(unittest.TestCase):
     def test_late_doubled_reordered_and_replayed_notes_and_one_way_cuts_that_end(self) -> None:
-        network = Network(Paths(note_least=10, note_most=20), ["a"] * 4, 7)
-        network.apart[0, 1] = SECOND
+        network = Network(NetworkPaths(note_least=10, note_most=20), ["a"] * 4, 7)
+        network.relay_cuts[0, 1] = SECOND
         self.assertEqual(
             (network.note(0, 0, 1), len(network.note(0, 1, 0)), len(network.note(SECOND, 0, 1))), ([], 1, 1)
         )
@@ -84,16 +84,16 @@
             ("reordered", 10, 3_020, 1),
             ("replayed", 10, 3_020, 2),
         ):
-            network.troubles = [Trouble(kind, SECOND, 1.0, 0 if kind == "doubled" else 3_000)]
+            network.note_faults = [NoteFault(kind, SECOND, 1.0, 0 if kind == "doubled" else 3_000)]
             waits = [network.note(0, 2, 3) for _ in range(200)]
             self.assertEqual({len(each) for each in waits}, {copies}, kind)
             self.assertTrue(all(least <= wait <= most for each in waits for wait in each), kind)
-        other = Network(Paths(), ["a"] * 4, 7)
-        network.cuts[0, "a"], network.away[1, "list"] = 5, 6
-        other.take_over(network.plain())
+        other = Network(NetworkPaths(), ["a"] * 4, 7)
+        network.zone_cuts[0, "a"], network.service_cuts[1, "list"] = 5, 6
+        other.restore(network.plain())
         self.assertEqual(other.plain(), network.plain())
         network.note(2 * SECOND, 2, 3)
-        self.assertEqual(network.troubles, [])  # what is over is forgotten
+        self.assertEqual(network.note_faults, [])  # what is over is forgotten
 
 
 class Places(unittest.TestCase):
@@ -232,7 +232,7 @@
             *rows((20, 100, "u1"), (30, 100, "u0")),
         ]
         evenness = self.look(lines)
-        self.assertEqual((evenness.wasted, evenness.units["u0"].hand), (1, 1))  # the second; relay 4's is there yet
+        self.assertEqual((evenness.wasted, evenness.units["u0"].held), (1, 1))  # the second; relay 4's is there yet
 
     def test_a_herd_stands_out_beside_even_draws_and_even_draws_do_not(self) -> None:
         turns = [(at * 10, 5, f"u{at % 10}") for at in range(6_000)]
@@ -293,7 +293,7 @@
     """A process that is stopped from outside keeps nothing in time, and is owed that much longer; not more."""
 
     def check(self, ended: int) -> dict[str, int]:
-        rules = Rules()
+        rules = RuleChecker()
         rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
         for line in (
             Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
@@ -313,7 +313,7 @@
 
     def test_a_query_that_waited_in_the_socket_of_a_stopped_relay_is_read_after_its_client_left(self) -> None:
         for stopped, breaches in ((True, 0), (False, 1)):
-            rules = Rules()
+            rules = RuleChecker()
             rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
             halt = [Life(500, 1, "stopped"), Life(5_500, 1, "on")] if stopped else []
             for line in sorted(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -141,7 +141,7 @@
 
     def play(self, seed: int = 1, **more: Any) -> tuple[Any, list]:
         lines: list = []
-        figures, rules = Figures(), runs.Rules()
+        figures, rules = Figures(), runs.RuleChecker()
         model = Model(convert(day(**more)), seed, [lines.append, figures, rules]).play()
         rules.close()
         self.assertEqual(([str(each) for each in rules.breaches], model.faults), ([], 0))
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -8,14 +8,14 @@
 
 from tealsail.choices.pauses import Pauses, by_fleet, first_question
 from tealsail.parts import Chance
-from tealsail.world.discovery_server import Keeper
+from tealsail.world.discovery_server import DiscoveryServer
 
 RELAYS, WITHIN = 40, 10.0
 
 
 def play(due: list[float], pauses: list[Pauses], whole: bool) -> tuple[Counter, int]:
     """40 s: questions by tenth of a second, and how many relays were answered; who is answered asks no more."""
-    keeper, asked, answered = Keeper(), Counter(), 0
+    keeper, asked, answered = DiscoveryServer(), Counter(), 0
     heap = sorted(zip(due, range(len(due))))
     while heap and heap[0][0] < 40:
         now, number = heapq.heappop(heap)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,8 +10,8 @@
 from tealsail.lab.virtual import Model
 from tealsail.record.lines import End, Log, Shot, Stage, Take, Unit
 from tealsail.setup.document import BadDocument, Zones, convert as document
-from tealsail.world.rules import Rules
-from tealsail.world.spill import Spill
+from tealsail.world.rules import RuleChecker
+from tealsail.world.spill import SpillChecker
 
 from .test_lab import SECOND, day
 
@@ -21,7 +21,7 @@
 class Days(unittest.TestCase):
     """Three zones, two relays and six units each, at two fifths of what they can do."""
 
-    def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, Spill, Model]:
+    def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, SpillChecker, Model]:
         tree = dict(
             seconds=30,
             fleet={"relays": 6, "units": 18, "zones": ["a", "b", "c"]},
@@ -34,12 +34,12 @@
         for name, value in more.items():
             tree[name] = tree.get(name, {}) | value if isinstance(value, dict) else value
         lines: list = []
-        figures, rules = Figures(), Rules()
-        spill = Spill((zones or {}).get("spill_over", 0.5))
+        figures, rules = Figures(), RuleChecker()
+        spill = SpillChecker((zones or {}).get("spill_over", 0.5))
         model = Model(convert(day(**tree)), seed, [lines.append, figures, rules, spill]).play()
         rules.close()
         self.assertEqual(([str(each) for each in rules.breaches], model.faults), ([], 0))
-        self.assertLess(rules.nearest["cold"], 1)
+        self.assertLess(rules.peak_fraction["cold"], 1)
         self.zone_of = {line.unit: line.zone for line in lines if type(line) is Unit}
         return figures.result(), lines, spill, model
 
