--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -48,6 +48,7 @@
         self.begun, self.got, self.drawn = 0, Counter(), Counter()
 
     def restart(self, at: int) -> None:
+        """Begins a new window at `at`."""
         self.begun = at
         self.got.clear()
         self.drawn.clear()
@@ -87,6 +88,7 @@
         }
 
     def __call__(self, line: Line) -> None:
+        """Reads one line."""
         self.latest_at = line.at
         handler = self.handlers.get(type(line))
         if handler:
@@ -97,6 +99,7 @@
 
     # units
     def read_unit(self, line: Unit) -> None:
+        """A unit runs, ends, drains, becomes unsound or mends."""
         name = line.unit
         if line.event == "runs":
             self.close_unit(name)
@@ -133,6 +136,7 @@
 
     # shots
     def read_ran(self, line: Ran) -> None:
+        """A unit took a shot in: counts it, and a draw among the units that were open to it."""
         state = self.units.get(line.unit)
         if state is None:
             return
@@ -171,6 +175,7 @@
             wide.restart(at - at % WIDE_WINDOW)
 
     def end_brief(self, build: int, window: Window) -> None:
+        """Takes the window into `herd` and `herd_chance`."""
         units = len(self.open_units[build])
         if window.got and units >= FEWEST_UNITS:
             even = max(1.0, sum(window.got.values()) / units)
@@ -178,7 +183,8 @@
             self.herd_chance = max(self.herd_chance, max(window.drawn.values()) / even)
 
     def end_wide(self, build: int, window: Window) -> None:
-        """Counts units that are open now: of those that came or went part of the window would be missing."""
+        """Takes the window into `spreads`, for units that are open now: of those that came or went part would be
+        missing."""
         names = [name for name in self.open_units[build] if name in window.got or self.units[name].is_sound]
         if len(names) >= FEWEST_UNITS and sum(window.got.values()) >= FEWEST_SHOTS_PER_UNIT * len(names):
             self.spreads.append(
@@ -186,6 +192,7 @@
             )
 
     def read_done(self, line: Done | Came) -> None:
+        """A shot has ended, at its unit or for its relay, whichever comes first."""
         self.end_shot((line.relay, line.number, line.place))
 
     def end_shot(self, key: tuple[int, int, int]) -> None:
@@ -201,6 +208,7 @@
 
     # relays that act for the fleet
     def read_log(self, line: Log) -> None:
+        """Reads the line of a relay's log that names the relays which act for the fleet."""
         if line.text.startswith("duties "):
             self.duties[line.relay] = line.text.split()[1]
             self.count_duties(line.at)
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -103,12 +103,14 @@
         }
 
     def __call__(self, line: Line) -> None:
+        """Reads one line; a Head has to come first."""
         handler = self.handlers.get(type(line))
         self.latest_at = line.at
         if handler:
             handler(line)
 
     def add_breach(self, at: int, rule: str, text: str) -> None:
+        """Counts a breach and keeps the first ones."""
         self.counts[rule] += 1
         if len(self.breaches) < MOST_BREACHES_KEPT:
             self.breaches.append(Breach(at, rule, text))
@@ -121,7 +123,7 @@
         """Ends the record: invocations without an answer are lost."""
         for (relay, number), invocation in self.invocations.items():
             if not invocation.is_answered:
-                self.add_breach(self.latest_at, "lost", f"relay {relay} never answered {number}")
+                self.add_breach(self.latest_at, "lost", f"relay {relay} never answered invocation {number}")
 
     def read_head(self, line: Head) -> None:
         self.facts, self.workloads = line.facts, line.facts.get("workloads", [])
@@ -135,37 +137,47 @@
         self.taken.setdefault(line.relay, deque()).append(line.at)
 
     def read_end(self, line: End) -> None:
+        """An invocation has its final answer, or its client has left."""
         invocation = self.invocations.get((line.relay, line.number))
         if invocation is None:
             return self.add_breach(
-                line.at, "lost", f"relay {line.relay} answered {line.number}, which it had not taken"
+                line.at, "lost", f"relay {line.relay} answered invocation {line.number}, which it had not taken"
             )
         if invocation.is_answered:
-            return self.add_breach(line.at, "lost", f"relay {line.relay} answered {line.number} twice")
+            return self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} twice")
         invocation.is_answered, invocation.client_left = True, line.answer == "left"
         if line.answer != "lost" and line.at > invocation.take.give_up + self.slack.time + int(
             self.facts.get("answer_slack", 0)
         ) + self.stopped_time(line.relay, invocation.take.at, line.at):
-            self.add_breach(line.at, "lost", f"relay {line.relay} answered {line.number} too late")
+            self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} too late")
         if (
             line.answer == "rejected"
             and invocation.maybe_ran
             and self.workloads[invocation.take.workload].get("effect") == "one-shot"
         ):
-            self.add_breach(line.at, "twice", f"relay {line.relay} rejected {line.number}, which may have run")
+            self.add_breach(
+                line.at, "twice", f"relay {line.relay} rejected invocation {line.number}, which may have run"
+            )
         self.answered.append((line.at, (line.relay, line.number)))
         while self.answered and self.answered[0][0] < line.at - FORGET_AFTER:
             self.invocations.pop(self.answered.popleft()[1], None)
 
     def read_shot(self, line: Shot) -> None:
+        """A relay sent a shot: checks rules 1, 2, 3 and 5."""
         invocation = self.invocations.get((line.relay, line.number))
         if invocation and invocation.client_left and self.stopped_time(line.relay, invocation.take.at, line.at):
             pass  # its client left while the relay was stopped: it reads the query before the end of the connection
         elif invocation is None or invocation.is_answered:
-            self.add_breach(line.at, "lost", f"relay {line.relay} sent a shot for {line.number}, which was over")
+            self.add_breach(
+                line.at,
+                "lost",
+                f"relay {line.relay} sent a shot for invocation {line.number}, which it had answered or not taken",
+            )
         else:
             if invocation.outstanding and not self.slack.time:
-                self.add_breach(line.at, "twice", f"relay {line.relay} sent {line.number} while a copy was out")
+                self.add_breach(
+                    line.at, "twice", f"relay {line.relay} sent invocation {line.number} while a copy was out"
+                )
             for place in invocation.outstanding:
                 invocation.overlapped.setdefault(place, line.at)
             workload = self.workloads[invocation.take.workload]
@@ -177,7 +189,9 @@
                     or line.at >= invocation.maybe_ran_at + workload.get("memory", 0)
                 )
             ):
-                self.add_breach(line.at, "twice", f"relay {line.relay} sent {line.number} again, which may have run")
+                self.add_breach(
+                    line.at, "twice", f"relay {line.relay} sent invocation {line.number} again, which may have run"
+                )
             invocation.outstanding[line.place] = line.at
         self.check_drained(line)
         self.check_exposure(line)
@@ -190,12 +204,15 @@
             sent = invocation.outstanding.pop(line.place)
             since = invocation.overlapped.pop(line.place, line.at)
             if self.slack.time and line.at > since + self.slack.time + self.stopped_time(line.relay, since, line.at):
-                self.add_breach(line.at, "twice", f"relay {line.relay} had a copy of {line.number} out beside another")
+                self.add_breach(
+                    line.at, "twice", f"relay {line.relay} had two copies of invocation {line.number} out at once"
+                )
             if line.outcome not in NEVER_RAN and not invocation.maybe_ran:
                 invocation.maybe_ran, invocation.maybe_ran_at = True, sent
 
     # rule 3: drains
     def read_told(self, line: Told) -> None:
+        """A relay was told of a unit: it is open, or it is leaving (draining or gone)."""
         listed = self.listed.setdefault(line.relay, {})
         leaving = self.leaving.setdefault(line.relay, {})
         if line.state == "open":
@@ -205,12 +222,15 @@
             leaving.setdefault(line.unit, line.at)
 
     def check_drained(self, line: Shot) -> None:
+        """Checks a shot against rule 3."""
         since = self.leaving.get(line.relay, {}).get(line.unit)
         if since is not None and line.at > since + self.grace + self.slack.time + self.stopped_time(
             line.relay, since, line.at
         ):
             self.add_breach(
-                line.at, "drains", f"relay {line.relay} sent to {line.unit} {line.at - since} after it was told"
+                line.at,
+                "drains",
+                f"relay {line.relay} sent to {line.unit} {line.at - since} tenths of a ms after it was told",
             )
 
     # rule 4: cold
@@ -220,9 +240,10 @@
         elif line.event in ("dies", "fell", "gone"):
             self.cold_units.pop(line.unit, None)
         if line.event == "fell":
-            self.add_breach(line.at, "cold", f"{line.unit} fell over")
+            self.add_breach(line.at, "cold", f"{line.unit} crashed under overload while cold")
 
     def read_ran(self, line: Ran) -> None:
+        """A unit took a shot in: checks the work that a cold unit was sent in the span that ends with it."""
         cold = self.cold_units.get(line.unit)
         if cold is None:
             return
@@ -241,7 +262,7 @@
         second = line.at // 10_000
         self.cold_by_second[second] = max(self.cold_by_second.get(second, 0.0), fraction)
         if fraction > 1:
-            self.add_breach(line.at, "cold", f"{line.unit} was sent {fraction:.2f} of its limit")
+            self.add_breach(line.at, "cold", f"{line.unit} was sent {fraction:.2f} times its limit while cold")
 
     # rule 5: exposure
     def read_news(self, line: News) -> None:
@@ -263,6 +284,8 @@
         return max(news.cap, higher) if line.at <= at + self.grace + late else news.cap
 
     def check_exposure(self, line: Shot) -> None:
+        """Checks a shot against rule 5, in the span that ends with it.  Once a lowered cap binds, only shots sent since
+        then count."""
         build = self.listed.get(line.relay, {}).get(line.unit, line.build)
         cap = self.cap(line, build)
         if cap is None:
