--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..choices.clock import GAP, TENTHS, disregard
+from ..choices.clock import MIN_GAP_S, TENTHS_PER_SECOND, discard_evidence
 from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
-from ..net.relay import number_of
+from ..net.relay import unit_number
 from ..parts import mix
 from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
@@ -98,8 +98,8 @@
         model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
         self.stopped, self.backlog = -1, []
         model.tell(Life(model.now, self.index, "on"))
-        if gap > GAP * TENTHS:
-            disregard(self.facade.relay, self.clock())
+        if gap > MIN_GAP_S * TENTHS_PER_SECOND:
+            discard_evidence(self.facade.relay, self.clock())
             for name, (idle, _) in self.kept.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
@@ -596,7 +596,7 @@
             self.doors[relay].stood()
 
     def listed(self, entry: Entry) -> Listed:
-        number = number_of(entry.name)
+        number = unit_number(entry.name)
         self.unit_names[number] = entry.name
         return Listed(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -8,11 +8,11 @@
 from twisted.python.failure import Failure
 
 from .. import settings
-from ..choices.clock import Clock, Stamps, disregard
-from ..choices.endings import LastLooks, door_held
-from ..choices.flood import Flood, limits
-from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
-from ..choices.switch import Fixed, Switch
+from ..choices.backoff import DEFAULT_ASK_WITHIN_S, Backoff, fleet_backoff, initial_request_delay
+from ..choices.clock import Clock, StartTimes, discard_evidence
+from ..choices.connection_lifetimes import ShutdownWatch, accept_delay
+from ..choices.live_settings import LiveSettings, RestartNeeded
+from ..choices.rate_limits import RateLimiter, count_message_limits
 from ..facade import (
     Counted,
     Departed,
@@ -30,15 +30,15 @@
 from ..parts import Chance, mix
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
+from .connections import cancel
 from .counters import Counters
 from .discovery import Discovery, Entry, News, number_of
-from .kept import cancel
-from .kernel import hold, take_in
-from .peers import Peers, pair
+from .kernel import accept_pending, set_accepting_paused
+from .peers import Peers, parse_address
 from .platform import Platform, State
-from .start import Assignment
-from .statements import Statement, Unclear, onward
-from .units import Came, Shot, Units
+from .relay_configuration import Assignment
+from .statements import Statement, StatementError, text_for_unit
+from .units import Shot, ShotResult, Units
 
 PATH = "/catalog/members"
 SPARE, FEWEST = 64, 64  # descriptors for all but clients and units; at least
@@ -95,12 +95,12 @@
         relay.counters.add("units.shots")
         shot = relay.units.shoot(
             unit,
-            lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
+            lambda: text_for_unit(self.statement, max(1, -(-(until - relay.clock()) // 10))),
             wait / TENTHS,
             lambda: relay.facade.stands(self.number, place),
         )
         if shot is None:
-            self.came(Came("moot"), place)
+            self.came(ShotResult("moot"), place)
             return
         self.shots[place] = shot
         if relay.record:
@@ -108,7 +108,7 @@
         shot.done.addCallback(self.came, place)
         shot.done.addErrback(relay.fault)
 
-    def came(self, came: Came, place: int) -> None:
+    def came(self, came: ShotResult, place: int) -> None:
         self.shots.pop(place, None)
         self.relay.counters.add(f"units.{came.outcome}")
         fields = self.relay.load_fields
@@ -162,10 +162,10 @@
     ) -> None:
         self.reactor, self.told, self.counters = reactor, told, counters or Counters()
         self.clock, self.due = Clock(reactor.seconds, wall or reactor.seconds, self.woke), 0
-        self.stamps = Stamps(self.clock)
+        self.stamps = StartTimes(self.clock)
         facts = told.facts
         self.facade = Facade(facts, told.seed, self.clock, document.seats(facts) if document else ())
-        self.switch = Switch(self.facade.relay, facts)
+        self.switch = LiveSettings(self.facade.relay, facts)
         room = max(FEWEST, told.sockets - SPARE) // 2
         self.units = Units(
             reactor,
@@ -176,10 +176,16 @@
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, room)
         chance = Chance(mix(told.seed, facts.get("index", 0)))
-        self.fleet = facts.get("relays", 1), facts.get("ask_within", WITHIN * TENTHS) / TENTHS
+        self.fleet = facts.get("relays", 1), facts.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS) / TENTHS
         self.chance = chance  # of what all relays do: apart from the module's
         self.discovery = Discovery(
-            reactor, told.discovery, PATH, self.counters, self.listed, Pauses(chance), by_fleet(chance, *self.fleet)
+            reactor,
+            told.discovery,
+            PATH,
+            self.counters,
+            self.listed,
+            Backoff(chance),
+            fleet_backoff(chance, *self.fleet),
         )
         self.platform = Platform(
             reactor,
@@ -188,14 +194,14 @@
             self.counters,
             self.stood,
             self.counted,
-            Pauses(chance),
+            Backoff(chance),
         )
         self.peers = Peers(
             told.peers,
             told.everyone,
             self.counters,
             self.heard,
-            Flood(limits(len(self.facade.relay.judge.pooled.sums))),
+            RateLimiter(count_message_limits(len(self.facade.relay.judge.pooled.sums))),
             self.clock,
         )
         self.load_fields = facts.get("load_fields", [])
@@ -205,7 +211,7 @@
         self.door: Any = None  # where clients come in
         self.holding: Any = None  # the timer of a door that is held until the list has come
         self.post: Any = None  # where notes come in
-        self.last_looks: LastLooks | None = None  # at who is left, once it ends
+        self.last_looks: ShutdownWatch | None = None  # at who is left, once it ends
         self.timer: Any = None
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.looking: Any = None  # the timer of the next look at the clocks
@@ -222,9 +228,9 @@
             self.stood(self.told.state)
         self.listed(self.told.known, "old copy")
         if self.told.peer_listen:
-            host, port = pair(self.told.peer_listen)
+            host, port = parse_address(self.told.peer_listen)
             self.post = self.reactor.listenUDP(port, self.peers, host, maxPacketSize=2048)
-        host, port = pair(self.told.listen)
+        host, port = parse_address(self.told.listen)
         self.door = self.reactor.listenTCP(port, self.clients, 512, host)
         self.watch()
         if self.told.platform:
@@ -237,13 +243,13 @@
 
     def watch(self) -> None:
         known = self.told.known
-        wait = first_question(
+        wait = initial_request_delay(
             self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
         )
-        held = door_held(wait)
+        held = accept_delay(wait)
         if held is not None:
             self.holding = self.reactor.callLater(held, self.open)
-            hold(self.door, True)
+            set_accepting_paused(self.door, True)
         if wait is None:
             self.discovery.start()
         else:
@@ -254,7 +260,7 @@
         if self.holding:
             cancel(self.holding)
             self.holding = None
-            hold(self.door, False)
+            set_accepting_paused(self.door, False)
 
     def look(self) -> None:
         """Steps of the wall clock are told and move nothing."""
@@ -277,15 +283,15 @@
         """After a time in which nothing ran nothing older is trusted: evidence at once, then what others keep."""
         self.counters.add("clock.gaps")
         logger.warning("clock: nothing ran for {:.1f} s; list and platform are asked anew", gap)
-        disregard(self.facade.relay, self.clock.last)
-        self.reactor.callLater(0, self.anew)
+        discard_evidence(self.facade.relay, self.clock.last)
+        self.reactor.callLater(0, self.reconnect)
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         if not self.stopped:
-            self.units.forget_idle()
-            self.discovery.anew()
+            self.units.close_idle()
+            self.discovery.reconnect()
             if self.told.platform:
-                self.platform.anew()
+                self.platform.reconnect()
 
     def assign(self, told: Assignment) -> None:
         """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes
@@ -297,8 +303,8 @@
             self.load_fields = told.facts.get("load_fields", [])
             self.platform.vote_wait = told.facts.get("vote_wait", TENTHS) / TENTHS
             self.counters.add("configuration.taken")
-        except Fixed as needs:  # the addresses still count: those of before fall silent
-            if needs.foreign:
+        except RestartNeeded as needs:  # the addresses still count: those of before fall silent
+            if needs.is_foreign:
                 raise
             settings_now = f"kept ({needs})"
             self.counters.add("configuration.kept")
@@ -315,9 +321,9 @@
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
         if statement.workload not in self.facade.workloads:
-            raise Unclear("no such workload")
+            raise StatementError("no such workload")
         if statement.id in self.ids:  # else units could not tell the two apart
-            raise Unclear("the id of an open invocation")
+            raise StatementError("the id of an open invocation")
         answer = Serving(self, statement, at).answer
         self.schedule()
         return answer
@@ -333,7 +339,7 @@
                 self.units.unlisted(number_of(entry.id))
         if kind != "changes":
             here = {number_of(entry.id) for entry in entries}
-            self.stamps.keep(here)
+            self.stamps.retain(here)
             for number in self.units.numbers():
                 if number not in here:
                     self.units.unlisted(number)
@@ -353,7 +359,7 @@
             self.zones.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.of(number, settings.tenths(entry.started)),
+            self.stamps.start_time(number, settings.tenths(entry.started)),
         )
 
     def stood(self, state: State) -> None:
@@ -382,7 +388,7 @@
 
     def ticked(self) -> None:
         wants = self.facade.tick()
-        self.switch.settle()
+        self.switch.end_transition()
         for line in wants.lines:
             logger.info("module: {}", line)
         for number, step in wants.steps:
@@ -391,7 +397,7 @@
             elif isinstance(step, Shoot):  # its client left meanwhile
                 self.facade.report(Outcome(number, step.place, "moot"))
         for number, data in wants.notes:
-            self.peers.tell(number, data)
+            self.peers.send(number, data)
         for vote in wants.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
             self.platform.vote(*vote)
@@ -426,7 +432,7 @@
         self.open()
         self.clients.stop_sweeping()
         deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.last_looks = LastLooks(self.clock(), deadlines)
+        self.last_looks = ShutdownWatch(self.clock(), deadlines)
         self.finish()
 
     def finish(self) -> None:
@@ -434,11 +440,11 @@
         now = self.clock()
         late = self.last_looks.late(now)
         if not late:
-            take_in(self.door, lambda: self.counters.counts["clients.connections"])
+            accept_pending(self.door, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
         over = self.last_looks.over(now, len(self.clients.connections))
         if late:  # who does not read its answer, or comes again and again, would keep this
-            self.clients.cut()  # relay for ever
+            self.clients.abort_stalled()  # relay for ever
         if not over:
             self.reactor.callLater(LAST, self.finish)
             return
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -9,10 +9,10 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.endings import rested, unused
+from ..choices.connection_lifetimes import choose_idle_connection, unused
 from . import messages
+from .connections import Ended
 from .counters import Counters
-from .kept import Ended
 from .messages import Value
 
 USER, DATABASE, LOAD = b"backend", b"store", b"stats"
@@ -164,7 +164,7 @@
             check.begin()
         # whether a shot may have run is decided by whether its last byte was written
         self.finish(self.stopped or Came("reset" if self.written else "unreachable"))
-        self.counters.ended("unit", self.why(reason), self.pool.address)
+        self.counters.connection_ended("unit", self.why(reason), self.pool.address)
 
 
 class Shot:
@@ -252,7 +252,7 @@
         self.closed = False
 
     def idle_one(self) -> Connection | None:
-        place = rested([each.answered_at for each in self.idle], self.reactor.seconds())
+        place = choose_idle_connection([each.answered_at for each in self.idle], self.reactor.seconds())
         return None if place is None else self.idle.pop(place)
 
     def open(self) -> Deferred[Connection]:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -5,12 +5,12 @@
 
 from hypothesis import assume, given, strategies as st
 
-from tealsail.choices.clock import GAP, Clock, Stamps
+from tealsail.choices.clock import MIN_GAP_S, Clock, StartTimes
 from tealsail.net.discovery import read_news
 from tealsail.net.relay import Relay
 
-from .fake import IDLE, ROW, Reactor, asking, field
-from .test_relay import DESK, LIST, UNIT, Story as RelayStory, config, listing, reply, told, unit
+from .fake import READY, ROW, Reactor, client_query, message
+from .test_relay import JSONRPC_PORT, LIST_PORT, UNIT_PORT, Story as RelayStory, config, listing, reply, told, unit
 
 SECOND, START = 10_000, 1_700_000_000.0
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
@@ -48,7 +48,7 @@
         hands.steady, hands.wall = hands.steady + 30, hands.wall + 30
         now = hands.clock()
         self.assertEqual(([round(gap) for gap in hands.gaps], now), ([30], int((START + 32) * SECOND)))
-        hands.run(GAP)
+        hands.run(MIN_GAP_S)
         self.assertEqual(len(hands.gaps), 1)
 
     @given(STEPS, st.floats(2, 3600))
@@ -56,26 +56,26 @@
         self, step, age
     ) -> None:
         hands = Hands()
-        stamps = Stamps(hands.clock)
+        stamps = StartTimes(hands.clock)
         started = int((hands.wall - age) * SECOND)
-        first = stamps.of(7, started)
+        first = stamps.start_time(7, started)
         hands.wall += step
         hands.clock.look()
-        self.assertEqual(stamps.of(7, started), first)  # not started anew
+        self.assertEqual(stamps.start_time(7, started), first)  # not started anew
         again = int((hands.wall - 1) * SECOND)
         assume(again != started)
-        self.assertAlmostEqual(hands.clock() - stamps.of(7, again), SECOND, delta=20)
+        self.assertAlmostEqual(hands.clock() - stamps.start_time(7, again), SECOND, delta=20)
 
     def test_a_start_ahead_of_now_is_now(self) -> None:
         hands = Hands()  # a clock behind the platform's would keep a unit cold for as long
-        self.assertEqual(Stamps(hands.clock).of(7, int((START + 3600) * SECOND)), hands.clock())
-        self.assertEqual(Stamps(hands.clock).of(8, 0), 0)
+        self.assertEqual(StartTimes(hands.clock).start_time(7, int((START + 3600) * SECOND)), hands.clock())
+        self.assertEqual(StartTimes(hands.clock).start_time(8, 0), 0)
 
     def test_what_left_the_list_is_forgotten(self) -> None:
-        stamps = Stamps(Hands().clock)
+        stamps = StartTimes(Hands().clock)
         for number in range(100):
-            stamps.of(number, 1)
-        stamps.keep({3, 500})
+            stamps.start_time(number, 1)
+        stamps.retain({3, 500})
         self.assertEqual(set(stamps.known), {3})
 
 
@@ -90,7 +90,7 @@
 
     def test_after_a_step_back_of_an_hour_what_is_late_is_late(self) -> None:
         """Before, the relay's time stood still for that hour: no shot was ever late, no beat came."""
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
         self.ahead = -3600.0
@@ -103,22 +103,22 @@
         self.assertEqual(self.relay.counters.counts["clock.steps"], 1)
 
     def test_two_hundred_steps_of_a_second_to_a_day_and_each_invocation_is_answered_in_time(self) -> None:
-        client, chance = self.client(asking()), Random(5)
+        client, chance = self.client(client_query()), Random(5)
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
-        self.assertEqual(client.sent(), ROW + IDLE)
+        wire.feed(ROW + READY)
+        self.assertEqual(client.sent(), ROW + READY)
         self.wait(0.1)  # a connection that has just answered rests
         for _ in range(200):
             self.ahead += chance.choice((-1, 1)) * 86_400 ** chance.random()
-            client.gets(asking())
+            client.feed(client_query())
             asked = wire.sent()
             if b"id=9b1f" not in asked:  # idle for a while: it proves itself first
-                wire.gets(field(b"I", b"") + IDLE)
+                wire.feed(message(b"I", b"") + READY)
                 asked = wire.sent()
             self.assertIn(b"id=9b1f", asked)
-            wire.gets(ROW + IDLE)
-            self.assertEqual(client.sent(), ROW + IDLE)
+            wire.feed(ROW + READY)
+            self.assertEqual(client.sent(), ROW + READY)
             self.wait(1)
         self.assertGreater(self.relay.counters.counts["clock.steps"], 150)
         self.assertEqual(self.relay.facade.faults, 0)
@@ -126,14 +126,14 @@
     def test_after_a_stop_of_the_process_nothing_older_is_trusted(self) -> None:
         """A shot was out when the process was stopped: that it is late says nothing of its build or unit; the idle
         connections, the list and the platform's news may be old."""
-        first = self.client(asking())
+        first = self.client(client_query())
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
+        wire.feed(ROW + READY)
         first.sent()
-        self.reactor.up(LIST).sent()
-        self.reactor.up(DESK).sent()
-        second = self.client(asking())
+        self.reactor.complete_connect(LIST_PORT).sent()
+        self.reactor.complete_connect(JSONRPC_PORT).sent()
+        second = self.client(client_query())
         wire.sent()
         relay = self.relay.facade.relay
         shot = next(iter(relay.known.values())).shots[0]
@@ -146,15 +146,15 @@
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
-        whole = self.reactor.up(LIST)
+        whole = self.reactor.complete_connect(LIST_PORT)
         self.assertTrue(whole.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
-        whole.gets(reply(listing(50, True, unit(7002, "s-2"))))
+        whole.feed(reply(listing(50, True, unit(7002, "s-2"))))
         self.assertEqual(len(relay.units), 1)
-        self.reactor.up(DESK)
+        self.reactor.complete_connect(JSONRPC_PORT)
 
     def test_a_listed_unit_does_not_start_anew_when_the_clock_steps(self) -> None:
         started = (self.reactor.seconds() - 100) * 1000
-        entry = unit(UNIT) | {"startedAtMs": started}
+        entry = unit(UNIT_PORT) | {"startedAtMs": started}
         self.discovery(listing(42, True, entry))
         known = next(iter(self.relay.facade.relay.units.values()))
         self.ahead = -7200.0
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from tealsail import notes
-from tealsail.choices import hearsay
+from tealsail.choices import zone_reports
 from tealsail.choices.digest_messages import DIGEST, QUIET_REPORT, REPORT, Message, Row, decode, encode
 from tealsail.choices.load_digests import (
     BUDGET,
@@ -25,12 +25,12 @@
 )
 from tealsail.choices.load_owner import LIFE, LISTENS, MOST_ROWS_KEPT, LoadOwner
 from tealsail.choices.rendezvous import REPLICAS, Rendezvous
-from tealsail.net.relay import number_of
+from tealsail.net.relay import unit_number
 from tealsail.parts import Chance
 
 settings.register_profile("ci", max_examples=60, derandomize=True, deadline=None)
 settings.load_profile("ci")
-UNITS = [number_of(f"unit-{each}") for each in range(12_000)]
+UNITS = [unit_number(f"unit-{each}") for each in range(12_000)]
 ROWS = st.builds(
     Row,
     st.integers(0, (1 << 56) - 1),
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -403,9 +403,11 @@
     def test_clients_read_the_retry_after_of_a_rejection(self) -> None:
         """Guards against clients that repeat at once after a rejection: in a surge they would be served too well."""
         from tealsail.lab.loopback.clients import read_retry_after
-        from tealsail.net.messages import trouble
+        from tealsail.net.messages import error_response
 
-        self.assertEqual([read_retry_after(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
+        self.assertEqual(
+            [read_retry_after(error_response("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000]
+        )
 
 
 class Networks(unittest.TestCase):
