--- a/tealsail/choices/endings.py
+++ b/tealsail/choices/connection_lifetimes.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Sequence
 
-from .pauses import UNTOLD
+from .backoff import UNTOLD
 
 ENOUGH = 30_000  # tenths of a ms behind the end of idle connections, or the longest deadline if that is later
 LOOKS_WITH_NOBODY = 2  # in a row, then nobody is left: one who crossed an end of ours may be on the way between two
--- a/tealsail/choices/digest_messages.py
+++ b/tealsail/choices/digest_messages.py
@@ -1,7 +1,7 @@
 """Reports and digests of load as bytes.
 
 A message is a head of 12 bytes and up to 20 rows of 12 bytes.  Its length is a multiple of four, at least 12, which no
-other message between relays has (tealsail/notes.py, hearsay.py): a relay that does not know the kind passes it over.
+other message between relays has (tealsail/notes.py, zone_reports.py): a relay that does not know the kind ignores it.
 A unit goes by all 56 bits of its number, so that no two of 12,000 share theirs.  The check covers head and rows.
 """
 
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -2,14 +2,14 @@
 
 It keeps the rows of both builds by zone and hands the row of one zone on.  The limits on spill are kept here, at each
 send: a share of what this relay takes, and a rate over the next tier's own use.  What other relays tell of zones
-(hearsay.py) counts where this relay has seen nothing itself: never against its own answers.
+(zone_reports.py) counts where this relay has seen nothing itself: never against its own answers.
 """
 
 from ..parts import Chance, Invocation, Ring, Shot, Stage, Unit, mix
-from .hearsay import LISTENERS, Hearsay, Seen, Word, decode, encode
-from .returning import OUT, RAMP, UP, Returning
 from .spill import Give, View, split
 from .tiers import Zoning, tiers
+from .zone_recovery import OUT, RAMP, UP, Returning
+from .zone_reports import LISTENERS, Hearsay, Seen, Word, decode, encode
 
 ANSWERED = ("served", "error", "full")
 IN_TIME = ("served", "full", "moot")  # if they come before they are late
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
-from ..choices.endings import AGAIN
+from ..choices.connection_lifetimes import AGAIN
 from ..net.counters import Counters
 from ..net.kept import cancel
 from ..net.relay import Relay
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ... import notes
-from ...choices.switch import Switch
+from ...choices.live_settings import Switch
 from ...facade import Facade, Heard, Listed, Outcome, Reject, Shoot, Standing, Units
 from ...parts import mix
 from ...settings import facts, nested
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...choices.flood import SHOTS
+from ...choices.rate_limits import SHOTS
 from ...notes import LOW
 from .causes import Place
 from .points import Axis, Cost, Name, Side
@@ -124,7 +124,7 @@
 
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.switch", "Switch.change")
+SWITCH = Place("choices.live_settings", "Switch.change")
 ASKING = Place("policy", "Guide.keeps")
 TELLING = Place("policy", "Guide.tell")
 HEARING = Place("policy", "Guide.hear")
@@ -135,7 +135,7 @@
 NEWS = Place("net.platform", "Platform.came")
 WATCHING = Place("net.discovery", "Discovery.came")
 RELOADS = Place("command.serve", "Reloads.read")
-SHEDDING = Place("choices.flood", "Flood.allows")
+SHEDDING = Place("choices.rate_limits", "Flood.allows")
 ARRANGING = Place("policy", "Relay.arrange")
 JUDGES_TOLD = Place("policy", "Judge.tell")
 STARTING = Place("net.relay", "Relay.start")
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -10,7 +10,7 @@
 
 import numpy
 
-from ..choices.flood import Flood, limits
+from ..choices.rate_limits import Flood, limits
 from ..facade import Facade, Heard, Listed, Standing, Units
 from ..notes import count_notes
 from ..parts import mix
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..choices.endings import UNUSED, leaves_off
+from ..choices.connection_lifetimes import UNUSED, leaves_off
 from ..choices.pipelining import may_begin
 from . import messages, statements
 from .counters import Counters
--- a/tealsail/net/kept.py
+++ b/tealsail/net/kept.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from ..choices.pauses import Pauses
+from ..choices.backoff import Pauses
 from .counters import Counters
 
 CONNECT = 1.0  # seconds
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from ..choices.flood import SHOTS, Flood
+from ..choices.rate_limits import SHOTS, Flood
 from ..notes import of_shots
 from .counters import Counters
 
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.pauses import Pauses
+from ..choices.backoff import Pauses
 from .counters import Counters
 from .kept import Ended, Kept, cancel
 
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -8,11 +8,11 @@
 from twisted.python.failure import Failure
 
 from .. import settings
+from ..choices.backoff import WITHIN, Pauses, by_fleet, first_question
 from ..choices.clock import Clock, Stamps, disregard
-from ..choices.endings import LastLooks, door_held
-from ..choices.flood import Flood, limits
-from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
-from ..choices.switch import Fixed, Switch
+from ..choices.connection_lifetimes import LastLooks, door_held
+from ..choices.live_settings import Fixed, Switch
+from ..choices.rate_limits import Flood, limits
 from ..facade import (
     Counted,
     Departed,
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.endings import rested, unused
+from ..choices.connection_lifetimes import rested, unused
 from . import messages
 from .counters import Counters
 from .kept import Ended
--- a/tests/test_pauses.py
+++ b/tests/test_backoff.py
@@ -6,7 +6,7 @@
 from itertools import accumulate
 from types import SimpleNamespace
 
-from tealsail.choices.pauses import Pauses, by_fleet, first_question
+from tealsail.choices.backoff import Pauses, by_fleet, first_question
 from tealsail.parts import Chance
 from tealsail.world.keeper import Keeper
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-from tealsail.choices.pauses import UNTOLD
+from tealsail.choices.backoff import UNTOLD
 from tealsail.net.relay import LAST, LINGER, Relay
 
 from .fake import GREETING, IDLE, OPENING, ROW, asking, field
--- a/tests/test_switch.py
+++ b/tests/test_live_settings.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tealsail import policy
-from tealsail.choices.switch import Fixed, Switch
+from tealsail.choices.live_settings import Fixed, Switch
 from tealsail.net import start
 from tealsail.setup.facts import BadFacts, check
 
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from tealsail import notes
-from tealsail.choices import hearsay
+from tealsail.choices import zone_reports
 from tealsail.choices.digest_messages import DIGEST, QUIET_REPORT, REPORT, Message, Row, decode, encode
 from tealsail.choices.load_digests import (
     BUDGET,
@@ -105,7 +105,7 @@
         data = encode(Message(REPORT, 0, 1, 7, tuple(rows)))
         self.assertFalse(notes.of_shots(data))
         self.assertEqual(notes.read(data), ())
-        self.assertIsNone(hearsay.decode(data))
+        self.assertIsNone(zone_reports.decode(data))
 
     def test_no_two_of_12_000_units_are_taken_for_one(self):
         read = {decode(report(1, Row(unit, 1, 0.0, 0, 0))).rows[0].unit for unit in UNITS}
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from tealsail.choices.flood import SECOND, Flood, Limits, limits
+from tealsail.choices.rate_limits import SECOND, Flood, Limits, limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import PAST, STARTS, Pool, count_notes, read
 from tealsail.parts import beyond
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.error import ConnectionDone
 
-from tealsail.choices.endings import REST
+from tealsail.choices.connection_lifetimes import REST
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
