--- a/tealsail/choices/backoff.py
+++ b/tealsail/choices/backoff.py
@@ -1,56 +1,67 @@
-"""How long a relay waits before it tries again what all relays of its fleet try.
+"""Backoff with jitter: how long a relay waits before it repeats a request that all relays of its fleet make.
 
-Guards against a fleet in step: what 40 relays asked for together, and together again after the same pauses, was more
-than the list of units could answer at any one time, so nobody was ever answered.
+Guards against a fleet that retries in step: 40 relays that asked together, and together again after the same delays,
+asked for more than the list of units could answer at any one time, so none of them was ever answered.
 """
 
 from ..parts import Chance
 
-AGAIN, LONGEST_AGAIN = 0.1, 2.0  # seconds: after a connection's end, and at the most
-FIRST, EACH, LONGEST_EACH = 0.1, 0.05, 1.0  # for each relay of the fleet: until a first question; after being turned
-# away as one of too many, and then at the most
-WITHIN = 10.0  # seconds within which lists are asked for, where the platform does not say
-PART = 0.4  # of the time within which a relay has to ask, for the mean of its pauses
-UNTOLD = 0.25  # seconds for which a relay that starts holds its door for the list it asked for
-LEAST, WIDTH = 0.1, 1.8  # a pause is drawn evenly from this part of its bound, and so wide
+FIRST_RETRY_S = 0.1  # mean delay after a connection has ended
+MAX_RETRY_S = 2.0  # longest mean delay after a connection has ended
+FIRST_REQUEST_PER_RELAY_S = 0.1  # a fleet's first requests are spread over this time for each relay
+REFUSED_PER_RELAY_S = 0.05  # for each relay of the fleet: first mean delay after a refusal for too many requests
+MAX_REFUSED_PER_RELAY_S = 1.0  # for each relay of the fleet: longest mean delay after such refusals
+DEFAULT_ASK_WITHIN_S = 10.0  # time within which a relay has to ask for the list, where the platform does not say
+ASK_WITHIN_PART = 0.4  # of that time: the bound on a relay's mean delay
+FIRST_LIST_WAIT_S = 0.25  # a relay that starts accepts no clients for so long while the list it asked for is on its way
+MIN_JITTER = 0.1  # shortest delay, as a part of the mean delay
+JITTER_WIDTH = 1.8  # from the shortest to the longest delay, in mean delays
 
 
-class Pauses:
-    """Pauses in seconds, each drawn by chance around a bound that doubles until `reset`.
+class Backoff:
+    """Random delays in seconds; their mean doubles with each delay until `reset`.
 
-    `first` and `longest` bound the mean in seconds; a try is followed by a pause of 0.1 to 1.9 times the bound, so
-    that two draws part a fleet that began in step.
+    `first` and `longest` bound the mean.  Each delay is drawn evenly from 0.1 to 1.9 times the mean, so two draws
+    spread a fleet that began in step.  `limit` bounds what the other side may ask for.
     """
 
     def __init__(
-        self, chance: Chance, first: float = AGAIN, longest: float = LONGEST_AGAIN, limit: float = LONGEST_AGAIN
+        self, chance: Chance, first: float = FIRST_RETRY_S, longest: float = MAX_RETRY_S, limit: float = MAX_RETRY_S
     ) -> None:
         self.chance, self.first, self.longest, self.limit = chance, first, longest, limit
-        self.bound = first
+        self.mean = first
 
     def next(self, least: float = 0.0) -> float:
-        """`least`: what the other side asked for; kept to as far as the limit goes, and parted too."""
-        pause = (LEAST + WIDTH * self.chance.share()) * self.bound
-        self.bound = min(self.longest, 2 * self.bound)
-        return max(pause, min(least, self.limit) + self.chance.share() * self.longest) if least else pause
+        """The next delay.  `least` is the delay that the other side asked for, 0 for none: it is honoured up to
+        `limit`, with a random delay of up to `longest` on top, which spreads the fleet here too."""
+        delay = (MIN_JITTER + JITTER_WIDTH * self.chance.share()) * self.mean
+        self.mean = min(self.longest, 2 * self.mean)
+        return max(delay, min(least, self.limit) + self.chance.share() * self.longest) if least else delay
 
     def reset(self) -> None:
-        self.bound = self.first
+        self.mean = self.first
 
 
-def by_fleet(chance: Chance, relays: int, within: float) -> Pauses:
-    """After having been turned away for too much asked by all: what the fleet asks a second stays the same however many
-    relays it has, but for the limit: a relay has to ask again `within` so many seconds, or counts as told all the
-    same."""
-    limit = within * PART
-    longest = min(max(LONGEST_AGAIN, LONGEST_EACH * relays), limit)
-    return Pauses(chance, min(max(AGAIN, EACH * relays), longest), longest, limit)
+def fleet_backoff(chance: Chance, relays: int, within: float) -> Backoff:
+    """The backoff after a refusal because the fleet asks too often.
+
+    Delays grow with the number of relays, so the fleet's request rate stays the same whatever its size.  They are
+    bounded, since a relay has to ask again within `within` seconds: after that it counts as told anyway.
+    """
+    limit = within * ASK_WITHIN_PART
+    longest = min(max(MAX_RETRY_S, MAX_REFUSED_PER_RELAY_S * relays), limit)
+    return Backoff(chance, min(max(FIRST_RETRY_S, REFUSED_PER_RELAY_S * relays), longest), longest, limit)
 
 
-def first_question(chance: Chance, relays: int, within: float, on_request: bool, known: bool) -> float | None:
-    """Seconds until a relay that starts asks for what is new since the list it was told; None: for the whole list, at
-    once.
+def initial_request_delay(chance: Chance, relays: int, within: float, on_request: bool, known: bool) -> float | None:
+    """Seconds until a relay that starts asks for the changes since the list that it was started with; None: it asks for
+    the whole list at once.
 
-    Where lists are asked for, each question is work for their keeper and all that started together would ask together.
+    Where lists are sent on request only (`on_request`), each request is work for the list's server, and all relays that
+    started together would ask together.
     """
-    return min(FIRST * relays, within * PART) * chance.share() if on_request and known else None
+    return (
+        min(FIRST_REQUEST_PER_RELAY_S * relays, within * ASK_WITHIN_PART) * chance.share()
+        if on_request and known
+        else None
+    )
--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -1,85 +1,89 @@
-"""What time it is taken for: even time for all intervals, Unix time only where stamps of others need it.
+"""The relay's clock: monotonic time for all intervals, Unix time only where time stamps of others need it.
 
-Even time starts at the wall clock's and then goes on with a steady one, so a step of the wall clock moves no timer, no
-deadline and no evidence.  Steps are noticed and counted, and stamps of others (when a unit has started, in Unix time)
-are turned into even time by the wall clock of the moment when they were first seen.  A gap is a time in which nothing
-ran: a process that was stopped, a machine that slept.
+Monotonic time starts at the wall clock's time and goes on with a steady clock, so a step of the wall clock moves no
+timer, no deadline and no evidence.  Steps are noticed and counted.  Time stamps of others (when a unit has started, in
+Unix time) are converted once, by the wall clock of the moment when they are first seen.  A gap is a time in which
+nothing ran: the process was stopped, or the machine slept.
 """
 
 from collections.abc import Callable
 from typing import Any
 
-TENTHS = 10_000  # in a second
-STEP = 0.2  # seconds between two looks: more is a step, less is followed
-GAP = 2.0  # seconds in which nothing ran, though something runs each half second
+TENTHS_PER_SECOND = 10_000  # tenths of a ms
+MIN_STEP_S = 0.2  # between two checks: a larger difference of the clocks is a step, a smaller one is followed
+MIN_GAP_S = 2.0  # without a call: something runs each half second
 
 
 class Clock:
-    """`steady` and `wall` give seconds; called, it gives even time in tenths of a ms.  `woke` is told of a gap, in
-    seconds, before whoever asked for the time goes on."""
+    """Called, it gives monotonic time in whole tenths of a ms.
+
+    `steady` and `wall` give seconds of the two clocks.  `on_gap` is called with the seconds of a gap before the caller
+    that asked for the time goes on.
+    """
 
     def __init__(
-        self, steady: Callable[[], float], wall: Callable[[], float], woke: Callable[[float], Any] | None = None
+        self, steady: Callable[[], float], wall: Callable[[], float], on_gap: Callable[[float], Any] | None = None
     ) -> None:
-        self.steady, self.wall, self.woke = steady, wall, woke
-        self.zero, self.base, self.last = (
-            steady(),
-            int(wall() * TENTHS),
-            0,
-        )  # a float of Unix time is too coarse to add to
-        self.ran = self.zero  # when something last ran, for all that is known
-        self.ahead = 0.0  # of the wall clock over even time, in seconds
+        self.steady, self.wall, self.on_gap = steady, wall, on_gap
+        # Whole tenths: a float of Unix time is too coarse to add to.
+        self.start, self.base, self.last = steady(), int(wall() * TENTHS_PER_SECOND), 0
+        self.ran = self.start  # when something last ran, as far as is known; seconds of the steady clock
+        self.ahead = 0.0  # seconds by which the wall clock is ahead of monotonic time
 
     def __call__(self) -> int:
         steady = self.steady()
         gap, self.ran = steady - self.ran, steady
-        self.last = max(self.last, self.base + int((steady - self.zero) * TENTHS + 0.01))
-        if gap > GAP and self.woke:
-            self.woke(gap)
+        self.last = max(self.last, self.base + int((steady - self.start) * TENTHS_PER_SECOND + 0.01))
+        if gap > MIN_GAP_S and self.on_gap:
+            self.on_gap(gap)
         return self.last
 
     def look(self) -> float:
-        """By how many seconds the wall clock has stepped ahead since the last look (below zero: back), 0 for not;
-        call it about once a second."""
+        """Compares the clocks: the seconds by which the wall clock has stepped ahead since the last call (below zero:
+        back), 0 for no step.  Call it about once a second."""
         self()
-        ahead = self.wall() - self.base / TENTHS - (self.ran - self.zero)
+        ahead = self.wall() - self.base / TENTHS_PER_SECOND - (self.ran - self.start)
         step, self.ahead = ahead - self.ahead, ahead
-        return step if abs(step) > STEP else 0.0
+        return step if abs(step) > MIN_STEP_S else 0.0
+
+    def from_unix(self, unix: int) -> int:
+        """Converts Unix time to monotonic time, both in tenths of a ms; a time stamp ahead of now counts as now."""
+        return min(unix - int(self.ahead * TENTHS_PER_SECOND), self())
 
-    def even(self, unix: int) -> int:
-        """A stamp in Unix time, in tenths of a ms, as even time; nothing that is told of lies ahead of now."""
-        return min(unix - int(self.ahead * TENTHS), self())
 
+class StartTimes:
+    """For each unit, the start that it was first listed with (Unix time) and that start in monotonic time, which stays
+    the same whatever the wall clock does later.
 
-class Stamps:
-    """Of each unit the stamp it was listed with and the even time that it was taken for: it stays, whatever the wall
-    clock does later.  Guards against a step that makes every unit of the next list look started anew."""
+    Guards against a step of the wall clock that makes every unit of the next list look restarted.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.known: dict[int, tuple[int, int]] = {}
+        self.known: dict[int, tuple[int, int]] = {}  # unit -> its start in Unix and in monotonic time
 
-    def of(self, unit: int, unix: int) -> int:
-        """0 (long ago) stays 0."""
+    def start_time(self, unit: int, unix: int) -> int:
+        """The unit's start in monotonic time, tenths of a ms; 0 (long ago) stays 0."""
         if not unix:
             return 0
         known = self.known.get(unit)
         if known is None or known[0] != unix:
-            known = self.known[unit] = unix, max(1, self.clock.even(unix))
+            known = self.known[unit] = unix, max(1, self.clock.from_unix(unix))
         return known[1]
 
-    def keep(self, units: set[int]) -> None:
-        """Forgets the others."""
+    def retain(self, units: set[int]) -> None:
+        """Forgets all other units."""
         for unit in [unit for unit in self.known if unit not in units]:
             del self.known[unit]
 
 
-def disregard(relay: Any, now: int) -> None:
-    """Nothing ran for a while: what is out now was held up here, and what comes of it says nothing of builds, units
-    or load. `relay` is the module's (tealsail/policy.py); `now` in tenths of a ms."""
+def discard_evidence(relay: Any, now: int) -> None:
+    """Discards what a gap has spoilt: shots that were out were delayed here, so their outcomes say nothing about
+    builds, units or load.  `relay` is a policy.Relay; `now` in tenths of a ms."""
     for invocation in relay.known.values():
         for shot in invocation.shots:
-            shot.group = None  # no evidence
+            shot.group = None  # the shot counts for no group
     relay.admission.cut_at = now
     for unit in relay.units.values():
-        unit.waiting, unit.missed = now, min(unit.missed, -2)  # a connection that failed meanwhile is no news
+        # A connection that failed during the gap does not count against its unit.
+        unit.waiting, unit.missed = now, min(unit.missed, -2)
--- a/tealsail/choices/connection_lifetimes.py
+++ b/tealsail/choices/connection_lifetimes.py
@@ -1,63 +1,81 @@
-"""When a relay's door opens, and when a relay, a client's connection and a kept connection to a unit may end or be used
-again: what may still be on its way."""
+"""When a relay that starts accepts clients and a relay that ends may exit; when connections may be closed or reused.
+
+Each rule allows for bytes that may still be on their way.
+"""
 
 from collections.abc import Sequence
 
-from .backoff import UNTOLD
+from .backoff import FIRST_LIST_WAIT_S
 
-ENOUGH = 30_000  # tenths of a ms behind the end of idle connections, or the longest deadline if that is later
-LOOKS_WITH_NOBODY = 2  # in a row, then nobody is left: one who crossed an end of ours may be on the way between two
-UNUSED = 3_000  # within which one that was just welcomed asks, or connections may be idle in a crowd
-REST = 0.02  # seconds: nothing that belongs to an answer comes later than that behind it
-LOOK, SOONEST = 1.0, 0.01  # seconds, most and least, between looks at unused connections to units
-AGAIN = 0.1, 0.2, 0.4, 0.8, 1.6  # seconds to the next looks at a file that is half written: within the 4 s in which
-# the former addresses may still answer
+SHUTDOWN_WAIT = 30_000  # tenths of a ms that a relay that ends waits at the least for clients that do not close
+EMPTY_CHECKS = 2  # checks in a row without a client before a relay ends: a client whose idle connection it has just
+# closed may be reconnecting at the first
+IDLE_GRACE = (
+    3_000  # tenths of a ms: a new client sends its query within this time; idle ones are kept as long when crowded
+)
+ANSWER_REST_S = 0.02  # nothing that belongs to an answer comes later than this after it
+MAX_IDLE_CHECK_S = 1.0  # longest time between checks of the idle connections to units
+MIN_IDLE_CHECK_S = 0.01  # shortest time between these checks
+# Delays before a half-written file is read again: all within the 4 s in which the former addresses may still answer.
+REREAD_DELAYS_S = 0.1, 0.2, 0.4, 0.8, 1.6
 
 
-def enough(now: int, deadlines: Sequence[int]) -> int:
-    """The time, in tenths of a ms, after which a relay that ends waits for nobody who does not read or end its half."""
-    return now + max(ENOUGH, *deadlines)
+def shutdown_deadline(now: int, deadlines: Sequence[int]) -> int:
+    """Until when a relay that ends waits for clients that neither read nor close: SHUTDOWN_WAIT from `now`, or the
+    longest of the workloads' `deadlines`.  All in tenths of a ms."""
+    return now + max(SHUTDOWN_WAIT, *deadlines)
 
 
-class LastLooks:
-    """Looks of a relay that ends at who is left among its clients; `deadlines` in tenths of a ms, as all times here."""
+class ShutdownWatch:
+    """Decides from repeated checks when a relay that ends has no clients left.  All times are tenths of a ms."""
 
     def __init__(self, now: int, deadlines: Sequence[int]) -> None:
-        self.until = enough(now, deadlines)
-        self.with_nobody = 0  # looks in a row
+        """`deadlines`: how long the clients of each workload wait at the most."""
+        self.until = shutdown_deadline(now, deadlines)
+        self.empty_checks = 0  # in a row
 
     def late(self, now: int) -> bool:
-        """Whether nobody is waited for any longer."""
+        """Whether the relay waits for no client any longer."""
         return now > self.until
 
     def over(self, now: int, clients: int) -> bool:
-        """Whether this look, which found so many, is the last."""
-        self.with_nobody = 0 if clients else self.with_nobody + 1
-        return self.with_nobody >= (1 if self.late(now) else LOOKS_WITH_NOBODY)
+        """Whether this check, which found `clients` connections, is the last."""
+        self.empty_checks = 0 if clients else self.empty_checks + 1
+        return self.empty_checks >= (1 if self.late(now) else EMPTY_CHECKS)
+
 
+def accept_delay(request_delay: float | None) -> float | None:
+    """The longest time, in seconds, for which a new process accepts no clients, to have the list first; None: it
+    accepts them at once.
 
-def door_held(question: float | None) -> float | None:
-    """Seconds for which a new process holds its door at most, where it asks for the list after `question` seconds, or
-    at once (None).  What is asked for at once counts as told from the process's first moment, so whoever comes before
-    it waits in the kernel, for some ms; where nothing comes, or not soon, the old copy has to do.  None: not at all."""
-    return UNTOLD if question is None else None
+    `request_delay` is the time until it asks for the list (None: it asks at once).  A relay that asks at once counts as
+    told from the process's first moment, so clients wait in the kernel for the few ms until the list has come.  Where
+    it asks later, or the list does not come, it starts with the old copy.
+    """
+    return FIRST_LIST_WAIT_S if request_delay is None else None
 
 
-def leaves_off(new: bool, idle: int, half: bool) -> bool:
-    """Whether an idle connection of a relay that ends may end: not over half a query, nor while one that was only just
-    welcomed, `idle` tenths of a ms ago, is about to ask."""
-    return not half and not (new and idle < UNUSED)
+def may_close_idle(new: bool, idle: int, half: bool) -> bool:
+    """Whether a relay that ends may close an idle client connection: not one that has sent half a query (`half`), nor
+    one that was accepted only `idle` tenths of a ms ago and is `new`, since its first query may be on its way."""
+    return not half and not (new and idle < IDLE_GRACE)
 
 
 def unused(idle: float) -> tuple[float, float]:
-    """How long a kept connection may stand unused, and between looks at that, in seconds, where the unit's machine
-    ends it after `idle` seconds: with both together it is never used in the last quarter, or second, of them."""
-    look = min(LOOK, max(SOONEST, 0.25 * idle))
-    return max(0.5 * idle, idle - 2 * look), look
+    """The longest time that a connection to a unit stays idle, and the time between checks of that, in seconds, where
+    the unit's machine closes connections after `idle` seconds.
+
+    With both together a connection is never used in the last quarter, or the last second, of that time.
+    """
+    check = min(MAX_IDLE_CHECK_S, max(MIN_IDLE_CHECK_S, 0.25 * idle))
+    return max(0.5 * idle, idle - 2 * check), check
+
 
+def choose_idle_connection(answered: Sequence[float], now: float) -> int | None:
+    """The place of the idle connection that takes the next shot, None if none may yet.
 
-def rested(answered: Sequence[float], now: float) -> int | None:
-    """Which of the idle connections, the one used last standing last, takes the next shot; `answered` is when each
-    was last answered, in seconds.  A second answer to the same query may come some ms behind the first, and would be
-    taken for the next one's: measured 0.9 to 3.4 ms (docs/results.md)."""
-    return next((place for place in range(len(answered) - 1, -1, -1) if answered[place] <= now - REST), None)
+    `answered` is when each was last answered, in seconds; the one used last stands last and is preferred.  A connection
+    rests after an answer: a second answer to the same query may come some ms after the first and would be taken for the
+    next query's (measured 0.9 to 3.4 ms, docs/results.md).
+    """
+    return next((place for place in range(len(answered) - 1, -1, -1) if answered[place] <= now - ANSWER_REST_S), None)
--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -1,8 +1,8 @@
-"""New settings in a running relay: what may change, and what holds until the last invocation of before is over.
+"""Changing the settings of a running relay: which may change, and what holds until the earlier invocations are over.
 
-The switch is one point between two events.  What was taken before is finished within the stricter of the two settings
-where a rule differs, and so is what comes meanwhile: a moment of less freedom, for no more than the longest wait of a
-client. The way back is the same step.
+A change takes effect at one point between two events.  Invocations that were taken before it are finished within the
+stricter of the two settings where a rule differs, and so are those that come meanwhile: a short time with less freedom,
+no longer than the longest wait of a client.  Changing back works the same way.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,9 +11,10 @@
 from ..policy import Relay
 from ..settings import NAMES
 
-PATHS = {name: path for path, name in NAMES.items()}
-# what a running relay is built on: judges' order, windows, places of zones, connections
-FIXED = (
+PATHS = {name: path for path, name in NAMES.items()}  # stored name -> the platform's name
+# Settings that need a restart: a running relay's order of judges, windows, places of zones and connections are built on
+# them.
+RESTART_SETTINGS = (
     "relays",
     "index",
     "zone",
@@ -26,20 +27,22 @@
     "ask_within",
     "may_tell",
 )
-OF_WORKLOAD = ("name", "effect", "group")
-FOREIGN = {"fleetSize", "index", "requestClasses", "tenants"}  # as the platform names them: who, and for whom
+RESTART_SETTINGS_OF_WORKLOAD = ("name", "effect", "group")
+# By the platform's names: where one of these differs, the settings are another relay's, fleet's or customer's.
+IDENTITY_PATHS = {"fleetSize", "index", "requestClasses", "tenants"}
 
 
-def least_each(old: list[float], new: list[float]) -> list[float]:
-    """The lower cap of each stage; of stages that only one has, that one's."""
+def lower_caps(old: list[float], new: list[float]) -> list[float]:
+    """The lower cap of each stage; a stage that only one list has keeps its cap."""
     return [min(pair) for pair in zip(old, new)] + list(old[len(new) :]) + list(new[len(old) :])
 
 
+# For each rule, the stricter of its old and new value.
 STRICTER: dict[str, Callable[[Any, Any], Any]] = dict(
     most_shots=min,
     free_shots=min,
     guarded_stages=max,
-    caps=least_each,
+    caps=lower_caps,
     may_cancel=min,
     may_advise=min,
     longest_advice=min,
@@ -49,82 +52,87 @@
 )
 
 
-def fixed(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
-    """Names, as the platform has them, of what differs and needs a restart."""
-    found = [PATHS.get(name, name) for name in FIXED if old.get(name) != new.get(name)]
-    for path, whole, names in (("requestClasses", "workloads", OF_WORKLOAD), ("tenants", "customers", ("name",))):
+def restart_paths(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
+    """The platform's names of the settings that differ and need a restart."""
+    found = [PATHS.get(name, name) for name in RESTART_SETTINGS if old.get(name) != new.get(name)]
+    for path, whole, names in (
+        ("requestClasses", "workloads", RESTART_SETTINGS_OF_WORKLOAD),
+        ("tenants", "customers", ("name",)),
+    ):
         before, after = ([[each.get(name) for name in names] for each in facts.get(whole, [])] for facts in (old, new))
         found += [path] * (before != after)
     return found
 
 
-def changed(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
-    """Names of all that differs."""
+def changed_paths(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
+    """The platform's names of all settings that differ."""
     return [PATHS.get(name, name) for name in sorted({*old, *new}) if old.get(name) != new.get(name)]
 
 
-def hold(relay: Relay, fresh: Relay, strict: bool) -> None:
-    """The relay (tealsail/policy.py) holds the facts of `fresh`, which was built with them; if `strict`, the stricter
-    of its own and those."""
+def install(relay: Relay, replacement: Relay, strict: bool) -> None:
+    """Gives `relay` the settings of `replacement`, a relay that was built with the new ones; if `strict`, the stricter
+    of its own and the new value where a rule differs."""
     before = dict(relay.facts)
-    for name in before.keys() - fresh.facts.keys():
+    for name in before.keys() - replacement.facts.keys():
         del relay.facts[name]
-    for name, value in fresh.facts.items():
+    for name, value in replacement.facts.items():
         both = strict and name in STRICTER and name in before
         relay.facts[name] = STRICTER[name](before[name], value) if both else value
-    for mine, new in zip(relay.workloads, fresh.workloads):
+    for mine, new in zip(relay.workloads, replacement.workloads):
         mine.promised, mine.payoff = new.promised, new.payoff
         mine.memory = min(mine.memory, new.memory) if strict else new.memory
-    relay.judge.voters, relay.beside = fresh.judge.voters, fresh.beside
+    relay.judge.voters, relay.beside = replacement.judge.voters, replacement.beside
     relay.arrange()
 
 
-class Fixed(ValueError):
-    """Settings that differ and need a restart, by name; `foreign`: so much that they are another fleet's or
-    customer's."""
+class RestartNeeded(ValueError):
+    """Settings differ that only a restart can change; the text names them.  `is_foreign`: they are those of another
+    relay, fleet or customer."""
 
-    def __init__(self, needs: list[str]) -> None:
-        super().__init__(f"{', '.join(needs)}: needs a restart")
-        self.foreign = not FOREIGN.isdisjoint(needs)
+    def __init__(self, paths: list[str]) -> None:
+        super().__init__(f"{', '.join(paths)}: needs a restart")
+        self.is_foreign = not IDENTITY_PATHS.isdisjoint(paths)
 
 
-class Quiet:
-    """A host that is asked for nothing."""
+class NullHost:
+    """A host (tealsail/host.py) that ignores all calls."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *what: None
 
 
-class Switch:
-    """The settings of one relay, and those on their way in."""
+class LiveSettings:
+    """The settings of one running relay, and the change that is under way."""
 
     def __init__(self, relay: Relay, facts: dict[str, Any]) -> None:
-        self.relay, self.facts = relay, facts  # as they came
-        self.fresh: Relay | None = None  # held strictly until what was at hand is over
-        self.at_hand: set[int] = set()
+        self.relay, self.facts = relay, facts  # the settings as they were handed in
+        self.replacement: Relay | None = None  # built with the new settings; kept until the change is complete
+        self.unfinished: set[int] = set()  # invocations that were taken before the change
 
     def change(self, facts: dict[str, Any]) -> list[str]:
-        """New settings between two events; returns the names of what differs.  Nothing changes if it raises: Fixed
-        for what needs a restart, or what the module raises that can't be built with them."""
-        needs = fixed(self.facts, facts)
+        """Takes new settings, between two events; returns the names of those that differ.
+
+        Raises RestartNeeded, or what policy.Relay raises if it cannot be built with them; nothing changes then.
+        """
+        needs = restart_paths(self.facts, facts)
         if needs:
-            raise Fixed(needs)
-        found, fresh = changed(self.facts, facts), Relay(Quiet(), facts, 0, self.relay.now)
+            raise RestartNeeded(needs)
+        found, replacement = changed_paths(self.facts, facts), Relay(NullHost(), facts, 0, self.relay.now)
         if found:
-            self.facts, self.fresh, self.at_hand = facts, fresh, self.open(self.relay.known)
-            hold(self.relay, fresh, bool(self.at_hand))
+            self.facts, self.replacement, self.unfinished = facts, replacement, self.open(self.relay.known)
+            install(self.relay, replacement, bool(self.unfinished))
         return found
 
     def open(self, numbers: Iterable[int]) -> set[int]:
-        """Those that are not over, or have shots out there."""
+        """Those of the invocations that are not over, or still have shots out."""
         known = self.relay.known
         return {number for number in numbers if number in known and (not known[number].over or known[number].out())}
 
-    def settle(self) -> None:
-        """Asked now and then: once all that was taken before is over, the new settings alone hold."""
-        if self.fresh and self.at_hand:
-            self.at_hand = self.open(self.at_hand)
-            if not self.at_hand:
-                hold(self.relay, self.fresh, False)
-        if not self.at_hand:
-            self.fresh = None
+    def end_transition(self) -> None:
+        """Puts the new settings alone into force once all earlier invocations are over; to be called regularly."""
+        if self.replacement and self.unfinished:
+            self.unfinished = self.open(self.unfinished)
+            if not self.unfinished:
+                install(self.relay, self.replacement, False)
+        if not self.unfinished:
+            self.replacement = None
--- a/tealsail/choices/rate_limits.py
+++ b/tealsail/choices/rate_limits.py
@@ -1,52 +1,57 @@
-"""How many notes of other relays are taken: so many a second of each, and of all together.
+"""Rate limits on messages from other relays: so many a second from each sender, and from all together.
 
-A note costs a judge some tens of microseconds.  One relay gone mad must neither starve what the judge serves nor push
-out what others tell; where all together tell too much, who has told least of late is heard first.
+A message costs a judge some tens of microseconds.  One faulty relay must neither take the time in which the judge
+serves requests nor displace what others report; where all senders together exceed the limit, those that sent least
+within the second come first.
 """
 
 from typing import NamedTuple
 
-SECOND = 10_000  # tenths of a ms; all is counted by whole seconds
-CELLS = 30  # of a note, at the least (tealsail/notes.py)
+SECOND = 10_000  # tenths of a ms; messages are counted by whole seconds
+CELLS_PER_MESSAGE = 30  # a full message of counts holds at least so many cells (tealsail/notes.py)
 
 
-class Limits(NamedTuple):
-    """Notes a second."""
+class MessageLimits(NamedTuple):
+    """Messages accepted a second: from each sender, and from all together."""
 
     each: int
     all: int
 
 
-NOTES_OF_A_SHOT = 3  # a question, a beginning, an end; a third as many go back to the asker
-MOST_SHOTS = 1_000  # a second of one relay: more than one process serves on a whole core
-SHOTS = Limits(NOTES_OF_A_SHOT * MOST_SHOTS, 12_000)  # small ones of shots
+MESSAGES_PER_SHOT = 3  # a question, a beginning, an end; a third as many go back to the asker
+MAX_SHOTS_PER_SECOND = 1_000  # of one relay: more than one process serves on a whole core
+# Small messages about single shots.
+SHOT_MESSAGE_LIMITS = MessageLimits(MESSAGES_PER_SHOT * MAX_SHOTS_PER_SECOND, 12_000)
 
 
-def limits(cells: int, most: int = 4_000) -> Limits:
-    """For counts of so many cells.  Honest relays tell all of them at most twice a second, and a few words besides."""
-    parts = max(1, -(-cells // CELLS))
-    return Limits(4 * parts + 20, max(most, 40 * parts))
+def count_message_limits(cells: int, most: int = 4_000) -> MessageLimits:
+    """Limits on messages of counts, where all counts have `cells` cells; `most` is the least limit on all senders.
 
+    A relay in order sends all its cells at most twice a second, and a few other messages.
+    """
+    messages = max(1, -(-cells // CELLS_PER_MESSAGE))
+    return MessageLimits(4 * messages + 20, max(most, 40 * messages))
 
-class Flood:
-    """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for
-    each sender that is known."""
 
-    def __init__(self, limits: Limits) -> None:
+class RateLimiter:
+    """Decides for each message whether it is accepted.  `counts` (sender -> messages accepted) is emptied each second,
+    so it holds at most one entry for each known sender."""
+
+    def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self.second, self.taken = -1, 0
+        self.second, self.accepted = -1, 0
         self.counts: dict[int, int] = {}
 
     def allows(self, sender: int, now: int) -> bool:
-        """`now` in tenths of a ms."""
+        """Whether a message that `sender` sent is accepted, which counts it; `now` in tenths of a ms."""
         second = now // SECOND
         if second != self.second:
-            self.second, self.taken, self.counts = second, 0, {}
+            self.second, self.accepted, self.counts = second, 0, {}
         count = self.counts.get(sender, 0)
-        # past the half of what all may have, a sender may have an even part; past the whole, a first note only
-        crowded = 2 * self.taken >= self.limits.all and count > self.limits.all // (2 * max(1, len(self.counts)))
-        if count >= self.limits.each or crowded or (self.taken >= self.limits.all and count):
+        # Past half of the limit on all, a sender may have an equal part of it; past the whole, only a first message.
+        crowded = 2 * self.accepted >= self.limits.all and count > self.limits.all // (2 * max(1, len(self.counts)))
+        if count >= self.limits.each or crowded or (self.accepted >= self.limits.all and count):
             return False
         self.counts[sender] = count + 1
-        self.taken += 1
+        self.accepted += 1
         return True
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
-from ..choices.connection_lifetimes import AGAIN
+from ..choices.connection_lifetimes import REREAD_DELAYS_S
 from ..net.counters import Counters
 from ..net.kept import cancel
 from ..net.relay import Relay
@@ -66,9 +66,9 @@
         try:
             self.relay.assign(read_again(os.environ))
         except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, BadStart) as problem:
-            if isinstance(problem, Torn) and tries < len(AGAIN):
-                self.timer = self.reactor.callLater(AGAIN[tries], self.read, tries + 1)
-                again = f" (read again in {AGAIN[tries]} s)"
+            if isinstance(problem, Torn) and tries < len(REREAD_DELAYS_S):
+                self.timer = self.reactor.callLater(REREAD_DELAYS_S[tries], self.read, tries + 1)
+                again = f" (read again in {REREAD_DELAYS_S[tries]} s)"
             self.relay.counters.add("configuration.refused")
             logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), again)
 
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ... import notes
-from ...choices.live_settings import Switch
+from ...choices.live_settings import LiveSettings
 from ...facade import Facade, Heard, Listed, Outcome, Reject, Shoot, Standing, Units
 from ...parts import mix
 from ...settings import facts, nested
@@ -45,7 +45,7 @@
         self.setup, self.now = setup, 100 * SECOND
         self.known = facts(nested(settings(setup)))
         self.facade = Facade(self.known, 7, lambda: self.now)
-        self.switch = Switch(self.facade.relay, self.known)
+        self.switch = LiveSettings(self.facade.relay, self.known)
         self.facade.report(Standing(BUILD, 0, "on trial", 0.5, 60 * SECOND))
         self.list = listed(setup.units)
         self.facade.report(Units("whole", self.list))
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...choices.rate_limits import SHOTS
+from ...choices.rate_limits import SHOT_MESSAGE_LIMITS
 from ...notes import LOW
 from .causes import Place
 from .points import Axis, Cost, Name, Side
@@ -124,7 +124,7 @@
 
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.live_settings", "Switch.change")
+SWITCH = Place("choices.live_settings", "LiveSettings.change")
 ASKING = Place("policy", "Guide.keeps")
 TELLING = Place("policy", "Guide.tell")
 HEARING = Place("policy", "Guide.hear")
@@ -135,7 +135,7 @@
 NEWS = Place("net.platform", "Platform.came")
 WATCHING = Place("net.discovery", "Discovery.came")
 RELOADS = Place("command.serve", "Reloads.read")
-SHEDDING = Place("choices.rate_limits", "Flood.allows")
+SHEDDING = Place("choices.rate_limits", "RateLimiter.allows")
 ARRANGING = Place("policy", "Relay.arrange")
 JUDGES_TOLD = Place("policy", "Judge.tell")
 STARTING = Place("net.relay", "Relay.start")
@@ -279,7 +279,9 @@
     """What one load tracker cannot do, whatever its processor."""
     fleet = plan.fleet
     messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
-    yield Need(Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOTS.all), "three a request", SHEDDING)
+    yield Need(
+        Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOT_MESSAGE_LIMITS.all), "three a request", SHEDDING
+    )
     marks = LOW + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -10,7 +10,7 @@
 
 import numpy
 
-from ..choices.rate_limits import Flood, limits
+from ..choices.rate_limits import RateLimiter, count_message_limits
 from ..facade import Facade, Heard, Listed, Standing, Units
 from ..notes import count_notes
 from ..parts import mix
@@ -119,7 +119,10 @@
         return facade
 
     facade, anew = started(), False
-    fleet, flood = Fleet(relays, rate, errors, seed), Flood(limits(len(facade.relay.judge.pooled.sums)))
+    fleet, flood = (
+        Fleet(relays, rate, errors, seed),
+        RateLimiter(count_message_limits(len(facade.relay.judge.pooled.sums))),
+    )
     thin = 1 + min(THINNEST, relays // CROWD) if thinned else 1
     senders = [relay for relay in range(relays) if relay != index]
     liars = senders[:mad]
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..choices.clock import GAP, TENTHS, disregard
+from ..choices.clock import MIN_GAP_S, TENTHS_PER_SECOND, discard_evidence
 from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
 from ..net.relay import number_of
 from ..parts import mix
@@ -98,8 +98,8 @@
         model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
         self.stopped, self.backlog = -1, []
         model.tell(Life(model.now, self.index, "on"))
-        if gap > GAP * TENTHS:
-            disregard(self.facade.relay, self.clock())
+        if gap > MIN_GAP_S * TENTHS_PER_SECOND:
+            discard_evidence(self.facade.relay, self.clock())
             for name, (idle, _) in self.kept.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..choices.connection_lifetimes import UNUSED, leaves_off
+from ..choices.connection_lifetimes import IDLE_GRACE, may_close_idle
 from ..choices.pipelining import may_begin
 from . import messages, statements
 from .counters import Counters
@@ -219,7 +219,7 @@
         already."""
         now = self.clients.clock()
         mute = self.mute(now)
-        if self.free() and (mute or leaves_off(not self.asked, now - self.idle_since, bool(self.half_since))):
+        if self.free() and (mute or may_close_idle(not self.asked, now - self.idle_since, bool(self.half_since))):
             self.end("mute" if mute else "closing")
 
     def answer(self, asked: Asked, turn: Turn) -> None:
@@ -378,7 +378,7 @@
         for client in list(self.connections):
             if client.mute(now) and client.free():
                 client.end("mute")
-            elif crowded and not client.half_since and now - client.idle_since > UNUSED and client.free():
+            elif crowded and not client.half_since and now - client.idle_since > IDLE_GRACE and client.free():
                 client.end("crowded")
         self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
 
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.backoff import Pauses
+from ..choices.backoff import Backoff
 from .counters import Counters
 from .kept import Ended, Kept
 
@@ -269,8 +269,8 @@
         path: str,
         counters: Counters,
         tell: Callable[[News], None],
-        pauses: Pauses,
-        turned: Pauses,
+        pauses: Backoff,
+        turned: Backoff,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
         self.path, self.tell, self.turned = path, tell, turned  # the pauses after being turned away
--- a/tealsail/net/kept.py
+++ b/tealsail/net/kept.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from ..choices.backoff import Pauses
+from ..choices.backoff import Backoff
 from .counters import Counters
 
 CONNECT = 1.0  # seconds
@@ -32,7 +32,7 @@
     """One connection to an address, made anew after a pause that grows until something comes.  After a move
     the former connection serves on until the one to the new address is up."""
 
-    def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Pauses) -> None:
+    def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Backoff) -> None:
         self.reactor, self.address, self.counters, self.pauses = reactor, address, counters, pauses
         self.caller: Any = None  # the connection that counts, once it is up
         self.silence: Any = None  # the timer of what is waited for on it
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from ..choices.rate_limits import SHOTS, Flood
+from ..choices.rate_limits import SHOT_MESSAGE_LIMITS, RateLimiter
 from ..notes import of_shots
 from .counters import Counters
 
@@ -27,7 +27,7 @@
         everyone: str,
         counters: Counters,
         heard: Callable[[int, bytes], None],
-        flood: Flood,
+        flood: RateLimiter,
         clock: Callable[[], int],
     ) -> None:
         """`flood` bounds notes of counts; those of shots are many more and small, with a bound of their own."""
@@ -35,7 +35,7 @@
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.everyone = pair(everyone) if everyone else None
         self.counters, self.heard = counters, heard
-        self.flood, self.shots, self.clock = flood, Flood(SHOTS), clock
+        self.flood, self.shots, self.clock = flood, RateLimiter(SHOT_MESSAGE_LIMITS), clock
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         number = self.numbers.get(address)
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.backoff import Pauses
+from ..choices.backoff import Backoff
 from .counters import Counters
 from .kept import Ended, Kept, cancel
 
@@ -128,7 +128,7 @@
         counters: Counters,
         tell: Callable[[State], None],
         counted: Callable[[str], None],
-        pauses: Pauses,
+        pauses: Backoff,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
         self.vote_wait, self.tell, self.counted = vote_wait, tell, counted
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -8,11 +8,11 @@
 from twisted.python.failure import Failure
 
 from .. import settings
-from ..choices.backoff import WITHIN, Pauses, by_fleet, first_question
-from ..choices.clock import Clock, Stamps, disregard
-from ..choices.connection_lifetimes import LastLooks, door_held
-from ..choices.live_settings import Fixed, Switch
-from ..choices.rate_limits import Flood, limits
+from ..choices.backoff import DEFAULT_ASK_WITHIN_S, Backoff, fleet_backoff, initial_request_delay
+from ..choices.clock import Clock, StartTimes, discard_evidence
+from ..choices.connection_lifetimes import ShutdownWatch, accept_delay
+from ..choices.live_settings import LiveSettings, RestartNeeded
+from ..choices.rate_limits import RateLimiter, count_message_limits
 from ..facade import (
     Counted,
     Departed,
@@ -162,10 +162,10 @@
     ) -> None:
         self.reactor, self.told, self.counters = reactor, told, counters or Counters()
         self.clock, self.due = Clock(reactor.seconds, wall or reactor.seconds, self.woke), 0
-        self.stamps = Stamps(self.clock)
+        self.stamps = StartTimes(self.clock)
         facts = told.facts
         self.facade = Facade(facts, told.seed, self.clock, document.seats(facts) if document else ())
-        self.switch = Switch(self.facade.relay, facts)
+        self.switch = LiveSettings(self.facade.relay, facts)
         room = max(FEWEST, told.sockets - SPARE) // 2
         self.units = Units(
             reactor,
@@ -176,10 +176,16 @@
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, room)
         chance = Chance(mix(told.seed, facts.get("index", 0)))
-        self.fleet = facts.get("relays", 1), facts.get("ask_within", WITHIN * TENTHS) / TENTHS
+        self.fleet = facts.get("relays", 1), facts.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS) / TENTHS
         self.chance = chance  # of what all relays do: apart from the module's
         self.discovery = Discovery(
-            reactor, told.discovery, PATH, self.counters, self.listed, Pauses(chance), by_fleet(chance, *self.fleet)
+            reactor,
+            told.discovery,
+            PATH,
+            self.counters,
+            self.listed,
+            Backoff(chance),
+            fleet_backoff(chance, *self.fleet),
         )
         self.platform = Platform(
             reactor,
@@ -188,14 +194,14 @@
             self.counters,
             self.stood,
             self.counted,
-            Pauses(chance),
+            Backoff(chance),
         )
         self.peers = Peers(
             told.peers,
             told.everyone,
             self.counters,
             self.heard,
-            Flood(limits(len(self.facade.relay.judge.pooled.sums))),
+            RateLimiter(count_message_limits(len(self.facade.relay.judge.pooled.sums))),
             self.clock,
         )
         self.load_fields = facts.get("load_fields", [])
@@ -205,7 +211,7 @@
         self.door: Any = None  # where clients come in
         self.holding: Any = None  # the timer of a door that is held until the list has come
         self.post: Any = None  # where notes come in
-        self.last_looks: LastLooks | None = None  # at who is left, once it ends
+        self.last_looks: ShutdownWatch | None = None  # at who is left, once it ends
         self.timer: Any = None
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.looking: Any = None  # the timer of the next look at the clocks
@@ -237,10 +243,10 @@
 
     def watch(self) -> None:
         known = self.told.known
-        wait = first_question(
+        wait = initial_request_delay(
             self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
         )
-        held = door_held(wait)
+        held = accept_delay(wait)
         if held is not None:
             self.holding = self.reactor.callLater(held, self.open)
             hold(self.door, True)
@@ -277,7 +283,7 @@
         """After a time in which nothing ran nothing older is trusted: evidence at once, then what others keep."""
         self.counters.add("clock.gaps")
         logger.warning("clock: nothing ran for {:.1f} s; list and platform are asked anew", gap)
-        disregard(self.facade.relay, self.clock.last)
+        discard_evidence(self.facade.relay, self.clock.last)
         self.reactor.callLater(0, self.anew)
 
     def anew(self) -> None:
@@ -297,8 +303,8 @@
             self.load_fields = told.facts.get("load_fields", [])
             self.platform.vote_wait = told.facts.get("vote_wait", TENTHS) / TENTHS
             self.counters.add("configuration.taken")
-        except Fixed as needs:  # the addresses still count: those of before fall silent
-            if needs.foreign:
+        except RestartNeeded as needs:  # the addresses still count: those of before fall silent
+            if needs.is_foreign:
                 raise
             settings_now = f"kept ({needs})"
             self.counters.add("configuration.kept")
@@ -333,7 +339,7 @@
                 self.units.unlisted(number_of(entry.id))
         if kind != "changes":
             here = {number_of(entry.id) for entry in entries}
-            self.stamps.keep(here)
+            self.stamps.retain(here)
             for number in self.units.numbers():
                 if number not in here:
                     self.units.unlisted(number)
@@ -353,7 +359,7 @@
             self.zones.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.of(number, settings.tenths(entry.started)),
+            self.stamps.start_time(number, settings.tenths(entry.started)),
         )
 
     def stood(self, state: State) -> None:
@@ -382,7 +388,7 @@
 
     def ticked(self) -> None:
         wants = self.facade.tick()
-        self.switch.settle()
+        self.switch.end_transition()
         for line in wants.lines:
             logger.info("module: {}", line)
         for number, step in wants.steps:
@@ -426,7 +432,7 @@
         self.open()
         self.clients.stop_sweeping()
         deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.last_looks = LastLooks(self.clock(), deadlines)
+        self.last_looks = ShutdownWatch(self.clock(), deadlines)
         self.finish()
 
     def finish(self) -> None:
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.connection_lifetimes import rested, unused
+from ..choices.connection_lifetimes import choose_idle_connection, unused
 from . import messages
 from .counters import Counters
 from .kept import Ended
@@ -252,7 +252,7 @@
         self.closed = False
 
     def idle_one(self) -> Connection | None:
-        place = rested([each.answered_at for each in self.idle], self.reactor.seconds())
+        place = choose_idle_connection([each.answered_at for each in self.idle], self.reactor.seconds())
         return None if place is None else self.idle.pop(place)
 
     def open(self) -> Deferred[Connection]:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Fleets that ask for the same at the same time: how far their questions part, and whether they are answered."""
+"""Fleets whose relays send the same request at the same time: how far backoff spreads them, and who is answered."""
 
 import heapq
 import unittest
@@ -6,15 +6,18 @@
 from itertools import accumulate
 from types import SimpleNamespace
 
-from tealsail.choices.backoff import Pauses, by_fleet, first_question
+from tealsail.choices.backoff import Backoff, fleet_backoff, initial_request_delay
 from tealsail.parts import Chance
 from tealsail.world.keeper import Keeper
 
 RELAYS, WITHIN = 40, 10.0
 
 
-def play(due: list[float], pauses: list[Pauses], whole: bool) -> tuple[Counter, int]:
-    """40 s: questions by tenth of a second, and how many relays were answered; who is answered asks no more."""
+def play(due: list[float], backoffs: list[Backoff], whole: bool) -> tuple[Counter, int]:
+    """Plays 40 s; returns the requests by tenth of a second and how many relays were answered.
+
+    `due` is when each relay asks first; a relay that is answered asks no more.
+    """
     keeper, asked, answered = Keeper(), Counter(), 0
     heap = sorted(zip(due, range(len(due))))
     while heap and heap[0][0] < 40:
@@ -22,40 +25,43 @@
         asked[int(now * 10)] += 1
         at, well = keeper.ask(now, whole)
         if not well:
-            heapq.heappush(heap, (at + pauses[number].next(), number))
+            heapq.heappush(heap, (at + backoffs[number].next(), number))
         answered += well
     return asked, answered
 
 
 class Fleets(unittest.TestCase):
     def test_a_fleet_that_starts_together_is_answered_relay_by_relay(self) -> None:
-        """What 40 relays did before: all at once, and all again after 0.1, 0.2 .. 2 s, in the same moments."""
+        """Guards against a fleet that retries in step: 40 relays asked together, and again after the same 0.1, 0.2 .. 2
+        s, so most of them were never answered.  The first case plays that, with the same delays for all."""
         asked, answered = play(
-            [0.0] * RELAYS, [Pauses(SimpleNamespace(share=lambda: 0.5)) for _ in range(RELAYS)], whole=True
+            [0.0] * RELAYS, [Backoff(SimpleNamespace(share=lambda: 0.5)) for _ in range(RELAYS)], whole=True
         )
         self.assertLess(answered, RELAYS // 2)
-        self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)  # ten seconds on: still in step
+        self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)  # still in step after 10 s
         for seed in range(10):
             chances = [Chance(100 * seed + number) for number in range(RELAYS)]
             asked, answered = play(
-                [first_question(each, RELAYS, WITHIN, True, True) for each in chances],
-                [by_fleet(each, RELAYS, WITHIN) for each in chances],
+                [initial_request_delay(each, RELAYS, WITHIN, True, True) for each in chances],
+                [fleet_backoff(each, RELAYS, WITHIN) for each in chances],
                 whole=False,
             )
             self.assertGreater(answered, 0.8 * RELAYS)
             self.assertLessEqual(max(asked.values()), 6)
 
-    def test_connections_that_ended_together_are_not_made_anew_together(self) -> None:
+    def test_connections_that_ended_together_are_not_reopened_together(self) -> None:
         tries = Counter(
             int(10 * at)
-            for pauses in [Pauses(Chance(number)) for number in range(RELAYS)]
-            for at in accumulate(pauses.next() for _ in range(20))
+            for backoff in [Backoff(Chance(number)) for number in range(RELAYS)]
+            for at in accumulate(backoff.next() for _ in range(20))
         )
         self.assertLessEqual(max(tries[at] for at in range(20, 200)), RELAYS // 4)
 
-    def test_a_relay_asks_often_enough_to_count_as_asking_whatever_it_is_told_to_wait(self) -> None:
+    def test_a_relay_asks_again_within_the_required_time_whatever_it_is_told_to_wait(self) -> None:
         for relays in (1, 3, 40, 5000):
-            pauses, chance = by_fleet(Chance(relays), relays, WITHIN), Chance(relays)
-            self.assertLessEqual(pauses.next(), 1.9 * max(0.1, 0.05 * relays))
-            self.assertLess(max(pauses.next(least) for least in (0, 3, 60) for _ in range(50)), 0.85 * WITHIN)
-            self.assertLess(max(first_question(chance, relays, WITHIN, True, True) for _ in range(50)), 0.5 * WITHIN)
+            backoff, chance = fleet_backoff(Chance(relays), relays, WITHIN), Chance(relays)
+            self.assertLessEqual(backoff.next(), 1.9 * max(0.1, 0.05 * relays))
+            self.assertLess(max(backoff.next(least) for least in (0, 3, 60) for _ in range(50)), 0.85 * WITHIN)
+            self.assertLess(
+                max(initial_request_delay(chance, relays, WITHIN, True, True) for _ in range(50)), 0.5 * WITHIN
+            )
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,11 +1,11 @@
-"""Time that neither stands still nor jumps: steps of the wall clock, stopped processes, and stamps of others."""
+"""The monotonic clock: steps of the wall clock, stopped processes, and start times of units."""
 
 import unittest
 from random import Random
 
 from hypothesis import assume, given, strategies as st
 
-from tealsail.choices.clock import GAP, Clock, Stamps
+from tealsail.choices.clock import MIN_GAP_S, Clock, StartTimes
 from tealsail.net.discovery import read_news
 from tealsail.net.relay import Relay
 
@@ -16,8 +16,8 @@
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
 
 
-class Hands:
-    """Two clocks that a story moves."""
+class FakeClocks:
+    """A steady and a wall clock that a test sets, and the Clock that reads them."""
 
     def __init__(self) -> None:
         self.steady, self.wall, self.gaps = 50.0, START, []
@@ -29,58 +29,58 @@
             self.clock()
 
 
-class Even(unittest.TestCase):
+class MonotonicTime(unittest.TestCase):
     @given(STEPS)
-    def test_a_step_of_the_wall_clock_moves_nothing_and_is_noticed_once(self, step) -> None:
-        hands = Hands()
-        hands.run(3)
-        hands.clock.look()
-        before = hands.clock()
-        hands.wall += step
-        self.assertEqual(hands.clock(), before)
-        self.assertAlmostEqual(hands.clock.look(), step, delta=1e-3)
-        hands.run(5)
-        self.assertEqual((hands.clock.look(), hands.clock() - before, hands.gaps), (0.0, 5 * SECOND, []))
-
-    def test_a_time_in_which_nothing_ran_is_told_before_anybody_goes_on(self) -> None:
-        hands = Hands()
-        hands.run(2)
-        hands.steady, hands.wall = hands.steady + 30, hands.wall + 30
-        now = hands.clock()
-        self.assertEqual(([round(gap) for gap in hands.gaps], now), ([30], int((START + 32) * SECOND)))
-        hands.run(GAP)
-        self.assertEqual(len(hands.gaps), 1)
+    def test_a_step_of_the_wall_clock_moves_no_time_and_is_noticed_once(self, step) -> None:
+        clocks = FakeClocks()
+        clocks.run(3)
+        clocks.clock.look()
+        before = clocks.clock()
+        clocks.wall += step
+        self.assertEqual(clocks.clock(), before)
+        self.assertAlmostEqual(clocks.clock.look(), step, delta=1e-3)
+        clocks.run(5)
+        self.assertEqual((clocks.clock.look(), clocks.clock() - before, clocks.gaps), (0.0, 5 * SECOND, []))
+
+    def test_a_gap_is_reported_before_the_caller_goes_on(self) -> None:
+        clocks = FakeClocks()
+        clocks.run(2)
+        clocks.steady, clocks.wall = clocks.steady + 30, clocks.wall + 30
+        now = clocks.clock()
+        self.assertEqual(([round(gap) for gap in clocks.gaps], now), ([30], int((START + 32) * SECOND)))
+        clocks.run(MIN_GAP_S)
+        self.assertEqual(len(clocks.gaps), 1)
 
     @given(STEPS, st.floats(2, 3600))
-    def test_a_units_start_stays_what_it_was_taken_for_and_a_later_one_is_read_by_the_later_clock(
+    def test_a_units_start_keeps_its_first_conversion_and_a_later_start_is_converted_by_the_later_clock(
         self, step, age
     ) -> None:
-        hands = Hands()
-        stamps = Stamps(hands.clock)
-        started = int((hands.wall - age) * SECOND)
-        first = stamps.of(7, started)
-        hands.wall += step
-        hands.clock.look()
-        self.assertEqual(stamps.of(7, started), first)  # not started anew
-        again = int((hands.wall - 1) * SECOND)
+        clocks = FakeClocks()
+        starts = StartTimes(clocks.clock)
+        started = int((clocks.wall - age) * SECOND)
+        first = starts.start_time(7, started)
+        clocks.wall += step
+        clocks.clock.look()
+        self.assertEqual(starts.start_time(7, started), first)  # not restarted
+        again = int((clocks.wall - 1) * SECOND)
         assume(again != started)
-        self.assertAlmostEqual(hands.clock() - stamps.of(7, again), SECOND, delta=20)
+        self.assertAlmostEqual(clocks.clock() - starts.start_time(7, again), SECOND, delta=20)
 
-    def test_a_start_ahead_of_now_is_now(self) -> None:
-        hands = Hands()  # a clock behind the platform's would keep a unit cold for as long
-        self.assertEqual(Stamps(hands.clock).of(7, int((START + 3600) * SECOND)), hands.clock())
-        self.assertEqual(Stamps(hands.clock).of(8, 0), 0)
+    def test_a_start_ahead_of_now_counts_as_now(self) -> None:
+        clocks = FakeClocks()  # else a clock behind the platform's would keep a unit cold for that long
+        self.assertEqual(StartTimes(clocks.clock).start_time(7, int((START + 3600) * SECOND)), clocks.clock())
+        self.assertEqual(StartTimes(clocks.clock).start_time(8, 0), 0)
 
-    def test_what_left_the_list_is_forgotten(self) -> None:
-        stamps = Stamps(Hands().clock)
+    def test_units_that_left_the_list_are_forgotten(self) -> None:
+        starts = StartTimes(FakeClocks().clock)
         for number in range(100):
-            stamps.of(number, 1)
-        stamps.keep({3, 500})
-        self.assertEqual(set(stamps.known), {3})
+            starts.start_time(number, 1)
+        starts.retain({3, 500})
+        self.assertEqual(set(starts.known), {3})
 
 
-class Steps(RelayStory):
-    """The whole relay, its reactor on a steady clock, and a wall clock that a story sets."""
+class ClockSteps(RelayStory):
+    """The whole relay, its reactor on a steady clock, and a wall clock that a test sets."""
 
     def setUp(self) -> None:
         self.reactor, self.ahead = Reactor(), 0.0
@@ -88,8 +88,8 @@
         self.relay.start()
         self.factory = self.reactor.tcpServers[0][1]
 
-    def test_after_a_step_back_of_an_hour_what_is_late_is_late(self) -> None:
-        """Before, the relay's time stood still for that hour: no shot was ever late, no beat came."""
+    def test_after_a_step_back_of_an_hour_late_shots_still_time_out(self) -> None:
+        """Guards against time that stands still until the wall clock has caught up: no shot timed out, no beat came."""
         client = self.client(asking(workload="order"))
         wire = self.unit()
         wire.sent()
@@ -102,18 +102,18 @@
         self.assertGreaterEqual(self.relay.facade.relay.judge.beat, beats + 3)
         self.assertEqual(self.relay.counters.counts["clock.steps"], 1)
 
-    def test_two_hundred_steps_of_a_second_to_a_day_and_each_invocation_is_answered_in_time(self) -> None:
+    def test_each_invocation_is_answered_in_time_through_two_hundred_steps_of_a_second_to_a_day(self) -> None:
         client, chance = self.client(asking()), Random(5)
         wire = self.unit()
         wire.sent()
         wire.gets(ROW + IDLE)
         self.assertEqual(client.sent(), ROW + IDLE)
-        self.wait(0.1)  # a connection that has just answered rests
+        self.wait(0.1)  # a connection is not reused right after an answer
         for _ in range(200):
             self.ahead += chance.choice((-1, 1)) * 86_400 ** chance.random()
             client.gets(asking())
             asked = wire.sent()
-            if b"id=9b1f" not in asked:  # idle for a while: it proves itself first
+            if b"id=9b1f" not in asked:  # idle for a while: the relay checks the connection first
                 wire.gets(field(b"I", b"") + IDLE)
                 asked = wire.sent()
             self.assertIn(b"id=9b1f", asked)
@@ -123,9 +123,9 @@
         self.assertGreater(self.relay.counters.counts["clock.steps"], 150)
         self.assertEqual(self.relay.facade.faults, 0)
 
-    def test_after_a_stop_of_the_process_nothing_older_is_trusted(self) -> None:
-        """A shot was out when the process was stopped: that it is late says nothing of its build or unit; the idle
-        connections, the list and the platform's news may be old."""
+    def test_after_a_stop_of_the_process_no_earlier_state_is_trusted(self) -> None:
+        """A shot that was out when the process stopped is late for that reason: it must not count against its build or
+        unit.  Idle connections, the list and the platform's state may be out of date."""
         first = self.client(asking())
         wire = self.unit()
         wire.sent()
@@ -152,7 +152,7 @@
         self.assertEqual(len(relay.units), 1)
         self.reactor.up(DESK)
 
-    def test_a_listed_unit_does_not_start_anew_when_the_clock_steps(self) -> None:
+    def test_a_listed_unit_does_not_count_as_restarted_when_the_clock_steps(self) -> None:
         started = (self.reactor.seconds() - 100) * 1000
         entry = unit(UNIT) | {"startedAtMs": started}
         self.discovery(listing(42, True, entry))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-from tealsail.choices.backoff import UNTOLD
+from tealsail.choices.backoff import FIRST_LIST_WAIT_S
 from tealsail.net.relay import LAST, LINGER, Relay
 
 from .fake import GREETING, IDLE, OPENING, ROW, asking, field
@@ -79,7 +79,7 @@
         self.addCleanup(self.reactor.removeAll)
         self.addCleanup(self.everything_closed)
         if not held:
-            self.later(UNTOLD)
+            self.later(FIRST_LIST_WAIT_S)
         return self.relay
 
     def everything_closed(self) -> None:
@@ -682,7 +682,7 @@
 
     def test_a_list_that_says_nothing_holds_the_door_for_a_moment_only(self) -> None:
         client = self.first_query()
-        self.later(UNTOLD)
+        self.later(FIRST_LIST_WAIT_S)
         self.shot().sendall(ROW + IDLE)
         self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
 
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -1,9 +1,9 @@
-"""New settings in a running relay: checked whole, switched at one point, both ways, and nothing lost or sent twice."""
+"""New settings in a running relay: checked as a whole, taken at one point, both ways; nothing lost or sent twice."""
 
 import unittest
 
 from tealsail import policy
-from tealsail.choices.live_settings import Fixed, Switch
+from tealsail.choices.live_settings import LiveSettings, RestartNeeded
 from tealsail.net import start
 from tealsail.setup.facts import BadFacts, check
 
@@ -11,7 +11,7 @@
 from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
 from .test_relay import config, told
 
-MOVED = dict(
+TIMER_BESIDE = dict(
     control="timer",
     layout="beside",
     step=4 * SECOND,
@@ -21,11 +21,11 @@
     drain_grace=2500,
     guarded_stages=1,
 )
-STAYED = dict(control="share", layout="in_place", on_votes=1, back_votes=1)
+SHARE_IN_PLACE = dict(control="share", layout="in_place", on_votes=1, back_votes=1)
 
 
 def settings(**more: object) -> dict:
-    """The platform's settings with others under `domain` and elsewhere ("limits.maxAttempts")."""
+    """The platform's settings with some replaced; `limits__maxAttempts` stands for limits.maxAttempts."""
     tree = {name: dict(each) if isinstance(each, dict) else each for name, each in config()["settings"].items()}
     for path, value in more.items():
         where, _, name = path.partition("__")
@@ -33,8 +33,8 @@
     return tree
 
 
-class Checked(unittest.TestCase):
-    def test_each_wrong_setting_is_named_as_the_platform_has_it(self) -> None:
+class CheckedSettings(unittest.TestCase):
+    def test_an_error_gives_the_platforms_name_of_a_wrong_setting(self) -> None:
         for more, said in (
             ({"domain__control": "clock"}, "domain.control: 'clock' is none of any, share, timer"),
             ({"domain__noesNeeded": -1}, "domain.noesNeeded: -1 is not from"),
@@ -57,55 +57,55 @@
         with self.assertRaisesRegex(start.BadStart, "requestClasses.0.aim: later than its deadline"):
             told(config(settings=settings(requestClasses=late)))
 
-    def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
-        for facts in (MOVED, STAYED, {}):
+    def test_settings_of_both_kinds_of_deployment_are_accepted(self) -> None:
+        for facts in (TIMER_BESIDE, SHARE_IN_PLACE, {}):
             check(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
         with self.assertRaises(BadFacts):
-            check(dict(MOVED, relays=180, step=0, workloads=[HARMLESS]))
+            check(dict(TIMER_BESIDE, relays=180, step=0, workloads=[HARMLESS]))
 
 
-class Switched(unittest.TestCase):
-    def story(self, **facts) -> tuple[Story, Switch]:
+class ChangedSettings(unittest.TestCase):
+    def story(self, **facts) -> tuple[Story, LiveSettings]:
         story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **facts)
-        return story, Switch(story.relay, self.now(story))
+        return story, LiveSettings(story.relay, self.now(story))
 
     @staticmethod
     def now(story: Story, **more: object) -> dict:
         return dict(story.relay.facts, **more)
 
-    def test_there_and_back_during_a_trial_and_twice_in_a_row(self) -> None:
-        story, switch = self.story(**STAYED)
+    def test_changes_there_and_back_during_a_trial_keep_the_evidence(self) -> None:
+        story, live = self.story(**SHARE_IN_PLACE)
         story.trial(many=4)
         before, share = dict(story.relay.facts), story.relay.trial.share
         for _ in range(2):
             story.relay.trial.groups["canary"][0] += 5
-            self.assertIn("domain.layout", switch.change(dict(before, **MOVED)))
+            self.assertIn("domain.layout", live.change(dict(before, **TIMER_BESIDE)))
             self.assertEqual((story.relay.beside, story.relay.trial.share), (True, 1.0))
-            switch.change(dict(before, **dict(MOVED, back_votes=8)))
+            live.change(dict(before, **dict(TIMER_BESIDE, back_votes=8)))
             self.assertEqual(story.relay.judge.voters, 11)
-            switch.change(before)
-            switch.settle()
+            live.change(before)
+            live.end_transition()
             self.assertEqual(
                 (story.relay.facts, story.relay.trial.share, story.relay.judge.voters), (before, share, policy.JUDGES)
             )
         self.assertEqual(story.relay.trial.groups["canary"][0], 10)  # no evidence is lost
-        self.assertEqual(switch.change(before), [])
+        self.assertEqual(live.change(before), [])
 
-    def test_what_was_taken_before_is_finished_within_the_stricter(self) -> None:
+    def test_earlier_invocations_are_finished_within_the_stricter_settings(self) -> None:
         for old, new in ((3, 1), (1, 3)):
-            story, switch = self.story(most_shots=old, may_tell=False)
+            story, live = self.story(most_shots=old, may_tell=False)
             taken = story.take()
-            switch.change(self.now(story, most_shots=new))
+            live.change(self.now(story, most_shots=new))
             story.comes(taken, "unreachable")
             self.assertEqual((len(story.sent(taken)), len(story.host.of("reject"))), (1, 1))
-            switch.settle()
+            live.end_transition()
             later = story.take()
             for place in range(new):
                 story.comes(later, "unreachable", place=place)
             self.assertEqual(len(story.sent(later)), new)
 
-    def test_what_needs_a_restart_is_refused_by_name_and_nothing_changes(self) -> None:
-        story, switch = self.story()
+    def test_a_change_that_needs_a_restart_is_refused_by_name_and_changes_nothing(self) -> None:
+        story, live = self.story()
         before = dict(story.relay.facts)
         for more, name in (
             (dict(relays=10), "fleetSize"),
@@ -113,46 +113,46 @@
             (dict(workloads=[HARMLESS]), "requestClasses"),
             (dict(workloads=[HARMLESS, dict(ONE_SHOT, effect="harmless")]), "requestClasses"),
         ):
-            with self.assertRaisesRegex(Fixed, f"{name}: needs a restart"):
-                switch.change(self.now(story, drain_grace=1, **more))
+            with self.assertRaisesRegex(RestartNeeded, f"{name}: needs a restart"):
+                live.change(self.now(story, drain_grace=1, **more))
         self.assertEqual(story.relay.facts, before)
 
 
 class OnSockets(test_relay.Story):
-    """The same relay as in tests/test_relay.py, in memory, with its stand-ins."""
+    """The relay of tests/test_relay.py, in memory, with the same fakes."""
 
-    def moved(self, **more: object) -> dict:
+    def timer_beside(self, **more: object) -> dict:
         return settings(
             domain__control="timer", domain__stageTime=4000, domain__toAdvance=0, domain__layout="beside", **more
         )
 
-    def test_a_query_taken_before_the_switch_is_answered_once_after_it(self) -> None:
+    def test_a_query_taken_before_a_change_is_answered_once_after_it(self) -> None:
         client = self.client(asking(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
-        self.relay.assign(told(config(settings=self.moved())))  # two in a row
+        self.relay.assign(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
+        self.relay.assign(told(config(settings=self.timer_beside())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
         wire.gets(ROW + IDLE)
         self.assertEqual((client.sent(), wire.sent()), (ROW + IDLE, b""))
-        self.relay.assign(told(config()))  # the way back is the same step
+        self.relay.assign(told(config()))  # changing back works the same way
         self.wait(1)
-        self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.fresh), (False, None))
+        self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.replacement), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
-    def test_a_query_that_fails_after_the_switch_is_not_sent_beyond_either_limit(self) -> None:
+    def test_a_query_that_fails_after_a_change_is_not_retried_beyond_either_limit(self) -> None:
         client = self.client(asking(wait=3000))
-        self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
+        self.relay.assign(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
         wire.gets(failure("XX000") + IDLE)
         self.assertEqual((wire.sent(), client.sent().count(b"C53300")), (b"", 1))
 
-    def test_a_file_that_cannot_be_used_moves_nothing_not_even_discovery(self) -> None:
+    def test_a_refused_configuration_changes_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
-            self.assertRaises(Fixed, self.relay.assign, told(tree))
+            self.assertRaises(RestartNeeded, self.relay.assign, told(tree))
         self.assertEqual(self.reactor.dialled(8600), [])
 
 
 for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
-    setattr(OnSockets, name, None)  # its own stories are told there
+    setattr(OnSockets, name, None)  # its own tests run in that module
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.error import ConnectionDone
 
-from tealsail.choices.connection_lifetimes import REST
+from tealsail.choices.connection_lifetimes import ANSWER_REST_S
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
@@ -21,7 +21,7 @@
         self.stands = True
 
     def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.Came]:
-        self.reactor.advance(REST)  # what has answered a moment ago is not taken again
+        self.reactor.advance(ANSWER_REST_S)  # what has answered a moment ago is not taken again
         shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
         self.shot, came = shot, []
         shot.done.addCallback(came.append)
