--- a/tealsail/choices/spill.py
+++ b/tealsail/choices/spill.py
@@ -1,11 +1,11 @@
-"""Which part of its invocations a relay keeps in each tier, and which part no tier may take.
-
-From what the zones can do now against what is usual there.  Two views are kept apart.  What is agreed (the list, ways
-back that it began, and what relays of a zone tell of their own) is the same for all relays, or nearly: by it the room
-that each zone has for others' work is shared among the zones that are short.  What a relay alone sees (answers that
-fail to come) decides what it wants to send elsewhere; of the room that nobody is agreed to need it may have its zone's
-part.  So the sum stays under the stated limit whatever each relay sees, and nothing depends on what others have just
-decided: relays that act at one moment do not swing.
+"""How a relay divides its invocations among tiers of zones, and which part no tier may take.
+
+The division follows from what the zones can do now, compared with what is usual there.  Two views are kept apart.  The
+agreed view (the list, ramps that it began, and what relays of a zone report on their own zone) is the same for all
+relays, or nearly so: by it each zone's room for work of others is shared among the zones that are short.  What a relay
+alone sees (answers that fail to come) decides what it wants to send elsewhere; of the room that no zone is agreed to
+need it may use its own zone's part.  So the sum stays within the stated limit whatever each relay sees, and nothing
+depends on what others have just decided: relays that decide at one moment do not oscillate.
 """
 
 from typing import NamedTuple
@@ -13,98 +13,117 @@
 from .tiers import Tier, Zoning
 
 
-class View(NamedTuple):
-    """A zone: weights that are usual there, that this relay can use now (silent, cold and returning units in part), and
-    that all relays agree on."""
+class ZoneView(NamedTuple):
+    """Weights of one zone: usual there; usable by this relay now (silent, cold and returning units in part); and usable
+    as all relays agree."""
 
     usual: float
-    able: float
+    usable: float
     agreed: float
 
 
 class Split(NamedTuple):
-    """`keep` by tier, nearest first: what is missing to one in all is to be rejected.  `room` by zone of the further
-    tiers: the stated limit of what may go there, before evidence.  Both are parts of what a relay takes."""
+    """Both are parts of what a relay takes.  `shares` by tier, nearest first: what they lack to one is to be rejected.
+    `limits` by zone of the further tiers: the stated limit of what may go there, before evidence."""
 
-    keep: list[float]
-    room: dict[int, float]
+    shares: list[float]
+    limits: dict[int, float]
 
 
 def split(
-    order: list[Tier], zones: dict[int, View], give: dict[int, float], zoning: Zoning, company: float = 1.0
+    order: list[Tier], zones: dict[int, ZoneView], factors: dict[int, float], zoning: Zoning, same_trouble: float = 1.0
 ) -> Split:
-    """`give`: 0 to 1 by zone, how far evidence lets work spill there.  `company`: the part of the relays of one's own
-    zone that are in the same trouble; the fewer, the more each may have of what is their zone's together.  The first
-    tier is the nearest that ever had units.  Where all zones fell alike nothing spills: there is nowhere better.  The
-    usual use of a zone is taken to go with its usual weight."""
-    part, health = parts({zone: view.able / view.usual if view.usual > 0 else 0.0 for zone, view in zones.items()})
+    """The division of one relay's invocations; `order` is its tiers, nearest first.
+
+    `factors`: by zone, 0 to 1, how far evidence lets work spill there.  `same_trouble`: the part of the relays of this
+    relay's zone that are in the same trouble; the fewer, the more each may use of what their zone may send elsewhere.
+    The first tier is the nearest that ever had units.  Where all zones lost capacity alike nothing spills, as no zone
+    is better off.  The usual work of a zone is assumed to be proportional to its usual weight.
+    """
+    part, health = parts({zone: view.usable / view.usual if view.usual > 0 else 0.0 for zone, view in zones.items()})
     if not any(part.values()):
         return Split([0.0] * len(order), {})
-    known, whole = parts({zone: view.agreed / view.usual if view.usual > 0 else 0.0 for zone, view in zones.items()})
-    short = {zone: view.usual * (1 - kept(part[zone], health[zone], zoning)) for zone, view in zones.items()}
-    agreed = {zone: view.usual * (1 - kept(known[zone], whole[zone], zoning)) for zone, view in zones.items()}
-    total, usual_of_all = sum(agreed.values()), sum(view.usual for view in zones.values())
-    left, spilled, first = 1.0, 0.0, 0.0
+    agreed_part, agreed_health = parts(
+        {zone: view.agreed / view.usual if view.usual > 0 else 0.0 for zone, view in zones.items()}
+    )
+    short = {zone: view.usual * (1 - kept_part(part[zone], health[zone], zoning)) for zone, view in zones.items()}
+    agreed_short = {
+        zone: view.usual * (1 - kept_part(agreed_part[zone], agreed_health[zone], zoning))
+        for zone, view in zones.items()
+    }
+    total, usual_of_all = sum(agreed_short.values()), sum(view.usual for view in zones.values())
+    remaining, spilled, nearest_usual = 1.0, 0.0, 0.0
     nearest: tuple[int, ...] = ()
-    keep: list[float] = []
-    room: dict[int, float] = {}
+    shares: list[float] = []
+    limits: dict[int, float] = {}
     for tier in order:
         usual = sum(zones[zone].usual for zone in tier.zones)
-        if not first:  # none nearer ever had units
-            takes = 1 - sum(short[zone] for zone in tier.zones) / usual if usual else 0.0
-            nearest, first = tier.zones, usual
+        if not nearest_usual:  # no nearer tier ever had units
+            taken = 1 - sum(short[zone] for zone in tier.zones) / usual if usual else 0.0
+            nearest, nearest_usual = tier.zones, usual
         else:
             for zone in tier.zones:
-                extra = zones[zone].usual * max(
-                    0.0, zoning.spill_over - zoning.spare * (1 - min(health[zone], whole[zone]))
+                room = zones[zone].usual * max(
+                    0.0, zoning.spill_over - zoning.spare * (1 - min(health[zone], agreed_health[zone]))
                 )
                 claims = {
-                    other: min(agreed[other], extra * agreed[other] / total) if total else 0.0 for other in agreed
+                    other: min(agreed_short[other], room * agreed_short[other] / total) if total else 0.0
+                    for other in agreed_short
                 }
                 claimed = sum(claims.values()) - claims[zone]
                 allowed, others = sum(claims[one] for one in nearest), usual_of_all - zones[zone].usual
-                if others > 0:  # and of what nobody is agreed to need, one's own zone's part
-                    allowed += max(0.0, extra - claimed) * first / others
-                room[zone] = min(zoning.spill_share, allowed / first / company)
-            takes = max(
-                0.0, min(left, sum(room[zone] * give[zone] for zone in tier.zones), zoning.spill_share - spilled)
+                if others > 0:  # and its own zone's part of the room that no zone is agreed to need
+                    allowed += max(0.0, room - claimed) * nearest_usual / others
+                limits[zone] = min(zoning.spill_share, allowed / nearest_usual / same_trouble)
+            taken = max(
+                0.0,
+                min(remaining, sum(limits[zone] * factors[zone] for zone in tier.zones), zoning.spill_share - spilled),
             )
-            spilled += takes
-        keep.append(takes)
-        left -= takes
-    return Split(keep, room)
+            spilled += taken
+        shares.append(taken)
+        remaining -= taken
+    return Split(shares, limits)
 
 
 def parts(part: dict[int, float]) -> tuple[dict[int, float], dict[int, float]]:
-    """What is there of the usual, by zone, and the same against the best zone."""
+    """Zones' parts of their usual capacity, unchanged, and the same divided by the best zone's."""
     best = max(part.values(), default=0.0)
     return part, {zone: each / best if best > 0 else 0.0 for zone, each in part.items()}
 
 
-def kept(part: float, health: float, zoning: Zoning) -> float:
-    """What a zone does of its usual work itself: with something to spare, but not once most of it is out."""
+def kept_part(part: float, health: float, zoning: Zoning) -> float:
+    """The part of its usual work that a zone does itself: it has capacity to spare, but not below the panic part."""
     return min(1.0, health * (zoning.spare if part >= zoning.panic else 1.0))
 
 
-class Give:
-    """How far evidence lets work spill to a zone: falls by a third when what spilled there comes late, and rises by a
-    twentieth each beat while it comes in time.  Guards against feeding a fire: a zone that slows while it absorbs."""
+class SpillFactor:
+    """How far evidence lets work spill to one zone (`level`, 0 to 1): it falls by a third when spilled work comes back
+    late, and rises by a twentieth each beat while it comes in time.
 
-    FALL, RISE, LEAST, FEW = 2 / 3, 0.05, 0.05, 3
+    Guards against overloading a zone that slows down while it takes the work of another.
+    """
+
+    FALL = 2 / 3  # factor on late answers
+    RISE = 0.05  # each beat without late answers
+    LEAST = 0.05  # lowest level
+    MIN_ANSWERS = 3  # needed for a fall
 
     def __init__(self) -> None:
         self.level, self.good, self.bad = 1.0, 0, 0
 
-    def saw(self, late: bool) -> None:
+    def record_answer(self, late: bool) -> None:
         self.good, self.bad = self.good + (not late), self.bad + late
 
-    def beat(self, late_part: float) -> None:
-        """Twice a second, on what was seen since the last time that there was enough.  One late answer more than the
-        part allows passes: else a relay with few answers takes chance for a fire (one late of three)."""
+    def update(self, late_part: float) -> None:
+        """Called twice a second; judges the answers since there were last enough of them.
+
+        One late answer more than `late_part` allows is accepted: else a relay with few answers takes chance for an
+        overload (one late of three).
+        """
         seen = self.good + self.bad
-        if seen >= self.FEW and self.bad > late_part * seen + 1:
+        if seen >= self.MIN_ANSWERS and self.bad > late_part * seen + 1:
             self.level = max(self.LEAST, self.level * self.FALL)
         elif not self.bad:
             self.level = min(1.0, self.level + self.RISE)
-        if seen >= self.FEW:
+        if seen >= self.MIN_ANSWERS:
             self.good = self.bad = 0
--- a/tealsail/choices/zone_recovery.py
+++ b/tealsail/choices/zone_recovery.py
@@ -1,68 +1,75 @@
-"""The way back of a zone that was lost: by time and by evidence, longer each time that it flaps."""
+"""How a lost zone is brought back: in steps by time and by evidence, after a longer wait each time that it flaps."""
 
 from .tiers import Zoning
 
-UP, OUT, WAITING, RAMP = "up", "out", "waiting", "ramp"
+UP = "up"
+OUT = "out"
+WAITING = "waiting"
+RAMP = "ramp"
 
 
-class Returning:
-    """One zone, as one relay sees it.  `level` (0 to 1) is the part of what it can do that it gets.
+class ZoneRecovery:
+    """The state of one zone, as one relay sees it: UP, OUT (lost), WAITING (available, before the ramp) or RAMP.
 
-    Feed it `lost` and `there` as they are seen, each answer with `saw`, and `beat` twice a second with the time.
-    `luck` (0 to 1) spreads what relays do at one moment.
+    `level` (0 to 1) is the part of the zone's capacity that is used.  `mark_lost` and `mark_available` are called as
+    that is seen, `record_answer` for each answer, `update` twice a second.  All times are tenths of a ms.
     """
 
-    def __init__(self, zoning: Zoning, luck: float) -> None:
-        self.zoning, self.luck = zoning, luck
+    def __init__(self, zoning: Zoning, jitter: float) -> None:
+        """`jitter` (0 to 1) spreads the waits of relays that lost the zone at one moment."""
+        self.zoning, self.jitter = zoning, jitter
         self.state, self.level = UP, 1.0
-        self.flaps, self.since = 0, -1 << 60  # how often it was lost of late; when the state began
+        self.flaps, self.since = 0, -1 << 60  # losses in a row without a calm time between; when the state began
         self.good = self.bad = 0  # answers in time and late, since the last step
-        self.stepped = 0
+        self.stepped_at = 0
 
-    def lost(self, now: int) -> None:
-        """Out of reach, or most of it gone.  A loss soon after the last return is a flap."""
+    def mark_lost(self, now: int) -> None:
+        """The zone is unreachable, or most of it is gone.  A loss soon after the last return is a flap."""
         if self.state in (OUT,):
             return
         soon = self.state != UP or now - self.since < self.zoning.calm
         self.flaps = self.flaps + 1 if soon else 0
-        self.turn(OUT, 0.0, now)
+        self.enter(OUT, 0.0, now)
 
-    def there(self, now: int) -> None:
-        """It may be used again as far as is known: the wait begins."""
+    def mark_available(self, now: int) -> None:
+        """The zone may be used again as far as is known: the wait begins."""
         if self.state == OUT:
-            self.turn(WAITING, 0.0, now)
+            self.enter(WAITING, 0.0, now)
 
-    def saw(self, in_time: bool) -> None:
+    def record_answer(self, in_time: bool) -> None:
         self.good, self.bad = self.good + in_time, self.bad + (not in_time)
 
-    def told(self, good: int, bad: int) -> None:
-        """What others saw."""
+    def record_reported(self, good: int, bad: int) -> None:
+        """Answers that other relays reported."""
         self.good, self.bad = self.good + good, self.bad + bad
 
-    def wait(self) -> int:
-        """Before the way back begins: twice as long for each flap, with a bound, spread by luck."""
+    def wait_time(self) -> int:
+        """The wait before the ramp begins: twice as long for each flap, with a bound, times 0.75 to 1.25 by jitter."""
         zoning = self.zoning
-        return int(min(zoning.longest_wait, zoning.wait << min(self.flaps, 20)) * (0.75 + 0.5 * self.luck))
+        return int(min(zoning.longest_wait, zoning.wait << min(self.flaps, 20)) * (0.75 + 0.5 * self.jitter))
 
-    def beat(self, now: int, usual: float = 1 << 30) -> None:
-        """`usual`: shots that the zone is sent in a step when it is whole.  A step needs so many answers in time, or
-        half of what can be had, one at the least: among hundreds of relays each has little, and all of it together is
-        much."""
-        if self.state == WAITING and now >= self.since + self.wait():
-            self.turn(RAMP, self.zoning.first, now)
+    def update(self, now: int, usual: float = 1 << 30) -> None:
+        """Moves on by time and by the answers since the last step.
+
+        `usual`: shots that a healthy zone is sent in a step.  A step needs the configured number of answers in time, or
+        half of those that can be had, one at the least: among hundreds of relays each has few, and all of them together
+        have many.
+        """
+        if self.state == WAITING and now >= self.since + self.wait_time():
+            self.enter(RAMP, self.zoning.first, now)
         elif self.state == RAMP:
             seen = self.good + self.bad
             needed = max(1.0, min(self.zoning.least, self.level * usual / 2))
             if seen >= needed and self.bad > self.zoning.late_part * seen:
-                self.level = max(self.zoning.first, self.level / 2)  # it falters: back, and again from there
+                self.level = max(self.zoning.first, self.level / 2)  # too many late answers: one step back
                 self.good = self.bad = 0
-                self.stepped = now
-            elif now >= self.stepped + self.zoning.step and self.good >= needed:
-                self.level, self.stepped, self.good, self.bad = min(1.0, 2 * self.level), now, 0, 0
+                self.stepped_at = now
+            elif now >= self.stepped_at + self.zoning.step and self.good >= needed:
+                self.level, self.stepped_at, self.good, self.bad = min(1.0, 2 * self.level), now, 0, 0
                 if self.level >= 1:
-                    self.turn(UP, 1.0, now)
+                    self.enter(UP, 1.0, now)
             elif now >= self.since + self.zoning.calm and not self.bad:
-                self.turn(UP, 1.0, now)  # nothing was sent there that could tell, for so long
+                self.enter(UP, 1.0, now)  # too little was sent there for so long to give evidence
 
-    def turn(self, state: str, level: float, now: int) -> None:
-        self.state, self.level, self.since, self.stepped, self.good, self.bad = state, level, now, now, 0, 0
+    def enter(self, state: str, level: float, now: int) -> None:
+        self.state, self.level, self.since, self.stepped_at, self.good, self.bad = state, level, now, now, 0, 0
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -1,80 +1,83 @@
-"""The stage between the choice of build and the choice of unit: which zone, by tiers, spill and ways back.
+"""The stage between the choice of build and the choice of unit: which zone, by tiers, spill and recovery.
 
-It keeps the rows of both builds by zone and hands the row of one zone on.  The limits on spill are kept here, at each
-send: a share of what this relay takes, and a rate over the next tier's own use.  What other relays tell of zones
-(zone_reports.py) counts where this relay has seen nothing itself: never against its own answers.
+It keeps the rows of both builds by zone and passes on the row of one zone.  The limits on spill are enforced here, at
+each send: a share of what this relay takes, and a rate relative to the other zone's own use.  What other relays report
+of zones (zone_reports.py) counts only where this relay has seen nothing itself, never against its own answers.
 """
 
 from ..parts import Chance, Invocation, Ring, Shot, Stage, Unit, mix
-from .spill import Give, View, split
+from .spill import SpillFactor, ZoneView, split
 from .tiers import Zoning, tiers
-from .zone_recovery import OUT, RAMP, UP, Returning
-from .zone_reports import LISTENERS, Hearsay, Seen, Word, decode, encode
+from .zone_recovery import OUT, RAMP, UP, ZoneRecovery
+from .zone_reports import RECEIVERS, ReceivedReports, ZoneCounts, ZoneReport, decode, encode
 
-ANSWERED = ("served", "error", "full")
-IN_TIME = ("served", "full", "moot")  # if they come before they are late
-MISSED = ("unreachable", "reset", "timeout")
-GONE = 0.5  # under so much of what is usual, against the best zone: lost
-UNANSWERED, DOUBTFUL = 5, 2  # misses in a row, with no answer between: out of reach; in trouble
-FEW = 5  # answers and misses that a share of them needs
-PROBE, SELDOM = 5_000, 3  # tenths of a ms between looks at a zone that is out; doubled so often
-LATE = 0.8  # of the promise
-FAR = 0.05  # of what is taken may go far for the trial's sake, with nothing short
-BUCKETS = 20
+ANSWERED = ("served", "error", "full")  # outcomes that show that the zone is reachable
+IN_TIME = ("served", "full", "moot")  # outcomes that are not late, if they come soon enough
+MISSED = ("unreachable", "reset", "timeout")  # outcomes without an answer
+LOST_BELOW = 0.5  # a zone with less than this part of its usual weight, relative to the best zone, is lost
+UNREACHABLE_MISSES = 5  # misses in a row that make a zone unreachable
+DOUBTFUL_MISSES = 2  # misses in a row that make a relay report its own zone in trouble
+MIN_OUTCOMES = 5  # answers and misses from which a part is taken
+PROBE_INTERVAL = 5_000  # tenths of a ms between probes of an unreachable zone, at first
+MAX_PROBE_DOUBLINGS = 3  # of that interval
+LATE_PART = 0.8  # a later answer than this part of the promise is late
+FAR_SHARE = 0.05  # of what is taken: may go to a further tier for the trial's sake while nothing is short
+BUCKETS = 20  # of each ring
 
 
 class Zone:
     """One zone as this relay sees it."""
 
-    def __init__(self, place: int, tier: int, zoning: Zoning, luck: float) -> None:
+    def __init__(self, place: int, tier: int, zoning: Zoning, jitter: float) -> None:
         self.place, self.tier = place, tier
         self.rows: tuple[list[Unit], list[Unit]] = ([], [])  # of earlier builds, and on trial
-        self.listed = self.usual = 0.0  # weights: now, and the most of late
-        self.able = 0.0
-        self.back = Returning(zoning, luck)
+        self.listed = self.usual = 0.0  # weight in the list now, and the highest of late
+        self.usable = 0.0  # weight that this relay can use now
+        self.recovery = ZoneRecovery(zoning, jitter)
         self.answered, self.missed = Ring(zoning.span, BUCKETS), Ring(zoning.span, BUCKETS)
         self.late = Ring(zoning.span, BUCKETS)  # of those answered
-        self.probe_at = self.looks = self.row_of_misses = 0
-        self.unreached = False  # out by its silence, not by the list
-        self.doubted = False  # out by the words of others, with no answer of its own against them
-        self.alone = False  # its present loss began with a silence, not with the list
+        self.probe_at = self.probes = self.misses_in_row = 0
+        self.is_unreachable = False  # by its silence, not by the list
+        self.is_reported_unreachable = False  # by reports of others, with no answer to this relay against them
+        self.has_unlisted_loss = False  # its present loss began with its silence, not with the list
 
 
 class Zones(Stage):
-    """Owns the zones; told of the list by `arrange`, of time by `beat`."""
+    """Divides invocations among the zones; `arrange` is called when the list has changed, `beat` twice a second."""
 
-    def __init__(self, relay, zoning: Zoning, own: int, many: int) -> None:
+    def __init__(self, relay, zoning: Zoning, own_zone: int, many: int) -> None:
+        """`many`: how many zones there are."""
         super().__init__(relay)
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
-        self.order = tiers(own, many, zoning)
+        self.order = tiers(own_zone, many, zoning)
         self.zones = {
             zone: Zone(zone, place, zoning, self.chance.share())
             for place, tier in enumerate(self.order)
             for zone in tier.zones
         }
-        self.gives = {zone: Give() for zone in self.zones}
-        self.keep = [1.0] + [0.0] * (len(self.order) - 1)  # by tier, what each may have, and the stated
-        self.room: dict[int, float] = {}  # limit of that by zone
+        self.spill_factors = {zone: SpillFactor() for zone in self.zones}
+        self.shares = [1.0] + [0.0] * (len(self.order) - 1)  # of what is taken, by tier
+        self.spill_limits: dict[int, float] = {}  # stated limits on that, by zone
         self.nearest = 0  # the first tier that has units
-        self.having: list[list[list[Zone]]] = [[[] for _ in self.order] for _ in (0, 1)]  # by side and tier
-        self.here: list[list[int]] = [[], []]  # tiers that have units, by side
-        self.out = 0  # zones that are out of reach, for all that is known
-        self.home: Zone | None = None  # takes all, while nothing is out, short or on trial
+        self.with_units: list[list[list[Zone]]] = [[[] for _ in self.order] for _ in (0, 1)]  # zones, by side and tier
+        self.tiers_with_units: list[list[int]] = [[], []]  # by side: earlier builds, on trial
+        self.unreachable_count = 0  # zones that are unreachable, as far as is known
+        self.only_zone: Zone | None = None  # takes all while no zone is unreachable, short or on trial
         self.taken = Ring(zoning.span, BUCKETS)
         self.spilled = {zone: Ring(zoning.span, BUCKETS) for zone in self.zones}
         self.counts = {"kept": 0, "spilled": 0, "refused": 0, "probes": 0, "matched": 0, "doubted": 0, "told": 0}
         relay.tier = self.tier
-        self.hearsay, self.own = Hearsay(2 * zoning.span), own
-        self.hear_on, relay.on_told = relay.on_told, self.hear
+        self.reports, self.own_zone = ReceivedReports(2 * zoning.span), own_zone
+        self.receive_other, relay.on_told = relay.on_told, self.receive
 
     def tier(self, unit: Unit) -> int:
-        """How far a unit is, 0 for the nearest tier there is."""
+        """How far a unit is, 0 for the nearest tier that has units."""
         zone = self.zones.get(unit.zone)
         return max(0, zone.tier - self.nearest) if zone else len(self.order)
 
-    # what is known
+    # State of the zones
     def arrange(self) -> None:
-        """The list has changed."""
+        """Takes over the changed list."""
         for zone in self.zones.values():
             zone.rows, zone.listed = ([], []), 0.0
         for side, row in enumerate(self.relay.rows):
@@ -85,261 +88,289 @@
                     zone.listed += unit.weight
         for zone in self.zones.values():
             zone.usual = max(zone.usual, zone.listed)
-        self.having = [
+        self.with_units = [
             [
                 [zone for zone in self.zones.values() if zone.tier == tier and zone.rows[side]]
                 for tier in range(len(self.order))
             ]
             for side in (0, 1)
         ]
-        self.here = [[tier for tier, zones in enumerate(having) if zones] for having in self.having]
-        self.weigh()
+        self.tiers_with_units = [
+            [tier for tier, zones in enumerate(with_units) if zones] for with_units in self.with_units
+        ]
+        self.update_shares()
 
     def beat(self) -> None:
         now, fade = self.relay.now, 0.5 ** (5_000 / self.zoning.memory)
         usual = self.taken.total(now) * self.zoning.step / self.zoning.span
         for zone in self.zones.values():
             zone.usual = max(zone.listed, zone.usual * fade)
-            zone.back.beat(now, usual)
-        for give in self.gives.values():
-            give.beat(self.zoning.late_part)
-        self.hearsay.forget(now)
-        for seen in self.hearsay.evidence():  # a relay with little to do learns from those with more
-            zone = self.zones.get(seen.zone)
-            if zone and zone.back.state == RAMP:
-                zone.back.told(seen.good, seen.late)
-            if zone and seen.good and zone.looks:  # others reach it: look again soon
-                zone.looks, zone.probe_at = 0, min(zone.probe_at, now + PROBE)
-        self.weigh()
-        self.tell()
+            zone.recovery.update(now, usual)
+        for factor in self.spill_factors.values():
+            factor.update(self.zoning.late_part)
+        self.reports.forget_old(now)
+        for counts in self.reports.take_evidence():  # a relay with little traffic learns from those with more
+            zone = self.zones.get(counts.zone)
+            if zone and zone.recovery.state == RAMP:
+                zone.recovery.record_reported(counts.good, counts.late)
+            if zone and counts.good and zone.probes:  # others reach it: probe again soon
+                zone.probes, zone.probe_at = 0, min(zone.probe_at, now + PROBE_INTERVAL)
+        self.update_shares()
+        self.send_reports()
 
-    def hear(self, sender: int, data: bytes) -> None:
-        """A note; what is no word on zones is the judges'."""
-        word = decode(data)
-        if word is None:
-            return self.hear_on(sender, data)
-        self.hearsay.add(sender, word, self.relay.now)
-        if self.alone():  # whether others of its zone are in the same trouble decides its room
-            self.weigh()
+    def receive(self, sender: int, data: bytes) -> None:
+        """A message from another relay; what is no zone report is passed on to the judges."""
+        report = decode(data)
+        if report is None:
+            return self.receive_other(sender, data)
+        self.reports.add(sender, report, self.relay.now)
+        if self.own_zone_in_trouble():  # its limits depend on whether others of its zone are in the same trouble
+            self.update_shares()
 
-    def alone(self) -> bool:
-        """In trouble with its own zone, by what it sees itself and not by the list."""
-        zone = self.zones[self.own]
-        return zone.alone or zone.row_of_misses >= DOUBTFUL
+    def own_zone_in_trouble(self) -> bool:
+        """Whether this relay's zone is in trouble by what the relay sees itself and not by the list."""
+        zone = self.zones[self.own_zone]
+        return zone.has_unlisted_loss or zone.misses_in_row >= DOUBTFUL_MISSES
 
-    def tell(self) -> None:
-        """What was seen of late, while there is trouble, to a few relays drawn anew each time."""
+    def send_reports(self) -> None:
+        """Reports what was seen of late, while there is trouble, to a few relays drawn anew each time."""
         relay, now, facts = self.relay, self.relay.now, self.relay.facts
-        trouble = self.alone() or any(zone.unreached or zone.back.state != UP for zone in self.zones.values())
-        if not facts["may_tell"] or not (trouble or self.hearsay.alert(now)):
+        in_trouble = self.own_zone_in_trouble() or any(
+            zone.is_unreachable or zone.recovery.state != UP for zone in self.zones.values()
+        )
+        if not facts["may_tell"] or not (in_trouble or self.reports.is_alert(now)):
             return
         rows = []
         for zone in self.zones.values():
             answered, late, missed = (int(ring.total(now)) for ring in (zone.answered, zone.late, zone.missed))
-            if zone.unreached:  # looks are seldom, answers were before: what made it so stands
-                answered, late, missed = 0, 0, max(missed, UNANSWERED)
+            if zone.is_unreachable:  # answers are older, and probes are rare: the misses that made it so count on
+                answered, late, missed = 0, 0, max(missed, UNREACHABLE_MISSES)
             if answered + missed:
-                rows.append(Seen(zone.place, max(0, answered - late), late, missed))
-        if not rows and not trouble:
+                rows.append(ZoneCounts(zone.place, max(0, answered - late), late, missed))
+        if not rows and not in_trouble:
             return
-        data, others = encode(Word(self.own, trouble, self.alone(), tuple(rows))), facts["relays"] - 1
-        for _ in range(min(LISTENERS, others)):
+        data, others = (
+            encode(ZoneReport(self.own_zone, in_trouble, self.own_zone_in_trouble(), tuple(rows))),
+            facts["relays"] - 1,
+        )
+        for _ in range(min(RECEIVERS, others)):
             to = int(self.chance.share() * others)
             self.counts["told"] += 1
             relay.host.tell(to + (to >= relay.index), data)
 
-    def weigh(self) -> None:
-        """What each zone can do, who is lost and who is back, and the tiers' shares from that."""
+    def update_shares(self) -> None:
+        """Works out what each zone can do, which are lost or back, and from that the tiers' shares."""
         now, zones = self.relay.now, list(self.zones.values())
         part = {zone.place: zone.listed / zone.usual if zone.usual else 0.0 for zone in zones}
-        best, doubts = max(part.values()), self.hearsay.doubts()
-        alone = self.alone()
-        troubled = self.hearsay.troubled(self.own, alone)
+        best, unreachable = max(part.values()), self.reports.unreachable_zones()
+        own_zone_in_trouble = self.own_zone_in_trouble()
+        parts_in_trouble = self.reports.parts_in_trouble(self.own_zone, own_zone_in_trouble)
         views = {}
         for zone in zones:
             answered, missed = zone.answered.total(now), zone.missed.total(now)
-            gone = part[zone.place] < GONE * best
-            if gone:
-                zone.unreached = zone.alone = False
-                if zone.back.state != OUT:
-                    zone.back.lost(now)
-            elif not zone.unreached:
-                zone.back.there(now)
-            seen = answered / (answered + missed) if answered + missed >= FEW else 1.0
-            doubted = zone.place in doubts and not answered  # one's own answers go before all words
-            self.counts["doubted"] += doubted and not zone.doubted
-            zone.doubted = doubted
-            zone.able = zone.listed * seen * zone.back.level * (not doubted)
-            zone.alone = zone.alone and zone.back.state != UP
-            agreed = zone.listed * (1.0 if zone.alone else zone.back.level) * (1 - troubled.get(zone.place, 0.0))
-            views[zone.place] = View(zone.usual, zone.able, agreed)
-        self.out = sum(zone.unreached or zone.doubted for zone in zones)
+            lost = part[zone.place] < LOST_BELOW * best
+            if lost:
+                zone.is_unreachable = zone.has_unlisted_loss = False
+                if zone.recovery.state != OUT:
+                    zone.recovery.mark_lost(now)
+            elif not zone.is_unreachable:
+                zone.recovery.mark_available(now)
+            seen = answered / (answered + missed) if answered + missed >= MIN_OUTCOMES else 1.0
+            reported_unreachable = zone.place in unreachable and not answered  # its own answers outweigh all reports
+            self.counts["doubted"] += reported_unreachable and not zone.is_reported_unreachable
+            zone.is_reported_unreachable = reported_unreachable
+            zone.usable = zone.listed * seen * zone.recovery.level * (not reported_unreachable)
+            zone.has_unlisted_loss = zone.has_unlisted_loss and zone.recovery.state != UP
+            agreed = (
+                zone.listed
+                * (1.0 if zone.has_unlisted_loss else zone.recovery.level)
+                * (1 - parts_in_trouble.get(zone.place, 0.0))
+            )
+            views[zone.place] = ZoneView(zone.usual, zone.usable, agreed)
+        self.unreachable_count = sum(zone.is_unreachable or zone.is_reported_unreachable for zone in zones)
         self.nearest = min([zone.tier for zone in zones if zone.usual], default=0)
-        self.keep, self.room = split(
+        self.shares, self.spill_limits = split(
             self.order,
             views,
-            {zone: each.level for zone, each in self.gives.items()},
+            {zone: each.level for zone, each in self.spill_factors.items()},
             self.zoning,
-            troubled.get(self.own, 1.0) if alone else 1.0,
+            parts_in_trouble.get(self.own_zone, 1.0) if own_zone_in_trouble else 1.0,
+        )
+        near = self.with_units[0][self.nearest]
+        whole = (
+            len(near) == 1 and not self.unreachable_count and not self.relay.rows[1] and self.shares[self.nearest] >= 1
         )
-        home = self.having[0][self.nearest]
-        whole = len(home) == 1 and not self.out and not self.relay.rows[1] and self.keep[self.nearest] >= 1
-        self.home = home[0] if whole and home[0].able > 0 else None
+        self.only_zone = near[0] if whole and near[0].usable > 0 else None
 
-    # what is done
+    # Sending
     def forward(self, invocation: Invocation, row: list[Unit]) -> bool:
         if not row:
             return False
-        relay, home = self.relay, self.home
-        if invocation.tier is None:  # one draw for the invocation, whatever build it ends at
+        relay, only_zone = self.relay, self.only_zone
+        if invocation.tier is None:  # drawn once for an invocation, whichever build it goes to
             self.taken.add(relay.now)
-            if home is not None:  # the ordinary case, kept cheap: nothing to weigh or draw
+            if only_zone is not None:  # the ordinary case, kept cheap: nothing to weigh or draw
                 invocation.tier = self.nearest
-                if self.next.forward(invocation, home.rows[0]):
+                if self.next.forward(invocation, only_zone.rows[0]):
                     self.counts["kept"] += 1
                     return True
         side = relay.on_trial(row[0].build)
         if invocation.tier is None:
-            invocation.tier = self.drawn(invocation)
-            if self.out and self.looked(invocation, side):
+            invocation.tier = self.draw_tier(invocation)
+            if self.unreachable_count and self.probe(invocation, side):
                 return True
         tried: list[int] = []
-        for tier in self.ways(invocation, side):
-            for zone in self.of(tier, side, tried):
+        for tier in self.tiers_to_try(invocation, side):
+            for zone in self.usable_zones(tier, side, tried):
                 if tier > self.nearest and not self.may_spill(zone):
                     continue
                 tried.append(zone.place)
                 if self.next.forward(invocation, zone.rows[side]):
-                    self.sent(zone)
+                    self.count_sent(zone)
                     return True
-        self.counts["refused"] += 1  # one row; the other build's may still take it
+        self.counts["refused"] += 1  # for this row; the other build's may still take it
         return False
 
-    def looked(self, invocation: Invocation, side: int) -> bool:
-        """Now and then one that may run again goes to a zone that was out of reach, to see whether it still is."""
+    def probe(self, invocation: Invocation, side: int) -> bool:
+        """Sends an invocation that may run twice to an unreachable zone if a probe is due, to see whether it still is;
+        returns whether it was sent."""
         now = self.relay.now
         for zone in self.zones.values():
             if (
-                (zone.doubted or zone.unreached and zone.back.state == OUT)
+                (zone.is_reported_unreachable or zone.is_unreachable and zone.recovery.state == OUT)
                 and now >= zone.probe_at
                 and zone.rows[side]
                 and invocation.workload.effect == "harmless"
                 and (zone.tier <= self.nearest or self.may_spill(zone))
-            ):  # the stated limit holds for looks
-                zone.probe_at = now + int((PROBE << min(zone.looks, SELDOM)) * (0.75 + 0.5 * self.chance.share()))
-                zone.looks += 1
+            ):  # the stated limit holds for probes too
+                zone.probe_at = now + int(
+                    (PROBE_INTERVAL << min(zone.probes, MAX_PROBE_DOUBLINGS)) * (0.75 + 0.5 * self.chance.share())
+                )
+                zone.probes += 1
                 if self.next.forward(invocation, zone.rows[side]):
                     self.counts["probes"] += 1
-                    self.sent(zone)
+                    self.count_sent(zone)
                     return True
         return False
 
-    def drawn(self, invocation: Invocation) -> int:
-        """The tier that it falls to by the shares; beyond the last: none may take it."""
+    def draw_tier(self, invocation: Invocation) -> int:
+        """A tier drawn by the shares; the number after the last: none may take the invocation."""
         luck = self.chance.share()
-        for tier, part in enumerate(self.keep):
+        for tier, part in enumerate(self.shares):
             luck -= part
             if luck < 0:
                 return tier
         return len(self.order)
 
-    def ways(self, invocation: Invocation, side: int) -> list[int]:
-        """Tiers to try, in order: the drawn one, then what is nearer; for a build on trial whatever has units of it,
-        for a further shot all there is."""
-        here = self.here[side]
-        if invocation.shots:  # a zone that has just failed it comes last
+    def tiers_to_try(self, invocation: Invocation, side: int) -> list[int]:
+        """In order: the drawn tier, then nearer ones; for a build on trial all that have units of it, for a further
+        shot all."""
+        with_units = self.tiers_with_units[side]
+        if invocation.shots:  # a tier that has just failed it comes last
             failed = {self.zones[shot.unit.zone].tier for shot in invocation.shots if shot.unit.zone in self.zones}
-            return [tier for tier in here if tier not in failed] + [tier for tier in here if tier in failed]
+            return [tier for tier in with_units if tier not in failed] + [tier for tier in with_units if tier in failed]
         if side:
-            return here
+            return with_units
         if invocation.tier >= len(self.order):
             return []
-        if invocation.tier == self.nearest and len(here) == 1:
-            return here
-        if invocation.tier not in here:  # no earlier unit there: the next one that has some
-            return [tier for tier in here if tier > invocation.tier] + [tier for tier in here if tier < invocation.tier]
-        owed = self.relay.trial.owed  # far shots of the build on trial want a baseline as far away
+        if invocation.tier == self.nearest and len(with_units) == 1:
+            return with_units
+        if invocation.tier not in with_units:  # no unit of earlier builds there: the next tier that has some
+            return [tier for tier in with_units if tier > invocation.tier] + [
+                tier for tier in with_units if tier < invocation.tier
+            ]
+        owed = self.relay.trial.owed  # far shots of the build on trial need a baseline from as far away
         on_trial = bool(self.relay.rows[1])
-        far = [tier for tier in here if tier > self.nearest and owed[tier - self.nearest] >= 1] if on_trial else []
+        far = (
+            [tier for tier in with_units if tier > self.nearest and owed[tier - self.nearest] >= 1] if on_trial else []
+        )
         if far and invocation.tier == self.nearest:
             self.counts["matched"] += 1
             return [far[0], self.nearest]
-        return [invocation.tier] + [tier for tier in here if tier != invocation.tier]  # cold units refuse most
+        # All others after the drawn one, since cold units refuse most.
+        return [invocation.tier] + [tier for tier in with_units if tier != invocation.tier]
 
-    def of(self, tier: int, side: int, tried: list[int]) -> list[Zone]:
-        """The tier's zones that may be used, first one drawn by what may spill there, or by what they can do."""
-        fit = [zone for zone in self.having[side][tier] if zone.able > 0 and zone.place not in tried]
-        if len(fit) > 1:
-            parts = [self.room.get(zone.place, 0.0) * self.gives[zone.place].level for zone in fit]
+    def usable_zones(self, tier: int, side: int, tried: list[int]) -> list[Zone]:
+        """The tier's usable zones that were not tried; the first is drawn by what may spill there, or else by usable
+        weight."""
+        usable = [zone for zone in self.with_units[side][tier] if zone.usable > 0 and zone.place not in tried]
+        if len(usable) > 1:
+            parts = [self.spill_limits.get(zone.place, 0.0) * self.spill_factors[zone.place].level for zone in usable]
             if not any(parts):
-                parts = [zone.able for zone in fit]
-            luck, first = self.chance.share() * sum(parts), fit[-1]
-            for zone, part in zip(fit, parts):
+                parts = [zone.usable for zone in usable]
+            luck, first = self.chance.share() * sum(parts), usable[-1]
+            for zone, part in zip(usable, parts):
                 luck -= part
                 if luck < 0:
                     first = zone
                     break
-            fit = [first] + [zone for zone in fit if zone is not first]
-        return fit
+            usable = [first] + [zone for zone in usable if zone is not first]
+        return usable
 
     def may_spill(self, zone: Zone) -> bool:
-        """The stated limits, of this relay's own figures: a share of all, and a rate over the zone's own use.  One
-        above is let through, so that a relay with little to do can spill at all."""
+        """Whether the stated limits allow one more shot there, by this relay's own counts: a share of all that it
+        takes, and a rate relative to the zone's own use.  The shot that passes a limit is allowed, so that a relay with
+        little traffic can spill at all."""
         now = self.relay.now
-        taken, gone = self.taken.total(now), sum([ring.total(now) for ring in self.spilled.values()])
-        limit = max(self.room.get(zone.place, 0.0), FAR / len(self.order[zone.tier].zones))
-        return gone < self.zoning.spill_share * taken and self.spilled[zone.place].total(now) < limit * taken
+        taken, spilled = self.taken.total(now), sum([ring.total(now) for ring in self.spilled.values()])
+        limit = max(self.spill_limits.get(zone.place, 0.0), FAR_SHARE / len(self.order[zone.tier].zones))
+        return spilled < self.zoning.spill_share * taken and self.spilled[zone.place].total(now) < limit * taken
 
-    def sent(self, zone: Zone) -> None:
+    def count_sent(self, zone: Zone) -> None:
         far = zone.tier > self.nearest
         self.counts["spilled" if far else "kept"] += 1
         if far:
             self.spilled[zone.place].add(self.relay.now)
 
+    # Outcomes
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         zone = self.zones.get(shot.unit.zone)
-        if zone is self.home and outcome == "served" and zone:  # the ordinary case: all that may be asked later is
+        if zone is self.only_zone and outcome == "served" and zone:  # the ordinary case: later questions are only
             zone.answered.add(self.relay.now)  # whether it answered at all
-            zone.row_of_misses = 0
+            zone.misses_in_row = 0
         elif zone:
             now, invocation = self.relay.now, shot.invocation
-            late = outcome not in IN_TIME or latency > LATE * invocation.workload.promised * max(1.0, invocation.size)
+            late = outcome not in IN_TIME or latency > LATE_PART * invocation.workload.promised * max(
+                1.0, invocation.size
+            )
             if outcome in ANSWERED:
                 zone.answered.add(now)
-                zone.row_of_misses = zone.looks = 0
+                zone.misses_in_row = zone.probes = 0
                 if late:
                     zone.late.add(now)
-                if zone.doubted:
-                    zone.doubted = False
-                    self.weigh()
+                if zone.is_reported_unreachable:
+                    zone.is_reported_unreachable = False
+                    self.update_shares()
             elif outcome in MISSED:
                 zone.missed.add(now)
-                self.missed(zone)
-            if (zone.tier > self.nearest or zone.back.state != UP or zone.unreached) and outcome != "cancelled":
-                self.learn(zone, outcome, late)
-            if shot.unit.rest_until > now:  # it goes to the end of its row, as in the rows of all zones
+                self.record_miss(zone)
+            if (
+                zone.tier > self.nearest or zone.recovery.state != UP or zone.is_unreachable
+            ) and outcome != "cancelled":
+                self.record_evidence(zone, outcome, late)
+            if shot.unit.rest_until > now:  # it goes to the end of its row, as in the rows over all zones
                 for row in zone.rows:
                     row.sort(key=lambda other: other is shot.unit)
         self.before.backward(shot, outcome, latency)
 
-    def missed(self, zone: Zone) -> None:
-        """At once, not at the next beat: half a second of a lost zone's work is at stake."""
-        zone.row_of_misses += 1
-        if zone.row_of_misses >= UNANSWERED and zone.back.state != OUT:
-            zone.unreached = zone.alone = True
-            zone.back.lost(self.relay.now)
-            self.weigh()
-            self.tell()
-        elif zone.row_of_misses == DOUBTFUL and zone.place == self.own and zone.back.state == UP:
-            self.weigh()  # until it is out of reach for sure what failed there needs room elsewhere
-            self.tell()
+    def record_miss(self, zone: Zone) -> None:
+        """Acts at once, not at the next beat: half a second of a lost zone's work is at stake."""
+        zone.misses_in_row += 1
+        if zone.misses_in_row >= UNREACHABLE_MISSES and zone.recovery.state != OUT:
+            zone.is_unreachable = zone.has_unlisted_loss = True
+            zone.recovery.mark_lost(self.relay.now)
+            self.update_shares()
+            self.send_reports()
+        elif zone.misses_in_row == DOUBTFUL_MISSES and zone.place == self.own_zone and zone.recovery.state == UP:
+            self.update_shares()  # until the zone is unreachable for certain, what failed there needs room elsewhere
+            self.send_reports()
 
-    def learn(self, zone: Zone, outcome: str, late: bool) -> None:
+    def record_evidence(self, zone: Zone, outcome: str, late: bool) -> None:
         if zone.tier > self.nearest:
-            self.gives[zone.place].saw(late)
-        if zone.back.state == RAMP:
-            zone.back.saw(not late)
-        if zone.unreached and outcome in ANSWERED:
-            zone.unreached = False
-            zone.missed = Ring(self.zoning.span, BUCKETS)  # what was missed before says nothing now
-            zone.back.there(self.relay.now)
+            self.spill_factors[zone.place].record_answer(late)
+        if zone.recovery.state == RAMP:
+            zone.recovery.record_answer(not late)
+        if zone.is_unreachable and outcome in ANSWERED:
+            zone.is_unreachable = False
+            zone.missed = Ring(self.zoning.span, BUCKETS)  # earlier misses say nothing any more
+            zone.recovery.mark_available(self.relay.now)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,10 +1,10 @@
-"""Zones in the chain, on the model's days: lost, cut off, slow, flapping, and back; a story for each."""
+"""Zones in the model's days: lost, cut off, slow, flapping, and back; one test for each."""
 
 import unittest
 from typing import Any
 from unittest import mock
 
-from tealsail.choices.zones import Zones as Stage_of_zones
+from tealsail.choices.zones import Zones as ZonesStage
 from tealsail.lab.figures import Figures
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.virtual import Model
@@ -19,7 +19,7 @@
 
 
 class Days(unittest.TestCase):
-    """Three zones, two relays and six units each, at two fifths of what they can do."""
+    """Three zones with two relays and six units each, at two fifths of their capacity."""
 
     def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, Spill, Model]:
         tree = dict(
@@ -43,32 +43,33 @@
         self.zone_of = {line.unit: line.zone for line in lines if type(line) is Unit}
         return figures.result(), lines, spill, model
 
-    def into(self, lines: list, zone: str, first: float, last: float, own: bool) -> int:
-        """Shots at a zone in those seconds, from its own relays or from the others."""
+    def shots_into(self, lines: list, zone: str, first: float, last: float, own: bool) -> int:
+        """Shots at a zone between two seconds, from its own relays or from all others."""
         return sum(
             self.zone_of[line.unit] == zone and ("abc"[line.relay % 3] == zone) == own
             for line in lines
             if type(line) is Shot and first * SECOND <= line.at < last * SECOND
         )
 
-    def test_nothing_leaves_its_zone_while_all_is_in_order(self) -> None:
+    def test_nothing_leaves_its_zone_while_all_zones_are_healthy(self) -> None:
         result, lines, _, _ = self.play(seconds=10)
-        self.assertLess(sum(self.into(lines, zone, 0, 10, False) for zone in "abc"), 5)  # a late shot's second try
+        self.assertLess(sum(self.shots_into(lines, zone, 0, 10, False) for zone in "abc"), 5)  # retries of late shots
         self.assertGreater(result.figures["service"], 0.99)
 
-    def test_a_zone_lost_and_back(self) -> None:
+    def test_a_lost_zones_work_spills_to_both_others_and_returns_by_a_ramp(self) -> None:
         result, lines, spill, _ = self.play(seconds=45, script="at 10s lose zone b for 12s")
         self.assertEqual(spill.breaches, 0)
-        self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "abc"), 0.97)  # until they have
-        self.assertEqual(self.into(lines, "b", 14, 22, True), 0)  # agreed that b is lost, half of its work may go
-        others = [self.into(lines, zone, 14, 20, False) for zone in "ac"]
-        self.assertGreater(min(others), 0.35 * sum(others))  # both neighbours take their part
-        back = [self.into(lines, "b", second, second + 2, True) for second in range(22, 44, 2)]
-        self.assertLess(back[1], 0.3 * back[-1])  # a ramp, and whole at its end
+        # Until the relays agree that b is lost, only half of its work may go elsewhere.
+        self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "abc"), 0.97)
+        self.assertEqual(self.shots_into(lines, "b", 14, 22, True), 0)
+        others = [self.shots_into(lines, zone, 14, 20, False) for zone in "ac"]
+        self.assertGreater(min(others), 0.35 * sum(others))  # both other zones take a part
+        back = [self.shots_into(lines, "b", second, second + 2, True) for second in range(22, 44, 2)]
+        self.assertLess(back[1], 0.3 * back[-1])  # a ramp, up to all of its work
         self.assertGreater(back[-1], 230)
         self.assertGreater(min(result.series["service"][40:44]), 0.98)
 
-    def test_the_stated_limit_holds_and_what_is_beyond_it_is_rejected_at_once(self) -> None:
+    def test_the_stated_limit_holds_and_work_beyond_it_is_rejected_at_once(self) -> None:
         result, lines, spill, _ = self.play(zones=ZONES | {"spill_over": 0.1}, script="at 10s lose zone b")
         self.assertEqual(spill.breaches, 0)
         self.assertGreater(result.figures["rejected.zone.b"], 0.3)
@@ -81,33 +82,33 @@
         ]
         self.assertEqual(max(waits), 0)
 
-    def test_two_zones_lost_of_three(self) -> None:
+    def test_two_lost_zones_of_three_share_what_the_third_can_take(self) -> None:
         result, _, spill, _ = self.play(script="at 10s lose zone a\nat 10s lose zone b")
         self.assertEqual(spill.breaches, 0)
         self.assertGreater(result.figures["service.zone.c"], 0.97)
         self.assertGreater(result.figures["rejected.zone.a"], 0.2)
 
-    def test_a_second_zone_that_slows_down_while_it_absorbs_gets_less(self) -> None:
+    def test_a_zone_that_slows_down_under_spilled_work_gets_less_of_it(self) -> None:
         _, lines, spill, model = self.play(
             seconds=40, script="at 10s lose zone b\nat 20s slow all units of zone c x 9 for 10s"
         )
         self.assertEqual(spill.breaches, 0)
-        before, during = self.into(lines, "c", 14, 19, False), self.into(lines, "c", 24, 29, False)
+        before, during = self.shots_into(lines, "c", 14, 19, False), self.shots_into(lines, "c", 24, 29, False)
         self.assertLess(during, 0.75 * before)
 
-    def test_a_zone_that_is_cut_off_from_one_relay_is_no_news_for_the_others(self) -> None:
+    def test_a_zone_that_is_cut_off_from_one_relay_stays_in_use_by_the_others(self) -> None:
         result, lines, _, model = self.play(script="from 10s for 10s cut relay 1 from zone b")
         away = [line.relay for line in lines if type(line) is Shot and self.zone_of[line.unit] != "abc"[line.relay % 3]]
         self.assertLess(sum(relay != 1 for relay in away), 10)
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
-        seat = model.doors[1].facade.relay.seats[0]
-        self.assertGreater(seat.counts["probes"], 5)  # it looked again, and found the zone back
-        self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
+        stage = model.doors[1].facade.relay.seats[0]
+        self.assertGreater(stage.counts["probes"], 5)  # it probed, and found the zone reachable again
+        self.assertEqual(stage.zones[1].recovery.state in ("ramp", "up"), True)
 
-    def test_a_zones_relays_that_are_cut_off_from_another_do_not_talk_the_rest_out_of_it(self) -> None:
-        """Relays of zone a lose their way to b; then c dies, whose relays have never needed b, and b takes their
-        work."""
+    def test_relays_of_one_zone_that_are_cut_off_from_another_do_not_turn_the_rest_away_from_it(self) -> None:
+        """Relays of zone a cannot reach b.  Then c is lost, whose relays have never used b: b must take their work,
+        whatever the relays of a report."""
         _, lines, spill, _ = self.play(
             seconds=24,
             script="from 8s for 16s cut relay 0 from zone b\nfrom 8s for 16s cut relay 3 from zone b\n"
@@ -121,9 +122,9 @@
         ]
         self.assertGreater(from_c.count("b"), 0.4 * len(from_c))
 
-    def into_the_dead(self, listeners: int) -> int:
-        """Zones b and c die, one after the other, while the list is stale: shots of c's relays at dead units of b."""
-        with mock.patch("tealsail.choices.zones.LISTENERS", listeners):
+    def shots_into_lost(self, receivers: int) -> int:
+        """Zones b and c are lost one after the other while the list is stale: shots of c's relays at units of b."""
+        with mock.patch("tealsail.choices.zones.RECEIVERS", receivers):
             _, lines, _, _ = self.play(
                 seconds=18,
                 fleet={"relays": 12},
@@ -134,9 +135,9 @@
             for line in lines
         )
 
-    def test_relays_tell_each_other_of_a_zone_that_is_listed_and_dead(self) -> None:
-        told, alone = self.into_the_dead(3), self.into_the_dead(0)
-        self.assertLess(told, 0.7 * alone)
+    def test_reports_keep_relays_from_a_zone_that_is_listed_and_lost(self) -> None:
+        with_reports, without = self.shots_into_lost(3), self.shots_into_lost(0)
+        self.assertLess(with_reports, 0.7 * without)
 
     def test_a_zone_that_flaps_every_five_seconds_waits_longer_each_time(self) -> None:
         script = "\n".join(f"at {at}s lose zone b for 3s" for at in (5, 12, 19, 26))
@@ -144,15 +145,15 @@
             seconds=40, script=script, list={"late_ms": [50, 100]}, fleet={"notice_ms": 300}
         )
         self.assertEqual(spill.breaches, 0)
-        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.doors), 3)
+        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].recovery.flaps for door in model.doors), 3)
         self.assertGreater(result.figures["service"], 0.96)
 
-    def test_a_zone_lost_while_the_list_is_eight_seconds_stale(self) -> None:
+    def test_a_zone_is_lost_while_the_list_is_stale_for_eight_seconds(self) -> None:
         result, lines, spill, _ = self.play(script="from 9s for 8s list stale\nat 10s lose zone b")
         self.assertEqual(spill.breaches, 0)
         self.assertGreater(min(result.series["service"][12:28]), 0.9)
 
-    def test_a_zone_comes_back_half_drained_on_the_earlier_build_in_the_middle_of_a_trial(self) -> None:
+    def test_a_zone_that_returns_half_drained_on_the_earlier_build_does_not_fail_a_trial(self) -> None:
         result, lines, spill, _ = self.play(
             seconds=40,
             builds={"offered_s": 4},
@@ -163,16 +164,17 @@
         self.assertNotIn("back_s.2", result.figures)  # the build is not blamed
         self.assertGreater(result.figures["service"], 0.95)
 
-    def test_one_relay_with_most_of_the_traffic(self) -> None:
+    def test_a_zone_is_lost_while_one_relay_has_most_of_the_traffic(self) -> None:
         result, _, _, _ = self.play(clients={"rate": 250, "skew": 3.0}, script="at 10s lose zone a for 8s")
         self.assertGreater(result.figures["service"], 0.9)
 
-    def test_one_shot_work_whose_zone_died_after_it_was_sent_is_forfeited_and_never_sent_again(self) -> None:
-        _, lines, _, _ = self.play(seconds=14, script="at 10s lose zone b")  # the checker holds the rule
+    def test_one_shot_work_is_forfeited_and_not_sent_again_if_its_zone_is_lost_after_the_send(self) -> None:
+        # The checker of the rules checks that none is sent again.
+        _, lines, _, _ = self.play(seconds=14, script="at 10s lose zone b")
         ends = [line for line in lines if type(line) is End and line.answer == "forfeited"]
         self.assertTrue(ends)
 
-    def test_the_only_near_units_run_the_build_on_trial_and_the_cap_binds(self) -> None:
+    def test_work_spills_if_the_only_near_units_run_the_build_on_trial_and_its_cap_binds(self) -> None:
         result, lines, _, _ = self.play(
             seconds=14,
             fleet={"units": 3},
@@ -191,8 +193,8 @@
         )
 
     def far_build(self, seed: int) -> float:
-        """A good build whose one unit is 25 ms from most relays, where work takes 20: by how much the judges see its
-        median above the baseline's, at their first verdict."""
+        """A good build whose one unit is 25 ms from most relays, where work takes 20: its median as a multiple of the
+        baseline's, as the judges have it at their first verdict."""
         _, lines, _, _ = self.play(
             seed=seed,
             seconds=12,
@@ -206,16 +208,16 @@
         return canary / baseline
 
     def test_a_build_on_trial_in_one_far_zone_is_judged_fairly(self) -> None:
-        """Groups are matched in distance: a baseline shot goes as far as a canary's.  Without that the same days show
-        the distance as slowness."""
+        """Guards against a far zone that reads as a slow build: baseline shots have to go as far as the canary's.
+        Without that the same days show the distance as slowness."""
         for seed in (1, 3):
             self.assertLess(self.far_build(seed), 1.6)
-            with mock.patch.object(Stage_of_zones, "tier", lambda self, unit: 0):
+            with mock.patch.object(ZonesStage, "tier", lambda self, unit: 0):
                 self.assertGreater(self.far_build(seed), 3)
 
 
 class Documents(unittest.TestCase):
-    def test_what_does_not_fit_the_platforms_zones_is_one_line(self) -> None:
+    def test_a_document_that_does_not_fit_the_platforms_zones_is_refused_with_one_line(self) -> None:
         for tree, why in (
             ({"costs": {"a x": 1.0}}, "no zone x; there are a, b, c"),
             ({"costs": {"a": 1.0}}, "not two zones"),
