--- a/tealsail/choices/__init__.py
+++ b/tealsail/choices/__init__.py
@@ -1,1 +1,1 @@
-"""Every choice outside the release.  No I/O, no clock but the one handed in, no chance but the seeded."""
+"""Decisions outside the decision module (tealsail/policy.py).  No I/O; time is passed in, and draws are seeded."""
--- a/tealsail/choices/pipelining.py
+++ b/tealsail/choices/pipelining.py
@@ -1,18 +1,20 @@
-"""How many of the requests that a client writes one behind another on a connection are under way at once.
+"""How many of the requests that a client pipelines on one connection are in progress at once.
 
-Guards against a request that spends its time behind a slow one which has nothing to do with it: only the answers have
-to keep their order.
+Guards against a request that waits for an unrelated slow one before it: only the answers have to keep their order.
 """
 
-MOST_AT_ONCE = 32  # requests of one connection under way, or answered and behind an earlier one; few write so many
-MOST_ANSWER_BYTES = 64 * 1024  # of a connection's answers that wait for an earlier one; a value may be as long
-MOST_ANSWER_BYTES_IN_ALL = 2 * 1024 * 1024  # of all connections' together, in 32 MB of memory
+MAX_AT_ONCE = 32  # requests of one connection in progress, or answered behind an earlier one; few clients send so many
+MAX_ANSWER_BYTES = 64 * 1024  # of one connection's answers that wait for an earlier one; one value may be as long
+MAX_ANSWER_BYTES_IN_ALL = 2 * 1024 * 1024  # of all connections together, in a process of 32 MB
 
 
 def may_begin(at_once: int, answer_bytes: int, answer_bytes_in_all: int) -> bool:
-    """Whether a connection may begin its next request: `at_once` are begun and not written back yet, and the answers
-    that are known among them hold so many bytes.  A first one always may."""
+    """Whether a connection may begin its next request; a first one always may.
+
+    `at_once` requests are begun and not written back yet.  The answers that wait among them hold `answer_bytes` bytes,
+    those of all connections `answer_bytes_in_all`.
+    """
     if not at_once:
         return True
-    has_room = answer_bytes < MOST_ANSWER_BYTES and answer_bytes_in_all < MOST_ANSWER_BYTES_IN_ALL
-    return has_room and at_once < MOST_AT_ONCE
+    has_room = answer_bytes < MAX_ANSWER_BYTES and answer_bytes_in_all < MAX_ANSWER_BYTES_IN_ALL
+    return has_room and at_once < MAX_AT_ONCE
--- a/tealsail/choices/rendezvous.py
+++ b/tealsail/choices/rendezvous.py
@@ -1,29 +1,30 @@
 """Which relays own a unit's load figures: rendezvous hashing of unit and relay.
 
-Every relay works out the same order from two numbers and no message.  When a relay comes or goes only the units that it
-owns change hands.  Source: Thaler and Ravishankar, Using Name-Based Mappings to Increase Hit Rates, 1998.
+Every relay works out the same order from the two numbers, without a message.  When a relay is added or removed, only
+the units that it owns change their owner.  Source: Thaler and Ravishankar, Using Name-Based Mappings to Increase Hit
+Rates, 1998.
 """
 
 from heapq import nlargest
 
 from ..parts import mix
 
-REPLICAS = 2  # owners of a unit at a time: the first answers, the second stands by
-RANKED = 4  # of a unit's order that are kept: the owners, and those who stand in for silent ones
-SALT = 0x6C6F6164  # keeps these draws apart from the judges'
-MULTIPLIER = 0xD6E8FEB86659FD93  # odd; its products' high bits depend on all bits of a factor
-MASK = (1 << 64) - 1
+REPLICAS = 2  # owners of a unit at a time: the first answers, the second is its standby
+RANKED = 4  # relays of a unit's order that are kept: the owners, and those that replace silent ones
+SALT = 0x6C6F6164  # makes these draws independent of the draw of judges
+MULTIPLIER = 0xD6E8FEB86659FD93  # odd; the high bits of its products depend on all bits of the other factor
+MASK = (1 << 64) - 1  # products modulo 2**64
 
 
 class Rendezvous:
-    """The order of owners for each unit, of relays numbered from 0."""
+    """The order of owners for each unit, among relays numbered from 0."""
 
     def __init__(self, relays: int) -> None:
         self.salts = [mix(SALT, relay) for relay in range(relays)]
 
     def ranked(self, unit: int) -> tuple[int, ...]:
-        """The first few relays in this unit's order; about a millisecond at 1,300 relays, so not on a request's
-        path."""
+        """The first RANKED relays in this unit's order.  Takes about a millisecond at 1,300 relays, so it must not be
+        called while an invocation waits."""
         key = mix(unit, SALT)
         scores = [((salt ^ key) * MULTIPLIER) & MASK for salt in self.salts]
         return tuple(nlargest(RANKED, range(len(scores)), scores.__getitem__))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from tealsail.choices.pipelining import MOST_ANSWER_BYTES, MOST_ANSWER_BYTES_IN_ALL, MOST_AT_ONCE, may_begin
+from tealsail.choices.pipelining import MAX_ANSWER_BYTES, MAX_ANSWER_BYTES_IN_ALL, MAX_AT_ONCE, may_begin
 from tealsail.net import clients, messages
 from tealsail.net.counters import Counters
 
@@ -97,7 +97,7 @@
         self.assertEqual(self.codes(), ["crowded"])
 
     def test_hundreds_of_commands_at_once_end_with_those_at_hand(self) -> None:
-        for piece, at_hand in ((7, MOST_AT_ONCE), (1 << 20, 0)):
+        for piece, at_hand in ((7, MAX_AT_ONCE), (1 << 20, 0)):
             wire, before = self.client(), len(self.taken)
             wire.gets(asking() * 300, piece=piece)
             wire.gets(asking())
@@ -109,7 +109,7 @@
             self.assertTrue(sent.startswith(messages.whole(VALUE) * at_hand + b"E"))
             self.assertEqual(sent.count(b"C08P01\0"), 1)
             self.assertTrue(wire.settle())
-        self.assertEqual((len(self.taken), self.codes()), (MOST_AT_ONCE, ["flood"]))
+        self.assertEqual((len(self.taken), self.codes()), (MAX_AT_ONCE, ["flood"]))
 
     def test_who_never_asked_makes_room_first(self) -> None:
         old, silent = self.client(), self.client()
@@ -166,21 +166,21 @@
 
     def test_so_many_are_under_way_at_once_and_the_next_follows_the_first_answer(self) -> None:
         wire = self.client()
-        wire.gets(asking() * MOST_AT_ONCE)
+        wire.gets(asking() * MAX_AT_ONCE)
         wire.gets(asking() * 2)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE)
         self.taken[1].callback(VALUE)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE)
         self.taken[0].callback(VALUE)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE + 2)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE + 2)
 
     def test_answers_that_wait_for_an_earlier_one_are_bounded(self) -> None:
-        self.assertTrue(may_begin(0, MOST_ANSWER_BYTES, MOST_ANSWER_BYTES_IN_ALL))
-        self.assertFalse(may_begin(1, MOST_ANSWER_BYTES, MOST_ANSWER_BYTES))
-        self.assertFalse(may_begin(1, 0, MOST_ANSWER_BYTES_IN_ALL))
+        self.assertTrue(may_begin(0, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES_IN_ALL))
+        self.assertFalse(may_begin(1, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES))
+        self.assertFalse(may_begin(1, 0, MAX_ANSWER_BYTES_IN_ALL))
         wire, other = self.client(), self.client()
         wire.gets(asking() * 2)
-        self.taken[1].callback(VALUE._replace(row=messages.Row(bytes(MOST_ANSWER_BYTES), 1)))
+        self.taken[1].callback(VALUE._replace(row=messages.Row(bytes(MAX_ANSWER_BYTES), 1)))
         wire.gets(asking())
         other.gets(asking() * 2)
         self.assertEqual(len(self.taken), 4)
@@ -199,12 +199,12 @@
 
     def test_a_client_that_closes_has_gone_away_with_all_that_it_asked(self) -> None:
         wire = self.client()
-        wire.gets(asking() * MOST_AT_ONCE)
+        wire.gets(asking() * MAX_AT_ONCE)
         wire.gets(asking() * 2)
         self.taken[1].callback(VALUE)
         wire.drop()
-        begun = list(range(MOST_AT_ONCE))
-        self.assertEqual((self.left, len(self.taken), self.codes()), (begun[:1] + begun[2:], MOST_AT_ONCE, ["left"]))
+        begun = list(range(MAX_AT_ONCE))
+        self.assertEqual((self.left, len(self.taken), self.codes()), (begun[:1] + begun[2:], MAX_AT_ONCE, ["left"]))
         self.assertEqual((self.clients.answer_bytes, self.clients.connections), (0, {}))
 
     def test_what_can_not_be_read_is_answered_and_the_connection_goes_on(self) -> None:
