--- a/tealsail/choices/backoff.py
+++ b/tealsail/choices/backoff.py
@@ -46,7 +46,7 @@
     """The backoff after a refusal because the fleet asks too often.
 
     Delays grow with the number of relays, so the fleet's request rate stays the same whatever its size.  They are
-    bounded, since a relay has to ask again within `within` seconds: after that it counts as told anyway.
+    bounded, since a relay has to ask again within `within` seconds: after that it counts as having the list anyway.
     """
     limit = within * ASK_WITHIN_PART
     longest = min(max(MAX_RETRY_S, MAX_REFUSED_PER_RELAY_S * relays), limit)
--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -25,7 +25,7 @@
         self, steady: Callable[[], float], wall: Callable[[], float], on_gap: Callable[[float], Any] | None = None
     ) -> None:
         self.steady, self.wall, self.on_gap = steady, wall, on_gap
-        # Whole tenths: a float of Unix time is too coarse to add to.
+        # Whole tenths of a ms: a float of Unix time is too coarse to add to.
         self.start, self.base, self.last = steady(), int(wall() * TENTHS_PER_SECOND), 0
         self.ran = self.start  # when something last ran, as far as is known; seconds of the steady clock
         self.ahead = 0.0  # seconds by which the wall clock is ahead of monotonic time
--- a/tealsail/choices/connection_lifetimes.py
+++ b/tealsail/choices/connection_lifetimes.py
@@ -7,12 +7,13 @@
 
 from .backoff import FIRST_LIST_WAIT_S
 
-SHUTDOWN_WAIT = 30_000  # tenths of a ms that a relay that ends waits at the least for clients that do not close
-EMPTY_CHECKS = 2  # checks in a row without a client before a relay ends: a client whose idle connection it has just
-# closed may be reconnecting at the first
-IDLE_GRACE = (
-    3_000  # tenths of a ms: a new client sends its query within this time; idle ones are kept as long when crowded
-)
+# Tenths of a ms for which a relay that ends waits for clients that do not close, if no deadline is longer.
+SHUTDOWN_WAIT = 30_000
+# Checks in a row without a client before a relay ends: at the first, a client whose idle connection it has just closed
+# may be reconnecting.
+EMPTY_CHECKS = 2
+# Tenths of a ms within which a new client sends its first query; idle connections are kept as long when it is crowded.
+IDLE_GRACE = 3_000
 ANSWER_REST_S = 0.02  # nothing that belongs to an answer comes later than this after it
 MAX_IDLE_CHECK_S = 1.0  # longest time between checks of the idle connections to units
 MIN_IDLE_CHECK_S = 0.01  # shortest time between these checks
@@ -49,8 +50,8 @@
     accepts them at once.
 
     `request_delay` is the time until it asks for the list (None: it asks at once).  A relay that asks at once counts as
-    told from the process's first moment, so clients wait in the kernel for the few ms until the list has come.  Where
-    it asks later, or the list does not come, it starts with the old copy.
+    having the list from the process's first moment, so clients wait in the kernel for the few ms until it has arrived.
+    Where it asks later, or no list arrives, it starts with the old copy.
     """
     return FIRST_LIST_WAIT_S if request_delay is None else None
 
--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -11,9 +11,9 @@
 from ..policy import Relay
 from ..settings import NAMES
 
-PATHS = {name: path for path, name in NAMES.items()}  # stored name -> the platform's name
-# Settings that need a restart: a running relay's order of judges, windows, places of zones and connections are built on
-# them.
+PATHS = {name: path for path, name in NAMES.items()}  # name of a setting -> the platform's name for it
+# Settings that need a restart: the order of judges, windows, places of zones and connections of a running relay are
+# built on them.
 RESTART_SETTINGS = (
     "relays",
     "index",
--- a/tealsail/choices/spill.py
+++ b/tealsail/choices/spill.py
@@ -98,13 +98,13 @@
 
 class SpillFactor:
     """How far evidence lets work spill to one zone (`level`, 0 to 1): it falls by a third when spilled work comes back
-    late, and rises by a twentieth each beat while it comes in time.
+    late, and rises by a twentieth at each update while it comes in time.
 
     Guards against overloading a zone that slows down while it takes the work of another.
     """
 
     FALL = 2 / 3  # factor on late answers
-    RISE = 0.05  # each beat without late answers
+    RISE = 0.05  # at each update without late answers
     LEAST = 0.05  # lowest level
     MIN_ANSWERS = 3  # needed for a fall
 
--- a/tealsail/choices/tiers.py
+++ b/tealsail/choices/tiers.py
@@ -18,9 +18,7 @@
     spill_share: float = 1.0  # most of what a relay takes in a span that may leave its first tier
     spill_over: float = 0.5  # most that may come to a zone of another tier, as a part of that zone's own usual use
     spare: float = 1.4  # a zone can do so many times its usual work
-    panic: float = (
-        0.3  # below this part of its usual capacity a zone is not preferred: it keeps no more work than it has capacity
-    )
+    panic: float = 0.3  # below this part of its usual capacity a zone is not preferred: nothing is spare then
     span: int = 20_000  # over which the shares are measured
     memory: int = 6_000_000  # half-life of a zone's usual weight
     first: float = 0.1  # part of its capacity that a zone gets when its ramp begins
--- a/tealsail/choices/zone_reports.py
+++ b/tealsail/choices/zone_reports.py
@@ -1,7 +1,7 @@
 """Reports that relays send each other about zones, and what may be concluded from them.
 
 A relay reports only what it saw itself over the last span, and only while a zone is in trouble for it or for a relay
-that reported so to it.  Each beat it sends to a few other relays, drawn anew, so its traffic does not grow with the
+that reported so to it.  Each beat it sends to a few other relays, drawn again, so its traffic does not grow with the
 fleet.  Reports are not passed on.  A report is three bytes and four for each zone, never as long as a verdict or counts
 (tealsail/notes.py), whose readers ignore it.
 """
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -48,6 +48,7 @@
     def __init__(self, relay, zoning: Zoning, own_zone: int, many: int) -> None:
         """`many`: how many zones there are."""
         super().__init__(relay)
+        # 17 makes these draws independent of others from the same state.
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
         self.order = tiers(own_zone, many, zoning)
         self.zones = {
@@ -101,6 +102,7 @@
         self.update_shares()
 
     def beat(self) -> None:
+        # A beat comes every 5,000 tenths of a ms.
         now, fade = self.relay.now, 0.5 ** (5_000 / self.zoning.memory)
         usual = self.taken.total(now) * self.zoning.step / self.zoning.span
         for zone in self.zones.values():
@@ -133,7 +135,7 @@
         return zone.has_unlisted_loss or zone.misses_in_row >= DOUBTFUL_MISSES
 
     def send_reports(self) -> None:
-        """Reports what was seen of late, while there is trouble, to a few relays drawn anew each time."""
+        """Reports what was seen of late, while there is trouble, to a few relays, drawn again each time."""
         relay, now, facts = self.relay, self.relay.now, self.relay.facts
         in_trouble = self.own_zone_in_trouble() or any(
             zone.is_unreachable or zone.recovery.state != UP for zone in self.zones.values()
@@ -255,10 +257,10 @@
 
     def draw_tier(self, invocation: Invocation) -> int:
         """A tier drawn by the shares; the number after the last: none may take the invocation."""
-        luck = self.chance.share()
+        draw = self.chance.share()
         for tier, part in enumerate(self.shares):
-            luck -= part
-            if luck < 0:
+            draw -= part
+            if draw < 0:
                 return tier
         return len(self.order)
 
@@ -298,10 +300,10 @@
             parts = [self.spill_limits.get(zone.place, 0.0) * self.spill_factors[zone.place].level for zone in usable]
             if not any(parts):
                 parts = [zone.usable for zone in usable]
-            luck, first = self.chance.share() * sum(parts), usable[-1]
+            draw, first = self.chance.share() * sum(parts), usable[-1]
             for zone, part in zip(usable, parts):
-                luck -= part
-                if luck < 0:
+                draw -= part
+                if draw < 0:
                     first = zone
                     break
             usable = [first] + [zone for zone in usable if zone is not first]
