--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -36,6 +36,7 @@
         self.recovery = ZoneRecovery(zoning, jitter)
         self.answered, self.missed = Ring(zoning.span, BUCKETS), Ring(zoning.span, BUCKETS)
         self.late = Ring(zoning.span, BUCKETS)  # of those answered
+        # When the next probe may go out (tenths of a ms), probes since the last answer, misses since the last answer.
         self.probe_at = self.probes = self.misses_in_row = 0
         self.is_unreachable = False  # by its silence, not by the list
         self.is_reported_unreachable = False  # by reports of others, with no answer to this relay against them
@@ -45,12 +46,12 @@
 class Zones(Stage):
     """Divides invocations among the zones; `arrange` is called when the list has changed, `beat` twice a second."""
 
-    def __init__(self, relay, zoning: Zoning, own_zone: int, many: int) -> None:
-        """`many`: how many zones there are."""
+    def __init__(self, relay, zoning: Zoning, own_zone: int, zone_count: int) -> None:
+        """`own_zone`: the place of this relay's zone, of `zone_count` zones numbered from 0."""
         super().__init__(relay)
         # 17 makes these draws independent of others from the same state.
         self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
-        self.order = tiers(own_zone, many, zoning)
+        self.order = tiers(own_zone, zone_count, zoning)
         self.zones = {
             zone: Zone(zone, place, zoning, self.chance.share())
             for place, tier in enumerate(self.order)
