--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -15,8 +15,8 @@
 from ..choices.connection_lifetimes import IDLE_GRACE, may_close_idle
 from ..choices.pipelining import may_begin
 from . import messages, statements
+from .connections import cancel
 from .counters import Counters
-from .kept import cancel
 from .kernel import end_half, unread
 from .messages import Value
 
@@ -342,7 +342,7 @@
             request.cancel()
         self.turns.clear()
         self.count_answer(-self.answer_bytes)
-        self.counters.ended("client", code, peer(self.transport), self.note)
+        self.counters.connection_ended("client", code, peer(self.transport), self.note)
 
 
 def peer(transport: object) -> str:
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -11,8 +11,8 @@
 
 from ..choices.connection_lifetimes import choose_idle_connection, unused
 from . import messages
+from .connections import Ended
 from .counters import Counters
-from .kept import Ended
 from .messages import Value
 
 USER, DATABASE, LOAD = b"backend", b"store", b"stats"
@@ -164,7 +164,7 @@
             check.begin()
         # whether a shot may have run is decided by whether its last byte was written
         self.finish(self.stopped or Came("reset" if self.written else "unreachable"))
-        self.counters.ended("unit", self.why(reason), self.pool.address)
+        self.counters.connection_ended("unit", self.why(reason), self.pool.address)
 
 
 class Shot:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,8 +9,8 @@
 from tealsail.net.discovery import read_news
 from tealsail.net.relay import Relay
 
-from .fake import IDLE, ROW, Reactor, asking, field
-from .test_relay import DESK, LIST, UNIT, Story as RelayStory, config, listing, reply, told, unit
+from .fake import READY, ROW, Reactor, client_query, message
+from .test_relay import JSONRPC_PORT, LIST_PORT, UNIT_PORT, Story as RelayStory, config, listing, reply, told, unit
 
 SECOND, START = 10_000, 1_700_000_000.0
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
@@ -90,7 +90,7 @@
 
     def test_after_a_step_back_of_an_hour_late_shots_still_time_out(self) -> None:
         """Guards against time that stands still until the wall clock has caught up: no shot timed out, no beat came."""
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
         self.ahead = -3600.0
@@ -103,22 +103,22 @@
         self.assertEqual(self.relay.counters.counts["clock.steps"], 1)
 
     def test_each_invocation_is_answered_in_time_through_two_hundred_steps_of_a_second_to_a_day(self) -> None:
-        client, chance = self.client(asking()), Random(5)
+        client, chance = self.client(client_query()), Random(5)
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
-        self.assertEqual(client.sent(), ROW + IDLE)
+        wire.feed(ROW + READY)
+        self.assertEqual(client.sent(), ROW + READY)
         self.wait(0.1)  # a connection is not reused right after an answer
         for _ in range(200):
             self.ahead += chance.choice((-1, 1)) * 86_400 ** chance.random()
-            client.gets(asking())
+            client.feed(client_query())
             asked = wire.sent()
             if b"id=9b1f" not in asked:  # idle for a while: the relay checks the connection first
-                wire.gets(field(b"I", b"") + IDLE)
+                wire.feed(message(b"I", b"") + READY)
                 asked = wire.sent()
             self.assertIn(b"id=9b1f", asked)
-            wire.gets(ROW + IDLE)
-            self.assertEqual(client.sent(), ROW + IDLE)
+            wire.feed(ROW + READY)
+            self.assertEqual(client.sent(), ROW + READY)
             self.wait(1)
         self.assertGreater(self.relay.counters.counts["clock.steps"], 150)
         self.assertEqual(self.relay.facade.faults, 0)
@@ -126,14 +126,14 @@
     def test_after_a_stop_of_the_process_no_earlier_state_is_trusted(self) -> None:
         """A shot that was out when the process stopped is late for that reason: it must not count against its build or
         unit.  Idle connections, the list and the platform's state may be out of date."""
-        first = self.client(asking())
+        first = self.client(client_query())
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
+        wire.feed(ROW + READY)
         first.sent()
-        self.reactor.up(LIST).sent()
-        self.reactor.up(DESK).sent()
-        second = self.client(asking())
+        self.reactor.complete_connect(LIST_PORT).sent()
+        self.reactor.complete_connect(JSONRPC_PORT).sent()
+        second = self.client(client_query())
         wire.sent()
         relay = self.relay.facade.relay
         shot = next(iter(relay.known.values())).shots[0]
@@ -146,15 +146,15 @@
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
-        whole = self.reactor.up(LIST)
+        whole = self.reactor.complete_connect(LIST_PORT)
         self.assertTrue(whole.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
-        whole.gets(reply(listing(50, True, unit(7002, "s-2"))))
+        whole.feed(reply(listing(50, True, unit(7002, "s-2"))))
         self.assertEqual(len(relay.units), 1)
-        self.reactor.up(DESK)
+        self.reactor.complete_connect(JSONRPC_PORT)
 
     def test_a_listed_unit_does_not_count_as_restarted_when_the_clock_steps(self) -> None:
         started = (self.reactor.seconds() - 100) * 1000
-        entry = unit(UNIT) | {"startedAtMs": started}
+        entry = unit(UNIT_PORT) | {"startedAtMs": started}
         self.discovery(listing(42, True, entry))
         known = next(iter(self.relay.facade.relay.units.values()))
         self.ahead = -7200.0
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -4,11 +4,11 @@
 
 from tealsail import policy
 from tealsail.choices.live_settings import LiveSettings, RestartNeeded
-from tealsail.net import start
+from tealsail.net import relay_configuration
 from tealsail.setup.facts import BadFacts, check
 
 from . import test_relay
-from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
+from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, Story, client_query, error_response
 from .test_relay import config, told
 
 TIMER_BESIDE = dict(
@@ -51,10 +51,10 @@
             ({"index": 2}, "index: 2 of 2 relays"),
             ({"requestClasses": []}, "no workloads"),
         ):
-            with self.subTest(more), self.assertRaisesRegex(start.BadStart, f"settings: {said}"):
+            with self.subTest(more), self.assertRaisesRegex(start.ConfigurationError, f"settings: {said}"):
                 told(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
-        with self.assertRaisesRegex(start.BadStart, "requestClasses.0.aim: later than its deadline"):
+        with self.assertRaisesRegex(start.ConfigurationError, "requestClasses.0.aim: later than its deadline"):
             told(config(settings=settings(requestClasses=late)))
 
     def test_settings_of_both_kinds_of_deployment_are_accepted(self) -> None:
@@ -96,12 +96,12 @@
             story, live = self.story(most_shots=old, may_tell=False)
             taken = story.take()
             live.change(self.now(story, most_shots=new))
-            story.comes(taken, "unreachable")
+            story.report_outcome(taken, "unreachable")
             self.assertEqual((len(story.sent(taken)), len(story.host.of("reject"))), (1, 1))
             live.end_transition()
             later = story.take()
             for place in range(new):
-                story.comes(later, "unreachable", place=place)
+                story.report_outcome(later, "unreachable", place=place)
             self.assertEqual(len(story.sent(later)), new)
 
     def test_a_change_that_needs_a_restart_is_refused_by_name_and_changes_nothing(self) -> None:
@@ -127,31 +127,31 @@
         )
 
     def test_a_query_taken_before_a_change_is_answered_once_after_it(self) -> None:
-        client = self.client(asking(wait=3000, workload="order"))
+        client = self.client(client_query(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        self.relay.assign(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
-        self.relay.assign(told(config(settings=self.timer_beside())))  # two in a row
+        self.relay.reconfigure(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
+        self.relay.reconfigure(told(config(settings=self.timer_beside())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
-        wire.gets(ROW + IDLE)
-        self.assertEqual((client.sent(), wire.sent()), (ROW + IDLE, b""))
-        self.relay.assign(told(config()))  # changing back works the same way
+        wire.feed(ROW + READY)
+        self.assertEqual((client.sent(), wire.sent()), (ROW + READY, b""))
+        self.relay.reconfigure(told(config()))  # changing back works the same way
         self.wait(1)
         self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.replacement), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
     def test_a_query_that_fails_after_a_change_is_not_retried_beyond_either_limit(self) -> None:
-        client = self.client(asking(wait=3000))
-        self.relay.assign(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
+        client = self.client(client_query(wait=3000))
+        self.relay.reconfigure(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        wire.gets(failure("XX000") + IDLE)
+        wire.feed(error_response("XX000") + READY)
         self.assertEqual((wire.sent(), client.sent().count(b"C53300")), (b"", 1))
 
     def test_a_refused_configuration_changes_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
-            self.assertRaises(RestartNeeded, self.relay.assign, told(tree))
-        self.assertEqual(self.reactor.dialled(8600), [])
+            self.assertRaises(RestartNeeded, self.relay.reconfigure, told(tree))
+        self.assertEqual(self.reactor.pending_connects(8600), [])
 
 
 for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
