--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -12,8 +12,8 @@
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
 from ..choices.endings import AGAIN
+from ..net.connections import cancel
 from ..net.counters import Counters
-from ..net.kept import cancel
 from ..net.relay import Relay
 from ..net.start import BadStart, Torn, read, read_again
 from .signals import SIGNALS
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -15,8 +15,8 @@
 from ..choices.endings import UNUSED, leaves_off
 from ..choices.pipelining import may_begin
 from . import messages, statements
+from .connections import cancel
 from .counters import Counters
-from .kept import cancel
 from .kernel import end_half, unread
 from .messages import Value
 
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -10,8 +10,8 @@
 from twisted.python.failure import Failure
 
 from ..choices.pauses import Pauses
+from .connections import Ended, Kept
 from .counters import Counters
-from .kept import Ended, Kept
 
 LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 8 * 1024 * 1024
 # seconds: a watch's wait, ours beyond it, and a plain call's.  What a silent watch misses counts as told 2 s after
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -9,8 +9,8 @@
 from twisted.python.failure import Failure
 
 from ..choices.pauses import Pauses
+from .connections import Ended, Kept, cancel
 from .counters import Counters
-from .kept import Ended, Kept, cancel
 
 LONGEST = 8 * 1024
 SILENT, PART = 3.5, 0.5  # seconds with no sign of life; for the rest of a line
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -30,9 +30,9 @@
 from ..parts import Chance, mix
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
+from .connections import cancel
 from .counters import Counters
 from .discovery import Discovery, Entry, News, number_of
-from .kept import cancel
 from .kernel import hold, take_in
 from .peers import Peers, pair
 from .platform import Platform, State
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -11,8 +11,8 @@
 
 from ..choices.endings import rested, unused
 from . import messages
+from .connections import Ended
 from .counters import Counters
-from .kept import Ended
 from .messages import Value
 
 USER, DATABASE, LOAD = b"backend", b"store", b"stats"
