--- a/tealsail/lab/capacity/stand_ins.py
+++ b/tealsail/lab/capacity/stand_ins.py
@@ -30,7 +30,7 @@
     messages.message(b"T", b"\0\1content\0" + bytes(6) + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1")
     + messages.message(b"D", b"\0\1\0\0\0\2\x9f\x03")
     + messages.message(b"C", b"SELECT 1\0")
-    + messages.READY
+    + messages.READY_FOR_QUERY
 )
 
 
@@ -120,16 +120,16 @@
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.splitter = messages.Splitter(typed=False)
+        self.splitter = messages.MessageSplitter(typed=False)
 
     def came(self, data: bytes) -> None:
         self.splitter.feed(data)
         for kind, body in self.splitter:
             if not self.splitter.typed:
                 self.splitter.typed = True
-                self.write(messages.WELCOME)
+                self.write(messages.STARTUP_RESPONSE)
             elif kind == b"Q":
-                self.write(SERVED if body.strip(b" \0") else messages.EMPTY)
+                self.write(SERVED if body.strip(b" \0") else messages.EMPTY_QUERY_RESPONSE)
 
 
 class UnitsStandIn(StandIn):
@@ -312,7 +312,7 @@
     def dataReceived(self, data: bytes) -> None:
         self.clients.meter.sent(Side.SERVING, data)
         self.held += data
-        if self.held.endswith(messages.READY):
+        if self.held.endswith(messages.READY_FOR_QUERY):
             served, self.held = SERVED[:1] == self.held[:1], b""
             self.clients.free(self, served)
 
--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -30,8 +30,8 @@
 VALUES = {
     "served": SERVED,
     "wrong": WRONG,
-    "error": messages.trouble("XX000", "the build failed"),
-    "full": messages.trouble("53300", "turned away"),
+    "error": messages.error_response("XX000", "the build failed"),
+    "full": messages.error_response("53300", "turned away"),
 }
 
 
@@ -48,7 +48,7 @@
     """One connection of a relay to a backend; one query at a time, as the relay keeps it."""
 
     def __init__(self, listener: "BackendListener") -> None:
-        self.listener, self.splitter = listener, messages.Splitter(typed=False)
+        self.listener, self.splitter = listener, messages.MessageSplitter(typed=False)
         self.query: PendingQuery | None = None
         self.relay, self.is_cut_off = -1, False
 
@@ -77,19 +77,19 @@
         try:
             for kind, body in self.splitter:
                 if self.splitter.typed:
-                    self.handle(messages.from_client(kind, body))
+                    self.handle(messages.parse_client_message(kind, body))
                 else:
-                    messages.opening(body)
+                    messages.parse_first_message(body)
                     self.splitter.typed = True
-                    self.write(messages.WELCOME)
-        except (messages.Unreadable, statements.Unclear) as problem:
+                    self.write(messages.STARTUP_RESPONSE)
+        except (messages.ProtocolError, statements.StatementError) as problem:
             self.listener.pool.setup.report_violation(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def handle(self, message: Any) -> None:
         match message:
             case messages.Query(text) if not text.strip():
-                self.write(messages.EMPTY)
+                self.write(messages.EMPTY_QUERY_RESPONSE)
             case messages.Query(text):
                 if self.query:
                     return self.listener.pool.setup.report_violation(
@@ -118,7 +118,7 @@
         if load:
             text = ",".join(f"{name}={figure:.3f}" for name, figure in load.items()).encode()
             report = messages.message(b"S", b"stats\0" + text + b"\0")
-        self.write(VALUES[outcome] + report + messages.READY)
+        self.write(VALUES[outcome] + report + messages.READY_FOR_QUERY)
 
     def write(self, data: bytes) -> None:
         if self.is_reachable() and not self.is_cut_off:
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -65,7 +65,7 @@
     """One connection of a client: being set up, idle, or with one request out."""
 
     def __init__(self, pool: "ClientPool", relay: int) -> None:
-        self.pool, self.relay, self.splitter = pool, relay, messages.Splitter(typed=True)
+        self.pool, self.relay, self.splitter = pool, relay, messages.MessageSplitter(typed=True)
         self.is_ready = False
         self.arrival: Arrival | None = None
         self.answer, self.retry_after = "", 0
@@ -95,22 +95,22 @@
             for kind, body in self.splitter:
                 if kind == b"E":
                     self.retry_after = read_retry_after(body)
-                self.handle(messages.from_unit(kind, body))
-        except messages.Unreadable as problem:
+                self.handle(messages.parse_unit_message(kind, body))
+        except messages.ProtocolError as problem:
             self.pool.setup.report_violation(f"a relay answered what can't be read: {problem}")
             self.transport.abortConnection()
 
     def handle(self, answer: Any) -> None:
         match answer:
-            case messages.Row(body):
+            case messages.DataRow(body):
                 self.answer = "wrong" if body.endswith(b"\x00") else "served"
-            case messages.Trouble(code, _):
+            case messages.ErrorResponse(code, _):
                 self.answer = "rejected" if code in REJECTED_CODES else "forfeited"
-            case messages.Ready() if not self.is_ready:
+            case messages.ReadyForQuery() if not self.is_ready:
                 self.is_ready = True
                 if not self.arrival:
                     self.pool.release(self)
-            case messages.Ready() if self.arrival:
+            case messages.ReadyForQuery() if self.arrival:
                 self.finish(self.answer or "lost")
                 self.pool.release(self)
 
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -107,7 +107,7 @@
         self.transport.write(messages.startup(b"backend", b"store") + messages.query(b""))
 
     def dataReceived(self, data: bytes) -> None:
-        if messages.EMPTY in data and not self.running.is_ready:
+        if messages.EMPTY_QUERY_RESPONSE in data and not self.running.is_ready:
             self.fleet.mark_ready(self.running)
             self.transport.loseConnection()
 
--- a/tealsail/lab/scale/hollow.py
+++ b/tealsail/lab/scale/hollow.py
@@ -16,12 +16,12 @@
 from ...net.platform import State
 from ...net.relay import Relay
 from ...net.start import Assignment
-from ...net.units import Came
+from ...net.units import ShotResult
 from .backends import Backends, Load
 from .meter import Meter, MeteredPeers
 
 ONE_WAY = 0.0002  # seconds to a backend, and back
-VALUE = messages.Value(messages.Described(b"", 1), messages.Row(b"", 1), messages.Complete(b""))
+VALUE = messages.Value(messages.RowDescription(b"", 1), messages.DataRow(b"", 1), messages.CommandComplete(b""))
 
 
 class Outside(NamedTuple):
@@ -69,7 +69,7 @@
     def __init__(self, relay: "HollowRelay") -> None:
         self.relay = relay
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         self.relay.outside.list_anew(self.relay)
 
     def move(self, address: str) -> None:
@@ -91,7 +91,7 @@
     def vote(self, build: int, stage: int, verdict: str) -> None:
         self.relay.outside.vote(self.relay.index, build, stage, verdict)
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         """The process's connection stands."""
 
     def move(self, address: str) -> None:
@@ -109,7 +109,7 @@
     ) -> None:
         self.owner, self.name, self.text, self.stands = relay, name, text, stands
         self.relay, self.number, self.place = relay.index, -1, 0
-        self.done: Deferred[Came] = Deferred()
+        self.done: Deferred[ShotResult] = Deferred()
         self.over = self.taken = False
         self.timer = relay.reactor.callLater(wait, self.stop, "timeout")
         relay.reactor.callLater(ONE_WAY, self.arrive)
@@ -153,7 +153,7 @@
             self.timer.cancel()
         if not self.owner.dead:
             value = VALUE if outcome == "served" else None
-            self.owner.meter.run("serving", self.done.callback, Came(outcome, value, load))
+            self.owner.meter.run("serving", self.done.callback, ShotResult(outcome, value, load))
 
 
 class HollowBackends:
@@ -171,7 +171,7 @@
     def numbers(self) -> list[int]:
         return []
 
-    def forget_idle(self) -> None:
+    def close_idle(self) -> None:
         """No connection is kept."""
 
     def shoot(
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -334,8 +334,8 @@
     def answered(self, answer: Any, serving: Serving) -> None:
         """In a turn of its own: what a client does is no part of what its relay costs."""
         word = "served" if isinstance(answer, Value) else "rejected" if isinstance(answer, Rejected) else "forfeited"
-        come_back = answer.come_back if isinstance(answer, Rejected) else 0
-        self.reactor.callLater(0, self.finish, serving, word, come_back)
+        retry_after = answer.retry_after if isinstance(answer, Rejected) else 0
+        self.reactor.callLater(0, self.finish, serving, word, retry_after)
 
     def failed(self, reason: Failure, serving: Serving) -> None:
         """It was cancelled, since its client left."""
@@ -345,7 +345,7 @@
             self.finish(serving, "left", 0)
             serving.answer.cancel()
 
-    def finish(self, serving: Serving, answer: str, come_back: int) -> None:
+    def finish(self, serving: Serving, answer: str, retry_after: int) -> None:
         if serving.over:
             return
         serving.over, arrival = True, serving.arrival
@@ -353,7 +353,7 @@
             serving.timer.cancel()
         self.serving.pop(arrival.number, None)
         self.setup.record_line(End(self.setup.now(), serving.relay.index, arrival.number, answer))
-        again = self.clients.answered(self.setup.now(), arrival, answer, come_back)
+        again = self.clients.answered(self.setup.now(), arrival, answer, retry_after)
         if again:
             self.repeats += 1
             self.reactor.callLater(self.setup.seconds_until(again.at), self.again, again)
--- a/tealsail/lab/scale/real.py
+++ b/tealsail/lab/scale/real.py
@@ -117,7 +117,7 @@
     """One connection of a real relay to a backend; one query at a time, as the relay keeps it."""
 
     def __init__(self, listener: "BackendListener") -> None:
-        self.listener, self.splitter = listener, messages.Splitter(typed=False)
+        self.listener, self.splitter = listener, messages.MessageSplitter(typed=False)
         self.name = ""
         self.held: Held | None = None
 
@@ -136,19 +136,19 @@
         try:
             for kind, body in self.splitter:
                 if self.splitter.typed:
-                    self.came(messages.from_client(kind, body))
+                    self.came(messages.parse_client_message(kind, body))
                 else:
-                    messages.opening(body)
+                    messages.parse_first_message(body)
                     self.splitter.typed = True
-                    self.transport.write(messages.WELCOME)
-        except (messages.Unreadable, statements.Unclear) as problem:
+                    self.transport.write(messages.STARTUP_RESPONSE)
+        except (messages.ProtocolError, statements.StatementError) as problem:
             self.listener.backends.setup.report_violation(f"a relay wrote what can't be read: {problem}")
             self.transport.abortConnection()
 
     def came(self, what: Any) -> None:
         match what:
             case messages.Query(text) if not text.strip():
-                self.transport.write(messages.EMPTY)
+                self.transport.write(messages.EMPTY_QUERY_RESPONSE)
             case messages.Query(text):
                 self.asked(statements.read(text))
             case messages.Terminate():
@@ -170,7 +170,7 @@
         if load:
             text = ",".join(f"{name}={figure:.3f}" for name, figure in load.items()).encode()
             report = messages.message(b"S", b"stats\0" + text + b"\0")
-        self.transport.write(VALUES[outcome] + report + messages.READY)
+        self.transport.write(VALUES[outcome] + report + messages.READY_FOR_QUERY)
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         self.listener.wires.get(self.name, {}).pop(self, None)
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -1,4 +1,7 @@
-"""Clients: their connections, what comes over them, and the answers in the order of the queries."""
+"""Connections of clients: queries come in, and their answers go out in the order of the queries.
+
+Times are in tenths of a millisecond unless a name ends in `_S` (seconds).
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -17,43 +20,57 @@
 from . import messages, statements
 from .connections import cancel
 from .counters import Counters
-from .kernel import end_half, unread
+from .kernel import half_close, has_unread_bytes
 from .messages import Value
 
-READ_AHEAD, EACH = 64 * 1024, 256  # bytes held of one connection, then reading rests; for each
-MOST_QUERIES = 32  # that wait in one connection: no client in order asks so much
-SWEEP, LOOKS = 0.1, 8  # seconds; idle connections looked at for one that makes room
-MUTE, FIRST = 20_000, 5_000  # tenths of a ms: something whole must have come; a first query
-CROWD = 0.25  # so full, connections end that are idle for UNUSED
-READ_OUT, MOST_READ_OUT = 0.5, 32  # seconds for the other side's end behind ours; connections at a time
+MAX_HELD_BYTES = 64 * 1024  # of one connection's queries that wait; reading pauses above it, and goes on below half
+ENTRY_BYTES = 256  # counted for each queue entry, besides its text
+MAX_QUEUED_QUERIES = 32  # of one connection; a well-behaved client does not send so many at once
+SWEEP_INTERVAL_S = 0.1
+MAX_EVICTION_CANDIDATES = 8  # idle connections examined to find one that can make room
+MUTE_TIMEOUT = 20_000  # within which something complete must come
+FIRST_QUERY_TIMEOUT = 5_000  # a connection without a query for longer is the first to make room
+CROWDED_SHARE = 0.25  # of `max_connections`: above it, connections that have been idle for UNUSED are ended
+HALF_CLOSE_TIMEOUT_S = 0.5  # for the other side's end, after ours
+MAX_HALF_CLOSED = 32  # connections that wait for the other side's end; more are closed at once
 
 
 class Rejected(NamedTuple):
-    """Trying again is harmless, after `come_back` tenths of a millisecond (0: no advice)."""
+    """Nothing was run, so a retry is harmless, after `retry_after` tenths of a millisecond (0: no advice)."""
 
-    come_back: int
+    retry_after: int
 
 
 class Forfeited(NamedTuple):
-    pass
+    """The request has failed, and may have been run."""
 
 
 Answer = Value | Rejected | Forfeited
-REJECTED, FORFEITED, FULL, FORM, FOREIGN, LOST = "53300", "58000", "53300", "42601", "0A000", "08P01"
+
+# SQLSTATE codes of errors that clients receive
+REJECTED_CODE = "53300"
+FORFEITED_CODE = "58000"
+CONNECTION_LIMIT_CODE = "53300"
+STATEMENT_ERROR_CODE = "42601"
+UNSUPPORTED_PROTOCOL_CODE = "0A000"
+PROTOCOL_ERROR_CODE = "08P01"
 
 
-def encoded(answer: Answer) -> bytes:
+def encode_answer(answer: Answer) -> bytes:
     match answer:
-        case Rejected(come_back):
-            after = -(-come_back // 10)
-            return messages.trouble(REJECTED, "rejected, nothing was run", after) + messages.READY
+        case Rejected(retry_after):
+            retry_after_ms = -(-retry_after // 10)
+            return (
+                messages.error_response(REJECTED_CODE, "rejected, nothing was run", retry_after_ms)
+                + messages.READY_FOR_QUERY
+            )
         case Forfeited():
-            return messages.trouble(FORFEITED, "forfeited") + messages.READY
+            return messages.error_response(FORFEITED_CODE, "forfeited") + messages.READY_FOR_QUERY
         case _:
-            return messages.whole(answer)
+            return messages.value_response(answer)
 
 
-class Asked(NamedTuple):
+class ReceivedQuery(NamedTuple):
     """A query, and when it came."""
 
     text: bytes
@@ -61,208 +78,231 @@
 
 
 class Ending(NamedTuple):
-    """The connection's end, in its turn behind the answers still due."""
+    """The connection's end, queued behind the answers still due: its code, a last message, and a note for the log."""
 
     code: str
-    last: bytes = b""
+    last_message: bytes = b""
     note: str = ""
 
 
 @dataclass(slots=True)
-class Turn:
-    """A place in the order of the answers: what was asked first is written back first."""
+class PendingAnswer:
+    """An answer's place in the order in which answers are written, which is that of the queries."""
 
-    held: int  # bytes of the query, as long as another is before it
+    held_bytes: int  # of the query, as long as another is before it
     request: Deferred[Answer] | None = None
     answer: bytes | None = None  # None: not known yet
 
 
-def size(what: Asked | bytes | Ending) -> int:
-    return EACH + (len(what.text) if isinstance(what, Asked) else 0)
+def entry_bytes(entry: ReceivedQuery | bytes | Ending) -> int:
+    """What a queue entry counts towards MAX_HELD_BYTES."""
+    return ENTRY_BYTES + (len(entry.text) if isinstance(entry, ReceivedQuery) else 0)
 
 
 @implementer(IHalfCloseableProtocol)
-class Client(Protocol):
-    """One connection.  Requests written one behind another are under way together, as far as `may_begin` allows; their
-    answers keep the order of the queries.  The first of `turns` is always one whose answer is not known yet."""
+class ClientConnection(Protocol):
+    """One connection of a client.
+
+    Queries that the client writes one behind another are served at the same time, as far as `may_begin` allows; their
+    answers keep the order of the queries.  The first of `pending` is always one whose answer is not known yet.
+    """
 
     def __init__(self, clients: "Clients") -> None:
         self.clients, self.counters = clients, clients.counters
-        self.splitter = messages.Splitter(typed=False)
-        self.queue: deque[Asked | bytes | Ending] = deque()  # bytes: an answer that is known already
-        self.turns: deque[Turn] = deque()  # begun and not written back; emptied by the answers or the end
-        self.answer_bytes = 0  # of known answers in `turns`
-        self.welcome = True  # False: there is no room for it
-        self.again = clients.closing  # it came when this relay was ending already
-        self.reading_out, self.cutting = False, None  # our half has ended; the timer of the other's end
-        self.skipping = self.working = self.clogged = self.deaf = self.resting = False
-        self.held = 0  # bytes of the queue, and of the queries in `turns` behind the first
+        self.splitter = messages.MessageSplitter(typed=False)
+        self.queue: deque[ReceivedQuery | bytes | Ending] = deque()  # bytes: an answer that is known already
+        self.pending: deque[PendingAnswer] = deque()  # begun and not written yet
+        self.answer_bytes = 0  # of known answers in `pending`
+        self.is_admitted = True  # False: all places were taken when it came
+        self.came_during_shutdown = clients.closing
+        self.is_half_closed, self.half_close_timer = False, None  # whether our half has ended; the wait for the other
+        # Respectively: after a refused extended message; during `process_queue`; while the transport's buffer is full;
+        # once an Ending is queued; while more than MAX_HELD_BYTES are held.
+        self.skips_to_sync = self.is_processing = self.write_paused = self.ignores_input = self.read_paused = False
+        self.held_bytes = 0  # of the queue, and of the queries in `pending` behind the first
         self.idle_since = clients.clock()
-        self.queries, self.asked = 0, False  # waiting in the queue; whether one was ever whole
-        self.half_since: int | None = None  # half of a message has come, and the last whole one is so old
+        self.queued_queries, self.has_queried = 0, False  # `has_queried`: a complete query has come
+        self.partial_since: int | None = None  # when the first part of a message that is still incomplete came
         self.code, self.note = "", ""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)  # to be told when answers pile up unread
+        self.transport.registerProducer(self, True)  # so that `pauseProducing` is called when the buffer is full
         self.counters.add("clients.connections")
-        self.welcome = self.clients.enter(self)
+        self.is_admitted = self.clients.admit(self)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.code or self.deaf:
+        if self.code or self.ignores_input:
             return
         self.counters.add("clients.bytes_in", len(data))
         self.splitter.feed(data)
-        half, self.half_since = self.half_since, None
+        partial_since, self.partial_since = self.partial_since, None
         try:
             for kind, body in self.splitter:
-                half = None
+                partial_since = None
                 if self.splitter.typed:
-                    self.came(messages.from_client(kind, body))
+                    self.on_message(messages.parse_client_message(kind, body))
                 else:
-                    self.opened(messages.opening(body))
-                if self.code or self.deaf:
+                    self.on_first_message(messages.parse_first_message(body))
+                if self.code or self.ignores_input:
                     break
-        except messages.Unreadable as problem:  # what came before it still gets its answers
+        except messages.ProtocolError as problem:  # earlier queries still get their answers
             self.counters.add("clients.unreadable")
-            self.hold(Ending("unreadable", messages.trouble(LOST, str(problem), fatal=True), str(problem)))
+            self.enqueue(
+                Ending(
+                    "unreadable",
+                    messages.error_response(PROTOCOL_ERROR_CODE, str(problem), fatal=True),
+                    str(problem),
+                )
+            )
         if self.splitter.held:
-            self.half_since = half or self.clients.clock()
-        self.next()
-
-    def opened(self, first: messages.Startup | messages.Encryption | messages.Cancel) -> None:
-        match first:
-            case messages.Encryption():
-                self.hold(messages.DECLINED)
-            case messages.Cancel():
-                self.hold(Ending("cancel"))  # what is asked there can't be told apart: nothing to stop
-            case messages.Startup() if not self.welcome:
-                self.hold(Ending("full", messages.trouble(FULL, "too many connections", fatal=True)))
+            self.partial_since = partial_since or self.clients.clock()
+        self.process_queue()
+
+    def on_first_message(self, message: messages.Startup | messages.EncryptionRequest | messages.CancelRequest) -> None:
+        match message:
+            case messages.EncryptionRequest():
+                self.enqueue(messages.ENCRYPTION_DECLINED)
+            case messages.CancelRequest():
+                self.enqueue(Ending("cancel"))  # all connections have the same key, so it does not say what to cancel
+            case messages.Startup() if not self.is_admitted:
+                self.enqueue(
+                    Ending("full", messages.error_response(CONNECTION_LIMIT_CODE, "too many connections", fatal=True))
+                )
             case messages.Startup():
                 self.splitter.typed = True
-                self.hold(messages.WELCOME)
+                self.enqueue(messages.STARTUP_RESPONSE)
 
-    def came(self, what: messages.Query | messages.Extended | messages.Copied | messages.Terminate) -> None:
-        """After an extended message nothing counts up to the Sync, as the protocol has it."""
-        match what:
+    def on_message(
+        self, message: messages.Query | messages.ExtendedMessage | messages.CopyMessage | messages.Terminate
+    ) -> None:
+        """As the protocol demands, all messages after a refused extended message are skipped, up to the Sync."""
+        match message:
             case messages.Terminate():
-                self.hold(Ending("goodbye"))
-            case messages.Extended(sync=True):
-                self.skipping = False
-                self.hold(messages.READY)
-            case messages.Extended() if not self.skipping:
-                self.skipping = True
+                self.enqueue(Ending("goodbye"))
+            case messages.ExtendedMessage(sync=True):
+                self.skips_to_sync = False
+                self.enqueue(messages.READY_FOR_QUERY)
+            case messages.ExtendedMessage() if not self.skips_to_sync:
+                self.skips_to_sync = True
                 self.counters.add("clients.foreign")
-                self.hold(messages.trouble(FOREIGN, "simple queries only"))
-            case messages.Query(text) if not self.skipping:
-                self.asked = True
-                self.hold(Asked(text, self.clients.clock()))
-                self.queries += 1
-                if self.queries > MOST_QUERIES:
-                    self.flooded()
-
-    def flooded(self) -> None:
-        """So many commands at once: none that waits is begun, and the one at hand is the last."""
+                self.enqueue(messages.error_response(UNSUPPORTED_PROTOCOL_CODE, "simple queries only"))
+            case messages.Query(text) if not self.skips_to_sync:
+                self.has_queried = True
+                self.enqueue(ReceivedQuery(text, self.clients.clock()))
+                self.queued_queries += 1
+                if self.queued_queries > MAX_QUEUED_QUERIES:
+                    self.end_flood()
+
+    def end_flood(self) -> None:
+        """Too many queries wait: none of them is begun, and the connection ends behind the answers still due."""
         self.queue.clear()
-        self.held = 0
-        self.hold(Ending("flood", messages.trouble(LOST, "too many commands at once", fatal=True)))
-
-    def hold(self, what: Asked | bytes | Ending) -> None:
-        self.queue.append(what)
-        self.deaf |= isinstance(what, Ending)
-        self.held += size(what)
-        if self.held > READ_AHEAD and not self.resting:
-            self.resting = True
+        self.held_bytes = 0
+        self.enqueue(
+            Ending("flood", messages.error_response(PROTOCOL_ERROR_CODE, "too many commands at once", fatal=True))
+        )
+
+    def enqueue(self, entry: ReceivedQuery | bytes | Ending) -> None:
+        self.queue.append(entry)
+        self.ignores_input |= isinstance(entry, Ending)
+        self.held_bytes += entry_bytes(entry)
+        if self.held_bytes > MAX_HELD_BYTES and not self.read_paused:
+            self.read_paused = True
             self.transport.pauseProducing()
 
-    def next(self) -> None:
-        """The queue's first, and on, as long as more may be under way and the answers are read."""
-        if self.working:
+    def process_queue(self) -> None:
+        """Begin the queue's entries in order, as long as more may be under way and the client reads its answers."""
+        if self.is_processing:
             return
-        self.working = True
-        while self.queue and not self.code and not self.clogged and self.may_go_on():
+        self.is_processing = True
+        while self.queue and not self.code and not self.write_paused and self.may_begin_first():
             first = self.queue.popleft()
             if isinstance(first, Ending):
-                self.end(first.code, first.last, first.note)
+                self.end(first.code, first.last_message, first.note)
                 break
             self.begin(first)
-        self.working = False
+        self.is_processing = False
         if self.clients.closing:
-            self.leave_off()
+            self.end_if_idle()
 
-    def may_go_on(self) -> bool:
-        """Whether the queue's first may be begun; an end has its turn behind the last answer."""
+    def may_begin_first(self) -> bool:
+        """Whether the queue's first entry may be begun; an end waits until the last answer is written."""
         if isinstance(self.queue[0], Ending):
-            return not self.turns
-        return may_begin(len(self.turns), self.answer_bytes, self.clients.answer_bytes)
-
-    def begin(self, first: Asked | bytes) -> None:
-        turn = Turn(size(first))
-        self.turns.append(turn)
-        if len(self.turns) == 1:
-            self.release(turn)
-        if isinstance(first, bytes):
-            return self.settle(turn, first)
-        self.queries -= 1
-        self.answer(first, turn)
-
-    def release(self, turn: Turn) -> None:
-        """Its query is the first now, and no longer counts as held."""
-        self.held -= turn.held
-        turn.held = 0
-        if self.resting and self.held < READ_AHEAD // 2:
-            self.resting = False
+            return not self.pending
+        return may_begin(len(self.pending), self.answer_bytes, self.clients.answer_bytes)
+
+    def begin(self, entry: ReceivedQuery | bytes) -> None:
+        pending = PendingAnswer(entry_bytes(entry))
+        self.pending.append(pending)
+        if len(self.pending) == 1:
+            self.release_held_bytes(pending)
+        if isinstance(entry, bytes):
+            return self.settle(pending, entry)
+        self.queued_queries -= 1
+        self.answer_query(entry, pending)
+
+    def release_held_bytes(self, pending: PendingAnswer) -> None:
+        """Its query is the first now, which does not count as held."""
+        self.held_bytes -= pending.held_bytes
+        pending.held_bytes = 0
+        if self.read_paused and self.held_bytes < MAX_HELD_BYTES // 2:
+            self.read_paused = False
             self.transport.resumeProducing()
 
-    def leave_off(self) -> None:
-        """This relay is ending: the end of an idle connection, not over a query in the kernel, which is ours
-        already."""
+    def end_if_idle(self) -> None:
+        """While the relay shuts down: end the connection if it is idle and no query waits in the kernel, since that
+        has to be served."""
         now = self.clients.clock()
-        mute = self.mute(now)
-        if self.free() and (mute or leaves_off(not self.asked, now - self.idle_since, bool(self.half_since))):
-            self.end("mute" if mute else "closing")
-
-    def answer(self, asked: Asked, turn: Turn) -> None:
-        text = asked.text
+        is_mute = self.is_mute(now)
+        if self.can_end_unnoticed() and (
+            is_mute or leaves_off(not self.has_queried, now - self.idle_since, bool(self.partial_since))
+        ):
+            self.end("mute" if is_mute else "closing")
+
+    def answer_query(self, query: ReceivedQuery, pending: PendingAnswer) -> None:
+        text = query.text
         if not text.strip(b" ;\n\t"):
             self.counters.add("clients.empty")
-            return self.answer_empty(turn)
-        if statements.IDLE.fullmatch(text):
-            return self.settle(turn, messages.SET_DONE)
+            return self.answer_empty(pending)
+        if statements.SESSION_COMMAND.fullmatch(text):
+            return self.settle(pending, messages.SET_RESPONSE)
         try:
-            turn.request = self.clients.take(statements.read(text), asked.at)
-        except statements.Unclear as problem:
+            pending.request = self.clients.take(statements.read(text), query.at)
+        except statements.StatementError as problem:
             self.counters.add("clients.unclear")
-            return self.settle(turn, messages.trouble(FORM, str(problem)) + messages.READY)
+            return self.settle(
+                pending, messages.error_response(STATEMENT_ERROR_CODE, str(problem)) + messages.READY_FOR_QUERY
+            )
         self.counters.add("clients.taken")
-        turn.request.addCallbacks(self.answered, lambda reason: None, callbackArgs=(turn,))  # cancelled: nobody there
+        # the errback takes the cancellation, when there is nobody to answer any more
+        pending.request.addCallbacks(self.on_answer, lambda reason: None, callbackArgs=(pending,))
 
-    def answer_empty(self, turn: Turn) -> None:
-        if not self.again:
-            return self.settle(turn, messages.EMPTY)
-        self.queue.clear()  # a front that asks whether this relay is ready: not any more
-        self.hold(Ending("closing"))
-        self.settle(turn, b"")
+    def answer_empty(self, pending: PendingAnswer) -> None:
+        if not self.came_during_shutdown:
+            return self.settle(pending, messages.EMPTY_QUERY_RESPONSE)
+        self.queue.clear()  # a load balancer's readiness check: this relay is no longer ready
+        self.enqueue(Ending("closing"))
+        self.settle(pending, b"")
 
-    def answered(self, answer: Answer, turn: Turn) -> None:
+    def on_answer(self, answer: Answer, pending: PendingAnswer) -> None:
         self.idle_since = self.clients.clock()
         self.counters.add(f"clients.{type(answer).__name__.lower()}")
-        self.settle(turn, encoded(answer))
-        self.next()
-
-    def settle(self, turn: Turn, answer: bytes) -> None:
-        """The answer is known: it is written once those before it are."""
-        turn.request, turn.answer = None, answer
-        self.count_answer(len(answer))
-        while self.turns and self.turns[0].answer is not None:
-            known = self.turns.popleft().answer
-            self.count_answer(-len(known))
+        self.settle(pending, encode_answer(answer))
+        self.process_queue()
+
+    def settle(self, pending: PendingAnswer, answer: bytes) -> None:
+        """An answer is known: write it once all answers before it are written."""
+        pending.request, pending.answer = None, answer
+        self.add_answer_bytes(len(answer))
+        while self.pending and self.pending[0].answer is not None:
+            known = self.pending.popleft().answer
+            self.add_answer_bytes(-len(known))
             self.write(known)
-            if self.turns:
-                self.release(self.turns[0])
+            if self.pending:
+                self.release_held_bytes(self.pending[0])
 
-    def count_answer(self, more: int) -> None:
-        """Bytes of answers that wait for an earlier one, here and in all connections."""
+    def add_answer_bytes(self, more: int) -> None:
+        """Count bytes of answers that wait for an earlier one, here and for all connections together."""
         self.answer_bytes += more
         self.clients.answer_bytes += more
 
@@ -270,88 +310,95 @@
         self.transport.write(data)
 
     def pauseProducing(self) -> None:
-        """Answers pile up unread: no more of them until the client reads."""
-        self.clogged = True
+        """Called by the transport when its buffer is full: begin nothing more until the client reads."""
+        self.write_paused = True
 
     def resumeProducing(self) -> None:
-        self.clogged = False
-        self.next()
+        self.write_paused = False
+        self.process_queue()
 
     def stopProducing(self) -> None:
         """The connection has ended."""
 
     @property
-    def waiting(self) -> bool:
-        """Whether a request of it is under way."""
-        return bool(self.turns)
-
-    def idle(self) -> bool:
-        return not self.turns and not self.queue and not self.code
-
-    def mute(self, now: int) -> bool:
-        """Nothing whole has come for too long: no opening, no query ever, or half of a message."""
-        since = self.half_since or (now if self.asked else self.idle_since)
-        return self.idle() and now - since > MUTE
-
-    def free(self) -> bool:
-        """Idle, and nothing that it asked waits in the kernel: to close over that would reset it."""
-        return self.idle() and not unread(self.transport)
-
-    def end(self, code: str, last: bytes = b"", note: str = "") -> None:
-        """Behind what was written.  With a last answer just written only our half ends, and what still comes is read
-        and dropped until the other half does: a close with something unread is a reset, which may overtake the
-        answer."""
+    def has_pending(self) -> bool:
+        """Whether one of its requests is under way."""
+        return bool(self.pending)
+
+    def is_idle(self) -> bool:
+        return not self.pending and not self.queue and not self.code
+
+    def is_mute(self, now: int) -> bool:
+        """Whether nothing complete has come for too long: no startup, no first query, or only part of a message."""
+        since = self.partial_since or (now if self.has_queried else self.idle_since)
+        return self.is_idle() and now - since > MUTE_TIMEOUT
+
+    def can_end_unnoticed(self) -> bool:
+        """Whether it is idle and nothing waits unread in the kernel; otherwise its end would reset a query."""
+        return self.is_idle() and not has_unread_bytes(self.transport)
+
+    def end(self, code: str, last_message: bytes = b"", note: str = "") -> None:
+        """End the connection behind what was written.
+
+        With a last message only our half ends, and what still comes is read and dropped until the other half ends too:
+        a close with something unread resets the connection, and the reset may overtake the message.
+        """
         if self.code:
             return
         self.code, self.note = code, note
-        if last:
-            self.write(last)
-        self.transport.unregisterProducer()  # one that is paused would be asked for more, and no end would follow
-        if (last or code == "closing") and self.clients.reading_out < MOST_READ_OUT:
-            self.clients.reading_out += 1
-            self.reading_out = True
+        if last_message:
+            self.write(last_message)
+        self.transport.unregisterProducer()  # the transport asks a paused producer for more, and never ends
+        if (last_message or code == "closing") and self.clients.half_closed < MAX_HALF_CLOSED:
+            self.clients.half_closed += 1
+            self.is_half_closed = True
             self.transport.resumeProducing()
-            end_half(self.transport)
+            half_close(self.transport)
         else:
-            end_half(self.transport)
+            half_close(self.transport)
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
         """All is written and our half has ended."""
-        self.cutting = self.clients.reactor.callLater(READ_OUT, self.cut)
+        self.half_close_timer = self.clients.reactor.callLater(HALF_CLOSE_TIMEOUT_S, self.abort)
 
     def readConnectionLost(self) -> None:
-        """The other half has ended: who does that waits for nothing more."""
+        """The other half has ended: a client that does so expects no more answers."""
         self.transport.connectionLost(Failure(ConnectionDone()))
 
-    def cut(self, code: str = "") -> None:
-        """No more waiting for the other side."""
+    def abort(self, code: str = "") -> None:
+        """End at once, without waiting for the other side."""
         self.code = self.code or code
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.clients.leave(self)
-        self.clients.reading_out -= self.reading_out
-        cancel(self.cutting)
+        self.clients.remove(self)
+        self.clients.half_closed -= self.is_half_closed
+        cancel(self.half_close_timer)
         self.queue.clear()
         self.code = code = self.code or (
-            "left" if self.turns else "closed" if reason.check(ConnectionDone) else "broken"
+            "left" if self.pending else "closed" if reason.check(ConnectionDone) else "broken"
         )
-        for request in [turn.request for turn in self.turns if turn.request]:
+        for request in [pending.request for pending in self.pending if pending.request]:
             self.counters.add("clients.left")
             request.cancel()
-        self.turns.clear()
-        self.count_answer(-self.answer_bytes)
-        self.counters.ended("client", code, peer(self.transport), self.note)
+        self.pending.clear()
+        self.add_answer_bytes(-self.answer_bytes)
+        self.counters.ended("client", code, peer_address(self.transport), self.note)
 
 
-def peer(transport: object) -> str:
+def peer_address(transport: object) -> str:
+    """The other side's `host:port`, for the log."""
     address = transport.getPeer()
     return f"{getattr(address, 'host', '?')}:{getattr(address, 'port', 0)}"
 
 
 class Clients(Factory):
-    """All clients.  `take` starts an invocation; its Deferred is cancelled when the client has gone."""
+    """The connections of all clients.
+
+    `take` gets a statement and the time at which it came, and begins an invocation; it may raise StatementError.  The
+    Deferred that it returns is cancelled when the client has gone.
+    """
 
     noisy = False
 
@@ -361,62 +408,79 @@
         take: Callable[[statements.Statement, int], Deferred[Answer]],
         clock: Callable[[], int],
         counters: Counters,
-        most: int,
+        max_connections: int,
     ) -> None:
-        self.reactor, self.take, self.clock, self.counters, self.most = reactor, take, clock, counters, most
-        self.connections: dict[Client, None] = {}
+        self.reactor, self.take, self.clock, self.counters = reactor, take, clock, counters
+        self.max_connections = max_connections
+        self.connections: dict[ClientConnection, None] = {}
         self.closing = False
         self.answer_bytes = 0  # of all connections' answers that wait for an earlier one
-        self.reading_out = 0  # connections whose other half is waited for
-        self.sweeping = reactor.callLater(SWEEP, self.sweep)
+        self.half_closed = 0  # connections that wait for the other side's end
+        self.sweep_timer = reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
 
     def sweep(self) -> None:
-        """Connections that say nothing, or never end what they say, are not kept; idle ones only while there
-        are few: clients may hold so many unused that none is left for the next invocation.  No error is sent,
-        which a query on its way would take for its answer."""
-        now, crowded = self.clock(), len(self.connections) > self.most * CROWD
+        """End connections over which nothing complete comes, and idle ones while there are many.
+
+        Clients may hold so many unused connections that none is left for the next invocation.  No error is sent, since
+        a query on its way would take it for its answer.
+        """
+        now, is_crowded = self.clock(), len(self.connections) > self.max_connections * CROWDED_SHARE
         for client in list(self.connections):
-            if client.mute(now) and client.free():
+            if client.is_mute(now) and client.can_end_unnoticed():
                 client.end("mute")
-            elif crowded and not client.half_since and now - client.idle_since > UNUSED and client.free():
+            elif (
+                is_crowded
+                and not client.partial_since
+                and now - client.idle_since > UNUSED
+                and client.can_end_unnoticed()
+            ):
                 client.end("crowded")
-        self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
+        self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
 
     def stop_sweeping(self) -> None:
-        if self.sweeping.active():
-            self.sweeping.cancel()
+        if self.sweep_timer.active():
+            self.sweep_timer.cancel()
 
-    def buildProtocol(self, addr: object) -> Client:
-        return Client(self)
+    def buildProtocol(self, addr: object) -> ClientConnection:
+        return ClientConnection(self)
 
-    def enter(self, client: Client) -> bool:
-        """Whether there is room; of the idle connections one that should have asked by now makes room, or else
-        the longest idle one.  One that is new is about to ask: its query may have come already, unread."""
+    def admit(self, client: ClientConnection) -> bool:
+        """Register a new connection, and tell whether there is room for it.
+
+        At the limit an idle connection makes room: one that should have sent its first query by now, or else the one
+        that is idle longest.  A new connection is about to query, and its query may have come already, unread.
+        """
         now = self.clock()
         self.connections[client] = None
-        if len(self.connections) <= self.most:
+        if len(self.connections) <= self.max_connections:
             return True
         idle = sorted(
-            (each for each in self.connections if each is not client and each.idle()),
-            key=lambda each: (bool(each.half_since), each.asked or now - each.idle_since < FIRST, each.idle_since),
+            (each for each in self.connections if each is not client and each.is_idle()),
+            key=lambda each: (
+                bool(each.partial_since),
+                each.has_queried or now - each.idle_since < FIRST_QUERY_TIMEOUT,
+                each.idle_since,
+            ),
         )
-        longest = next((each for each in idle[:LOOKS] if each.free()), None)
-        if longest:
-            longest.end("no_room")
-        return longest is not None
+        evicted = next((each for each in idle[:MAX_EVICTION_CANDIDATES] if each.can_end_unnoticed()), None)
+        if evicted:
+            evicted.end("no_room")
+        return evicted is not None
 
-    def leave(self, client: Client) -> None:
+    def remove(self, client: ClientConnection) -> None:
         self.connections.pop(client, None)
 
     def close(self) -> None:
-        """Idle connections end now, the others with their last answer; called again until none is left."""
+        """Shut down: idle connections end now, the others with their last answer.  Called again until none is left."""
         self.closing = True
         for client in list(self.connections):
-            client.next()
+            client.process_queue()
+
+    def abort_stalled(self) -> None:
+        """Abort connections that wait only for the client to read its answers or to end its half.
 
-    def cut(self) -> None:
-        """Who does not read its answers, or does not end its half, is left; an invocation at hand has a time of its
-        own."""
+        Those with a request under way stay, since each request has a deadline of its own.
+        """
         for client in list(self.connections):
-            if not client.waiting:
-                client.cut("unread")
+            if not client.has_pending:
+                client.abort("unread")
--- a/tealsail/net/connections.py
+++ b/tealsail/net/connections.py
@@ -1,5 +1,8 @@
-"""What connections that a relay makes have in common: an end with a code for its reason, and, where one
-connection to an address is to stand always, making it anew."""
+"""Base classes of the connections that a relay opens: to units, to discovery and to the platform.
+
+`OutgoingConnection` is one connection that ends with a code for the reason; `PersistentConnection` keeps one connection
+to an address and opens it again whenever it ends.
+"""
 
 from typing import Any
 
@@ -11,13 +14,13 @@
 from ..choices.pauses import Pauses
 from .counters import Counters
 
-CONNECT = 1.0  # seconds
+CONNECT_TIMEOUT_S = 1.0
 
 
-class Ended(Protocol):
-    """A connection that ends at once when asked to; nothing more of it is read then."""
+class OutgoingConnection(Protocol):
+    """A connection that `end` aborts at once; what comes after that is not read any more."""
 
-    code = ""
+    code = ""  # the reason for which this side ended it; empty until then
 
     def end(self, code: str) -> None:
         if not self.code:
@@ -25,105 +28,114 @@
             self.transport.abortConnection()
 
     def why(self, reason: Failure) -> str:
+        """The code for the end of the connection: ours if this side ended it, else `closed` or `broken`."""
         return self.code or ("closed" if reason.check(ConnectionDone) else "broken")
 
 
-class Kept:
-    """One connection to an address, made anew after a pause that grows until something comes.  After a move
-    the former connection serves on until the one to the new address is up."""
+class PersistentConnection:
+    """One connection to an address, opened again after it ends.
+
+    The pause before the next attempt grows until the other side answers.  After a change of the address the former
+    connection stays in use until the one to the new address is up.
+    """
 
     def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Pauses) -> None:
         self.reactor, self.address, self.counters, self.pauses = reactor, address, counters, pauses
-        self.caller: Any = None  # the connection that counts, once it is up
-        self.silence: Any = None  # the timer of what is waited for on it
-        self.retry: Any = None  # the timer of the next try
-        self.tries, self.trying = 0, False  # only the latest try counts, and whether it is under way
+        self.connection: Any = None  # the one in use, once it is up
+        self.silence_timer: Any = None  # ends the connection if nothing comes over it
+        self.retry_timer: Any = None  # starts the next attempt to connect
+        self.attempt = 0  # number of the latest attempt to connect; the results of earlier ones are ignored
+        self.is_connecting = False  # whether the latest attempt is still under way
         self.stopped = False
 
-    def protocol(self) -> Ended:
+    def new_connection(self) -> OutgoingConnection:
+        """The protocol object for the next attempt to connect."""
         raise NotImplementedError
 
-    def joined(self, caller: Any) -> None:
-        """The connection is up; it counts from now on."""
+    def start_session(self, connection: Any) -> None:
+        """Called when a connection is up and has become the one in use."""
         raise NotImplementedError
 
-    def outdated(self, caller: Any) -> None:
-        """Another one counts from now on."""
-        caller.end("moved")
+    def retire(self, connection: Any) -> None:
+        """Called when another connection has replaced this one."""
+        connection.end("moved")
 
     def start(self) -> None:
+        """Begin a new attempt to connect, unless stopped."""
         if not self.stopped:
-            cancel(self.retry)
-            self.tries, self.trying = self.tries + 1, True
+            cancel(self.retry_timer)
+            self.attempt, self.is_connecting = self.attempt + 1, True
             host, port = self.address.rsplit(":", 1)
-            endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=CONNECT)
-            connectProtocol(endpoint, self.protocol()).addCallbacks(
-                self.up, self.refused, callbackArgs=(self.tries,), errbackArgs=(self.tries,)
+            endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=CONNECT_TIMEOUT_S)
+            connectProtocol(endpoint, self.new_connection()).addCallbacks(
+                self.on_connected, self.on_refused, callbackArgs=(self.attempt,), errbackArgs=(self.attempt,)
             )
 
-    def up(self, caller: Any, number: int) -> None:
-        if self.stopped or number != self.tries:  # there has been a move, or the end, meanwhile
-            return caller.end("closing" if self.stopped else "moved")
-        self.trying, former = False, self.caller
+    def on_connected(self, connection: Any, attempt: int) -> None:
+        if self.stopped or attempt != self.attempt:  # stopped, or a newer attempt began meanwhile
+            return connection.end("closing" if self.stopped else "moved")
+        self.is_connecting, former = False, self.connection
         if former:
-            self.outdated(former)
-        self.caller = caller
-        self.joined(caller)
+            self.retire(former)
+        self.connection = connection
+        self.start_session(connection)
 
-    def refused(self, reason: Failure, number: int) -> None:
-        if number == self.tries:
-            self.trying = False
-            self.again("refused")
+    def on_refused(self, reason: Failure, attempt: int) -> None:
+        if attempt == self.attempt:
+            self.is_connecting = False
+            self.schedule_retry("refused")
 
     def move(self, address: str) -> None:
-        """From now on the other side is found there."""
+        """Connect to another address from now on."""
         if address != self.address and not self.stopped:
             self.address = address
             self.pauses.reset()
             self.start()
 
-    def anew(self) -> None:
-        """What is known may be old: a new connection at once, and all of it asked for there."""
+    def reconnect(self) -> None:
+        """Open a new connection at once, because what is known from the present one may be out of date."""
         self.pauses.reset()
         self.start()
 
-    def expect(self, seconds: float) -> None:
-        """Without a sign from the other side within that time, the connection ends."""
-        self.quiet()
-        self.silence = self.reactor.callLater(seconds, self.overdue)
+    def expect_data_within(self, seconds: float) -> None:
+        """End the connection unless this is called again, or the expectation ended, within that time."""
+        self.stop_expecting_data()
+        self.silence_timer = self.reactor.callLater(seconds, self.on_silence)
 
-    def overdue(self) -> None:
-        if self.caller:
-            self.caller.end("silent")
+    def on_silence(self) -> None:
+        if self.connection:
+            self.connection.end("silent")
 
-    def quiet(self) -> None:
-        cancel(self.silence)
+    def stop_expecting_data(self) -> None:
+        cancel(self.silence_timer)
 
-    def lost(self, caller: Any) -> None:
-        if caller is self.caller:
-            self.caller = None
-            self.quiet()
-            if not self.trying:
-                self.again(caller.code or "closed")
+    def on_disconnect(self, connection: Any) -> None:
+        """To be called by each connection when it has ended."""
+        if connection is self.connection:
+            self.connection = None
+            self.stop_expecting_data()
+            if not self.is_connecting:
+                self.schedule_retry(connection.code or "closed")
 
-    def again(self, code: str) -> None:
-        cancel(self.retry)
+    def schedule_retry(self, code: str) -> None:
+        cancel(self.retry_timer)
         if not self.stopped:
             self.counters.add(f"kept.again.{code}")
-            self.retry = self.reactor.callLater(self.wait(code), self.start)
+            self.retry_timer = self.reactor.callLater(self.wait(code), self.start)
 
     def wait(self, code: str) -> float:
-        """Seconds until the next try after such an end."""
+        """Seconds until the next attempt, after a connection that ended with this code."""
         return self.pauses.next()
 
     def stop(self) -> None:
         self.stopped = True
-        self.quiet()
-        cancel(self.retry)
-        if self.caller:
-            self.caller.end("closing")
+        self.stop_expecting_data()
+        cancel(self.retry_timer)
+        if self.connection:
+            self.connection.end("closing")
 
 
 def cancel(timer: Any) -> None:
+    """Cancel a timer, if there is one and it has not fired yet."""
     if timer and timer.active():
         timer.cancel()
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from ..choices.pauses import Pauses
-from .connections import Ended, Kept
+from .connections import OutgoingConnection, PersistentConnection
 from .counters import Counters
 
 LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 8 * 1024 * 1024
@@ -214,7 +214,7 @@
         return reply
 
 
-class Caller(Ended):
+class Caller(OutgoingConnection):
     """One connection to the agent, one call at a time."""
 
     def __init__(self, discovery: "Discovery") -> None:
@@ -238,11 +238,11 @@
                 if reply.last:
                     self.end("turned_away" if reply.turned_away() else "last")
                 self.discovery.came(self, reply)
-            if self.replies.begun() and self is self.discovery.caller and not self.code:
+            if self.replies.begun() and self is self.discovery.connection and not self.code:
                 now = self.discovery.reactor.seconds()
                 self.since = now if self.since is None else self.since
                 # not a watch's wait: this is no pause of an agent in order; nor for ever, in however small pieces
-                self.discovery.expect(min(PART, max(0.0, self.since + WHOLE - now)))
+                self.discovery.expect_data_within(min(PART, max(0.0, self.since + WHOLE - now)))
         except Unreadable as problem:
             self.unreadable(str(problem))
 
@@ -256,10 +256,10 @@
             for reply in self.replies.ended():
                 self.discovery.came(self, reply)
         self.discovery.counters.ended("discovery", self.why(reason), self.discovery.address)
-        self.discovery.lost(self)
+        self.discovery.on_disconnect(self)
 
 
-class Discovery(Kept):
+class Discovery(PersistentConnection):
     """The whole list once, then a watch that is resumed at once after each answer."""
 
     def __init__(
@@ -278,10 +278,10 @@
         self.away = 0  # seconds that the other side asked for when it last turned us away
         self.moved = False  # and so it is at a new address
 
-    def protocol(self) -> Caller:
+    def new_connection(self) -> Caller:
         return Caller(self)
 
-    def joined(self, caller: Caller) -> None:
+    def start_session(self, connection: Caller) -> None:
         if self.moved:
             self.moved, self.version = False, None
         self.ask()
@@ -292,14 +292,14 @@
             self.moved = True
         super().move(address)
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         self.moved = True
-        super().anew()
+        super().reconnect()
 
     def begin(self, version: int, wait: float) -> None:
         """The first watch is of what changed since then, so many seconds from now."""
         self.version = version
-        self.retry = self.reactor.callLater(wait, self.start)
+        self.retry_timer = self.reactor.callLater(wait, self.start)
 
     def wait(self, code: str) -> float:
         return self.turned.next(self.away) if code == "turned_away" else super().wait(code)
@@ -307,28 +307,28 @@
     def ask(self) -> None:
         first = self.version is None
         self.counters.add("discovery.asked")
-        self.expect(FIRST_WAIT if first else WATCH + SLACK)
-        self.caller.call(self.path if first else f"{self.path}?after={self.version}&wait_ms={int(WATCH * 1000)}")
+        self.expect_data_within(FIRST_WAIT if first else WATCH + SLACK)
+        self.connection.call(self.path if first else f"{self.path}?after={self.version}&wait_ms={int(WATCH * 1000)}")
 
-    def came(self, caller: Caller, reply: Reply) -> None:
-        if caller is not self.caller:
+    def came(self, connection: Caller, reply: Reply) -> None:
+        if connection is not self.connection:
             return
-        self.quiet()
+        self.stop_expecting_data()
         if reply.turned_away():  # nothing was missed: no whole list, which all would ask for next
             self.counters.add("discovery.turned_away")
             self.away = reply.wait
-            return caller.end("turned_away")
+            return connection.end("turned_away")
         try:
             if reply.status != 200:
                 raise Unreadable(f"status {reply.status}")
             news = read_news(json.loads(reply.body))
         except (Unreadable, ValueError, RecursionError) as problem:
             self.version = None  # what was missed can't be told: the whole list next
-            return caller.unreadable(str(problem))
+            return connection.unreadable(str(problem))
         self.counters.add("discovery.answered")
         self.version = news.version
         self.pauses.reset()
         self.turned.reset()
-        if not caller.code:
+        if not connection.code:
             self.ask()  # before anything else: a watch goes on only for 200 ms
         self.tell(news)
--- a/tealsail/net/kernel.py
+++ b/tealsail/net/kernel.py
@@ -1,42 +1,47 @@
-"""What the kernel holds already and the loop has not read: a look at it, and an end in the same call as the look."""
+"""Access to what the kernel holds for a socket and the event loop has not handled yet.
+
+Connections and ports in memory, as tests use them, have no socket; for these the functions find nothing or do nothing.
+"""
 
 import socket
 from collections.abc import Callable
 from typing import Any
 
 
-def unread(transport: Any) -> bool:
-    """Whether bytes wait there unread.  An end that waits is none, nor is anything where there is no socket to look
-    at."""
-    held = getattr(transport, "socket", None)
+def has_unread_bytes(transport: Any) -> bool:
+    """Whether received bytes wait in the kernel.  An end of the stream that waits does not count."""
+    connection = getattr(transport, "socket", None)
     try:
-        return bool(held and held.recv(1, socket.MSG_PEEK))
-    except OSError:  # nothing there, or it has ended
+        return bool(connection and connection.recv(1, socket.MSG_PEEK))
+    except OSError:  # nothing there, or the connection has ended
         return False
 
 
-def end_half(transport: Any) -> None:
+def half_close(transport: Any) -> None:
     """End our half of a connection behind what was written, in this call unless the kernel has no room for that.
 
-    The loop alone would do so a turn later, tens of ms where it is busy, and what comes meanwhile would cross the end
-    though nothing was there at the look just before.
+    The event loop alone would do so in its next turn, tens of milliseconds later when it is busy.  A query that arrives
+    in between would cross the end, though `has_unread_bytes` found nothing just before.
     """
     transport.loseWriteConnection()
-    write = getattr(transport, "doWrite", None)  # connections in memory have no kernel behind them
+    write = getattr(transport, "doWrite", None)
     if write:
         write()
 
 
-def hold(port: Any, held: bool) -> None:
-    """Whether who comes waits in the kernel; there is room for as many as the port was made for."""
-    turn = getattr(port, "stopReading" if held else "startReading", None)
-    if turn:  # ports in memory have no kernel behind them
-        turn()
+def set_accepting_paused(port: Any, paused: bool) -> None:
+    """Leave new connections in the kernel's backlog, or accept them again.
+
+    The backlog has room for as many as the port was opened with.
+    """
+    switch = getattr(port, "stopReading" if paused else "startReading", None)
+    if switch:
+        switch()
 
 
-def take_in(port: Any, count: Callable[[], int]) -> None:
-    """Accept all that a listening port holds; `count` tells how many have been accepted so far."""
-    accept = getattr(port, "doRead", None)  # ports in memory have no kernel behind them
+def accept_pending(port: Any, count: Callable[[], int]) -> None:
+    """Accept all connections in a listening port's backlog; `count` is the number accepted since the start."""
+    accept = getattr(port, "doRead", None)
     before = None
     while accept and before != (before := count()):
         accept()
--- a/tealsail/net/messages.py
+++ b/tealsail/net/messages.py
@@ -1,105 +1,130 @@
-"""Version 3 of PostgreSQL's wire protocol, as far as simple queries need it: bytes to small typed values and
-back, each once."""
+"""Messages of version 3 of PostgreSQL's wire protocol, as far as simple queries need them.
+
+Parsing turns bytes into small typed values, once each; the functions at the end build messages as bytes.  The protocol
+is specified in PostgreSQL's documentation, "Frontend/Backend Protocol", section "Message Formats".
+"""
 
 import struct
 from collections.abc import Iterator
 from typing import NamedTuple
 
-LONGEST = 256 * 1024  # a value of 64 KiB in hex, a statement round it, and room
-LONGEST_OPENING = 10_000
-SSL, GSSENC, CANCEL, VERSION_3 = 80877103, 80877104, 80877102, 3
+MAX_MESSAGE_BYTES = 256 * 1024  # a value of 64 KiB in hex, the statement around it, and room to spare
+MAX_FIRST_MESSAGE_BYTES = 10_000
+SSL_REQUEST_CODE = 80877103
+GSSENC_REQUEST_CODE = 80877104
+CANCEL_REQUEST_CODE = 80877102
+PROTOCOL_MAJOR_VERSION = 3
 
 
-class Unreadable(Exception):
-    """The stream is lost: what came is beyond bounds or not the protocol's."""
+class ProtocolError(Exception):
+    """What came is too long or violates the protocol; nothing behind it in the stream can be read."""
 
 
 class Startup(NamedTuple):
+    """StartupMessage."""
+
     parameters: dict[bytes, bytes]
 
 
-class Encryption(NamedTuple):
+class EncryptionRequest(NamedTuple):
     """SSLRequest or GSSENCRequest."""
 
 
-class Cancel(NamedTuple):
+class CancelRequest(NamedTuple):
     """CancelRequest; a connection that brings one brings nothing else."""
 
 
 class Query(NamedTuple):
+    """A simple query."""
+
     text: bytes
 
 
-class Extended(NamedTuple):
-    """A message of the extended protocol; a Sync ends them."""
+class ExtendedMessage(NamedTuple):
+    """A message of the extended query protocol; a Sync ends a series of them."""
 
     sync: bool
 
 
-class Copied(NamedTuple):
-    """A late message of a copy; the protocol has it ignored."""
+class CopyMessage(NamedTuple):
+    """A late message of a copy operation; the protocol requires it to be ignored."""
 
 
 class Terminate(NamedTuple):
-    pass
+    """The client ends its connection."""
 
 
 class Authentication(NamedTuple):
+    """An authentication request; kind 0 is AuthenticationOk."""
+
     kind: int
 
 
-class Status(NamedTuple):
+class ParameterStatus(NamedTuple):
+    """A run-time parameter that the unit reports."""
+
     name: bytes
     value: bytes
 
 
-class Ready(NamedTuple):
-    pass
+class ReadyForQuery(NamedTuple):
+    """The unit is ready for the next query."""
 
 
-class Described(NamedTuple):
+class RowDescription(NamedTuple):
+    """The columns of a result: the message's body, and how many there are."""
+
     body: bytes
     columns: int
 
 
-class Row(NamedTuple):
+class DataRow(NamedTuple):
+    """A row of a result: the message's body, and the number of its columns."""
+
     body: bytes
     columns: int
 
 
-class Complete(NamedTuple):
+class CommandComplete(NamedTuple):
+    """The end of a result."""
+
     body: bytes
 
 
-class Trouble(NamedTuple):
-    """ErrorResponse."""
+class ErrorResponse(NamedTuple):
+    """An error: its SQLSTATE code and its message."""
 
     code: bytes
     text: bytes
 
 
-class Empty(NamedTuple):
-    """EmptyQueryResponse."""
+class EmptyQueryResponse(NamedTuple):
+    """The answer to an empty query."""
 
 
-class Passed(NamedTuple):
-    """Notices and the like: read and passed over."""
+class IgnoredMessage(NamedTuple):
+    """A notice or another message that changes nothing."""
 
 
 class Value(NamedTuple):
-    """A whole answer as a unit gave it."""
+    """The complete answer of a unit, its messages as they came."""
 
-    described: Described
-    row: Row
-    complete: Complete
+    description: RowDescription
+    row: DataRow
+    completion: CommandComplete
 
 
-class Splitter:
-    """Cuts a stream into messages; fed in any pieces, it never holds more than one message and one piece."""
+class MessageSplitter:
+    """Cuts a stream, fed in pieces of any size, into messages.
+
+    Iteration yields the type byte and the body of each complete message, and raises ProtocolError for a length beyond
+    bounds.  It never holds more than one incomplete message and one piece.
+    """
 
     def __init__(self, typed: bool) -> None:
+        """`typed`: whether messages begin with a type byte, as all do but a client's first ones."""
         self.typed = typed
-        self.held = bytearray()
+        self.held = bytearray()  # what has come of messages that are not yielded yet
 
     def feed(self, data: bytes) -> None:
         self.held += data
@@ -110,8 +135,8 @@
             if len(self.held) < head:
                 return
             (length,) = struct.unpack_from(">I", self.held, head - 4)
-            if not 4 <= length <= (LONGEST if self.typed else LONGEST_OPENING):
-                raise Unreadable(f"a message of {length} bytes")
+            if not 4 <= length <= (MAX_MESSAGE_BYTES if self.typed else MAX_FIRST_MESSAGE_BYTES):
+                raise ProtocolError(f"a message of {length} bytes")
             if len(self.held) < head - 4 + length:
                 return
             kind, body = bytes(self.held[: head - 4]), bytes(self.held[head : head - 4 + length])
@@ -119,126 +144,150 @@
             yield kind, body
 
 
-def strings(body: bytes) -> list[bytes]:
+def split_strings(body: bytes) -> list[bytes]:
+    """The zero-terminated strings that a body consists of.  Raises ProtocolError if the last one has no end."""
     if body[-1:] != b"\0":
-        raise Unreadable("a string without its end")
+        raise ProtocolError("a string without its end")
     return body[:-1].split(b"\0")
 
 
-def opening(body: bytes) -> Startup | Encryption | Cancel:
-    """The first message of a client, which has no type."""
+def parse_first_message(body: bytes) -> Startup | EncryptionRequest | CancelRequest:
+    """The first message of a client, which has no type byte.  Raises ProtocolError."""
     if len(body) < 4:
-        raise Unreadable("a first message without a version")
+        raise ProtocolError("a first message without a version")
     (code,) = struct.unpack_from(">I", body)
-    if code in (SSL, GSSENC):
-        return Encryption()
-    if code == CANCEL:
-        return Cancel()
-    if code >> 16 != VERSION_3:
-        raise Unreadable(f"protocol version {code >> 16}.{code & 0xFFFF}")
-    words = strings(body[4:])
-    if len(words) % 2 != 1 or words[-1]:
-        raise Unreadable("startup parameters without their end")
-    return Startup(dict(zip(words[:-1:2], words[1:-1:2])))
-
-
-def from_client(kind: bytes, body: bytes) -> Query | Extended | Copied | Terminate:
+    if code in (SSL_REQUEST_CODE, GSSENC_REQUEST_CODE):
+        return EncryptionRequest()
+    if code == CANCEL_REQUEST_CODE:
+        return CancelRequest()
+    if code >> 16 != PROTOCOL_MAJOR_VERSION:
+        raise ProtocolError(f"protocol version {code >> 16}.{code & 0xFFFF}")
+    strings = split_strings(body[4:])
+    if len(strings) % 2 != 1 or strings[-1]:
+        raise ProtocolError("startup parameters without their end")
+    return Startup(dict(zip(strings[:-1:2], strings[1:-1:2])))
+
+
+def parse_client_message(kind: bytes, body: bytes) -> Query | ExtendedMessage | CopyMessage | Terminate:
+    """A client's message after the first.  Raises ProtocolError."""
     if kind == b"Q":
-        text, *rest = strings(body)
+        text, *rest = split_strings(body)
         if rest:
-            raise Unreadable("a query of several strings")
+            raise ProtocolError("a query of several strings")
         return Query(text)
     if kind == b"X":
         return Terminate()
     if kind in (b"P", b"B", b"D", b"E", b"C", b"H", b"F", b"S"):
-        return Extended(kind == b"S")
+        return ExtendedMessage(kind == b"S")
     if kind in (b"d", b"c", b"f"):
-        return Copied()
-    raise Unreadable(f"a message of type {kind!r}")
+        return CopyMessage()
+    raise ProtocolError(f"a message of type {kind!r}")
 
 
-def from_unit(
+def parse_unit_message(
     kind: bytes, body: bytes
-) -> Authentication | Status | Ready | Described | Row | Complete | Trouble | Empty | Passed:
+) -> (
+    Authentication
+    | ParameterStatus
+    | ReadyForQuery
+    | RowDescription
+    | DataRow
+    | CommandComplete
+    | ErrorResponse
+    | EmptyQueryResponse
+    | IgnoredMessage
+):
+    """A unit's message.  Raises ProtocolError; a malformed parameter status is ignored instead."""
     try:
         match kind:
             case b"R":
                 return Authentication(*struct.unpack(">I", body))
             case b"S":
                 pair = body.split(b"\0")
-                return Status(*pair[:2]) if len(pair) == 3 and not pair[2] else Passed()  # spoils nothing
+                return ParameterStatus(*pair[:2]) if len(pair) == 3 and not pair[2] else IgnoredMessage()
             case b"T":
-                return Described(body, columns(body, 18))
+                return RowDescription(body, count_columns(body, 18))
             case b"D":
-                return Row(body, columns(body))
-            case b"C" if len(strings(body)) == 1:
-                return Complete(body)
+                return DataRow(body, count_columns(body))
+            case b"C" if len(split_strings(body)) == 1:
+                return CommandComplete(body)
             case b"E":
-                *fields, last = strings(body)
+                *fields, last = split_strings(body)
                 codes = {field[:1]: field[1:] for field in fields}
                 if not last and len(codes.get(b"C", b"")) == 5:
-                    return Trouble(codes[b"C"], codes.get(b"M", b""))
+                    return ErrorResponse(codes[b"C"], codes.get(b"M", b""))
             case b"Z" if body in (b"I", b"T", b"E"):
-                return Ready()
+                return ReadyForQuery()
             case b"I" if not body:
-                return Empty()
+                return EmptyQueryResponse()
             case b"K" | b"N" | b"A":
-                return Passed()
+                return IgnoredMessage()
     except (struct.error, IndexError, ValueError):
         pass
-    raise Unreadable(f"a message of type {kind!r} that can't be read")
+    raise ProtocolError(f"a message of type {kind!r} with a malformed body")
+
 
+def count_columns(body: bytes, description_bytes: int = 0) -> int:
+    """The number of columns in the body of a row description or a row, after a check that each is complete.
 
-def columns(body: bytes, described: int = 0) -> int:
-    """How many there are, each whole: a name and so many bytes of description, or a length and a value."""
+    A column is a name and `description_bytes` bytes in a row description, and a length and a value in a row (0 bytes).
+    Raises ProtocolError, or ValueError or struct.error for a body that ends too early.
+    """
     (count,) = struct.unpack_from(">H", body)
     at = 2
     for _ in range(count):
-        if described:
-            at = body.index(b"\0", at) + 1 + described
+        if description_bytes:
+            at = body.index(b"\0", at) + 1 + description_bytes
         else:
             (length,) = struct.unpack_from(">i", body, at)
             at += 4 + (length if length >= 0 else len(body))
     if at != len(body):
-        raise Unreadable("lengths that don't fit")
+        raise ProtocolError("column lengths do not add up to the length of the message")
     return count
 
 
 def message(kind: bytes, body: bytes = b"") -> bytes:
+    """A message with a type byte."""
     return kind + struct.pack(">I", len(body) + 4) + body
 
 
-READY = message(b"Z", b"I")
-EMPTY = message(b"I") + READY
-DECLINED = b"N"
-WELCOME = (
+READY_FOR_QUERY = message(b"Z", b"I")
+EMPTY_QUERY_RESPONSE = message(b"I") + READY_FOR_QUERY
+ENCRYPTION_DECLINED = b"N"
+STARTUP_RESPONSE = (
     message(b"R", struct.pack(">I", 0))
     + message(b"S", b"server_version\x0016.0\0")
     + message(b"S", b"client_encoding\0UTF8\0")
     + message(b"S", b"standard_conforming_strings\0on\0")
     + message(b"K", bytes(8))
-    + READY
+    + READY_FOR_QUERY
 )
-SET_DONE = message(b"C", b"SET\0") + READY
+SET_RESPONSE = message(b"C", b"SET\0") + READY_FOR_QUERY
 
 
 def startup(user: bytes, database: bytes) -> bytes:
-    body = struct.pack(">I", VERSION_3 << 16) + b"user\0" + user + b"\0database\0" + database + b"\0\0"
+    """A StartupMessage, which has no type byte."""
+    body = struct.pack(">I", PROTOCOL_MAJOR_VERSION << 16) + b"user\0" + user + b"\0database\0" + database + b"\0\0"
     return struct.pack(">I", len(body) + 4) + body
 
 
 def query(text: bytes) -> bytes:
+    """A simple query."""
     return message(b"Q", text + b"\0")
 
 
-def trouble(code: str, text: str, come_back: int | None = None, fatal: bool = False) -> bytes:
-    """An ErrorResponse; `come_back` in milliseconds goes into the field for details."""
+def error_response(code: str, text: str, retry_after: int | None = None, fatal: bool = False) -> bytes:
+    """An ErrorResponse; `retry_after`, in milliseconds, goes into the field for details."""
     severity = "FATAL" if fatal else "ERROR"
-    fields = [f"S{severity}", f"V{severity}", f"C{code}", f"M{text}"] + [f"D{come_back}"] * bool(come_back)
+    fields = [f"S{severity}", f"V{severity}", f"C{code}", f"M{text}"] + [f"D{retry_after}"] * bool(retry_after)
     return message(b"E", b"".join(field.encode() + b"\0" for field in fields) + b"\0")
 
 
-def whole(value: Value) -> bytes:
+def value_response(value: Value) -> bytes:
+    """The messages of a complete answer, ReadyForQuery included."""
     return (
-        message(b"T", value.described.body) + message(b"D", value.row.body) + message(b"C", value.complete.body) + READY
+        message(b"T", value.description.body)
+        + message(b"D", value.row.body)
+        + message(b"C", value.completion.body)
+        + READY_FOR_QUERY
     )
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -1,4 +1,4 @@
-"""Other relays: notes as UDP datagrams."""
+"""Notes to and from the other relays, as UDP datagrams."""
 
 from collections.abc import Callable
 
@@ -8,49 +8,57 @@
 from ..notes import of_shots
 from .counters import Counters
 
-LONGEST = 256
+MAX_DATAGRAM_BYTES = 256
 
 
-def pair(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
+    """Host and port of `host:port`."""
     host, port = address.rsplit(":", 1)
     return host, int(port)
 
 
 class Peers(DatagramProtocol):
-    """What arrives counts only from an address of the list; a relay's number is its place there."""
+    """Sends notes to the other relays and receives theirs.
+
+    A relay's number is its position in `addresses`; datagrams from other addresses are dropped.
+    """
 
     noisy = False
 
     def __init__(
         self,
         addresses: list[str],
-        everyone: str,
+        broadcast_address: str,
         counters: Counters,
-        heard: Callable[[int, bytes], None],
-        flood: Flood,
+        on_note: Callable[[int, bytes], None],
+        count_limit: Flood,
         clock: Callable[[], int],
     ) -> None:
-        """`flood` bounds notes of counts; those of shots are many more and small, with a bound of their own."""
-        self.addresses = [pair(address) for address in addresses]
+        """`on_note` gets a relay's number and its note.
+
+        `count_limit` bounds the notes of counts; notes of shots, far more and small, have a bound of their own.
+        `broadcast_address` is that of all relays together, or empty; `clock` gives tenths of a millisecond.
+        """
+        self.addresses = [parse_address(address) for address in addresses]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
-        self.everyone = pair(everyone) if everyone else None
-        self.counters, self.heard = counters, heard
-        self.flood, self.shots, self.clock = flood, Flood(SHOTS), clock
+        self.broadcast_address = parse_address(broadcast_address) if broadcast_address else None
+        self.counters, self.on_note = counters, on_note
+        self.count_limit, self.shot_limit, self.clock = count_limit, Flood(SHOTS), clock
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         number = self.numbers.get(address)
-        if number is None or len(data) > LONGEST:
+        if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.dropped")
-        elif not (self.shots if of_shots(data) else self.flood).allows(number, self.clock()):
+        elif not (self.shot_limit if of_shots(data) else self.count_limit).allows(number, self.clock()):
             self.counters.add("peers.shed")
         else:
             self.counters.add("peers.heard")
-            self.heard(number, data)
+            self.on_note(number, data)
 
-    def tell(self, number: int, data: bytes) -> None:
-        """To the relay of that number, or to all (-1)."""
-        to = self.everyone if number < 0 else self.addresses[number] if number < len(self.addresses) else None
-        if not to or not self.transport or len(data) > LONGEST:
+    def send(self, number: int, data: bytes) -> None:
+        """Send a note to the relay of that number, or to all relays (-1)."""
+        to = self.broadcast_address if number < 0 else self.addresses[number] if number < len(self.addresses) else None
+        if not to or not self.transport or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.unsent")
             return
         try:
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from ..choices.pauses import Pauses
-from .connections import Ended, Kept, cancel
+from .connections import OutgoingConnection, PersistentConnection, cancel
 from .counters import Counters
 
 LONGEST = 8 * 1024
@@ -86,7 +86,7 @@
     return json.dumps(tree | ({"params": params} if params else {}), separators=(",", ":")).encode() + b"\n"
 
 
-class Caller(Ended):
+class Caller(OutgoingConnection):
     """One connection; it subscribes first, and calls go behind each other."""
 
     def __init__(self, platform: "Platform") -> None:
@@ -105,8 +105,8 @@
                     self.platform.came(self, read(line))
             if len(self.held) >= LONGEST:
                 raise Unreadable("a line beyond bounds")
-            if self.held and self is self.platform.caller:
-                self.platform.expect(PART)  # what began must end soon
+            if self.held and self is self.platform.connection:
+                self.platform.expect_data_within(PART)  # what began must end soon
         except Unreadable as problem:
             self.platform.counters.add("platform.unreadable")
             logger.warning("platform: {}", problem)
@@ -114,10 +114,10 @@
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         self.platform.counters.ended("platform", self.why(reason), self.platform.address)
-        self.platform.lost(self)
+        self.platform.on_disconnect(self)
 
 
-class Platform(Kept):
+class Platform(PersistentConnection):
     """The subscription, kept up, and one vote at a time over the same connection."""
 
     def __init__(
@@ -137,27 +137,27 @@
         self.ballot: Caller | None = None  # the connection that it was written to
         self.vote_timer: Any = None
 
-    def protocol(self) -> Caller:
+    def new_connection(self) -> Caller:
         return Caller(self)
 
-    def joined(self, caller: Caller) -> None:
+    def start_session(self, connection: Caller) -> None:
         self.calls += 1
         self.counters.add("platform.subscribed")
-        caller.transport.write(call(self.calls, "subscribe"))
-        self.expect(SILENT)
+        connection.transport.write(call(self.calls, "subscribe"))
+        self.expect_data_within(SILENT)
 
-    def outdated(self, caller: Caller) -> None:
+    def retire(self, connection: Caller) -> None:
         """A vote that is out there may still get its answer."""
-        if caller is not self.ballot:
-            super().outdated(caller)
+        if connection is not self.ballot:
+            super().retire(connection)
 
-    def came(self, caller: Caller, what: Answer | Told) -> None:
-        if isinstance(what, Answer) and caller is self.ballot and what.call == self.voting:
+    def came(self, connection: Caller, what: Answer | Told) -> None:
+        if isinstance(what, Answer) and connection is self.ballot and what.call == self.voting:
             self.voted("ok" if what.state else ERRORS.get(what.error, "timeout"))
-        if caller is not self.caller:  # news comes over the connection that counts
+        if connection is not self.connection:  # news comes over the connection that counts
             return
         self.pauses.reset()
-        self.expect(SILENT)
+        self.expect_data_within(SILENT)
         if isinstance(what, Told):
             self.counters.add("platform.news" if what.state else "platform.alive")
         if what.state:
@@ -167,26 +167,26 @@
         self.calls += 1
         self.counters.add("platform.votes")
         self.voting = self.calls
-        if not self.caller or self.caller.code:  # nothing was written: it was not carried out
+        if not self.connection or self.connection.code:  # nothing was written: it was not carried out
             self.reactor.callLater(0, self.voted, "error")
             return
-        self.ballot = self.caller
+        self.ballot = self.connection
         self.vote_timer = self.reactor.callLater(self.vote_wait, self.voted, "timeout")
-        self.caller.transport.write(
+        self.connection.transport.write(
             call(self.calls, "release.vote", {"Revision": build, "Wave": stage, "Decision": VERDICTS[verdict]})
         )
 
     def voted(self, answer: str) -> None:
         if self.voting is None:
             return
-        caller, self.voting, self.ballot = self.ballot, None, None
+        connection, self.voting, self.ballot = self.ballot, None, None
         cancel(self.vote_timer)
         self.counters.add(f"platform.vote.{answer}")
-        if caller and caller is not self.caller:
-            self.outdated(caller)
+        if connection and connection is not self.connection:
+            self.retire(connection)
         self.counted(answer)
 
-    def lost(self, caller: Caller) -> None:
-        if caller is self.ballot:
+    def on_disconnect(self, connection: Caller) -> None:
+        if connection is self.ballot:
             self.voted("timeout")  # it may have been carried out
-        super().lost(caller)
+        super().on_disconnect(connection)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -33,12 +33,12 @@
 from .connections import cancel
 from .counters import Counters
 from .discovery import Discovery, Entry, News, number_of
-from .kernel import hold, take_in
-from .peers import Peers, pair
+from .kernel import accept_pending, set_accepting_paused
+from .peers import Peers, parse_address
 from .platform import Platform, State
 from .start import Assignment
-from .statements import Statement, Unclear, onward
-from .units import Came, Shot, Units
+from .statements import Statement, StatementError, text_for_unit
+from .units import Shot, ShotResult, Units
 
 PATH = "/catalog/members"
 SPARE, FEWEST = 64, 64  # descriptors for all but clients and units; at least
@@ -95,12 +95,12 @@
         relay.counters.add("units.shots")
         shot = relay.units.shoot(
             unit,
-            lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
+            lambda: text_for_unit(self.statement, max(1, -(-(until - relay.clock()) // 10))),
             wait / TENTHS,
             lambda: relay.facade.stands(self.number, place),
         )
         if shot is None:
-            self.came(Came("moot"), place)
+            self.came(ShotResult("moot"), place)
             return
         self.shots[place] = shot
         if relay.record:
@@ -108,7 +108,7 @@
         shot.done.addCallback(self.came, place)
         shot.done.addErrback(relay.fault)
 
-    def came(self, came: Came, place: int) -> None:
+    def came(self, came: ShotResult, place: int) -> None:
         self.shots.pop(place, None)
         self.relay.counters.add(f"units.{came.outcome}")
         fields = self.relay.load_fields
@@ -222,9 +222,9 @@
             self.stood(self.told.state)
         self.listed(self.told.known, "old copy")
         if self.told.peer_listen:
-            host, port = pair(self.told.peer_listen)
+            host, port = parse_address(self.told.peer_listen)
             self.post = self.reactor.listenUDP(port, self.peers, host, maxPacketSize=2048)
-        host, port = pair(self.told.listen)
+        host, port = parse_address(self.told.listen)
         self.door = self.reactor.listenTCP(port, self.clients, 512, host)
         self.watch()
         if self.told.platform:
@@ -243,7 +243,7 @@
         held = door_held(wait)
         if held is not None:
             self.holding = self.reactor.callLater(held, self.open)
-            hold(self.door, True)
+            set_accepting_paused(self.door, True)
         if wait is None:
             self.discovery.start()
         else:
@@ -254,7 +254,7 @@
         if self.holding:
             cancel(self.holding)
             self.holding = None
-            hold(self.door, False)
+            set_accepting_paused(self.door, False)
 
     def look(self) -> None:
         """Steps of the wall clock are told and move nothing."""
@@ -278,14 +278,14 @@
         self.counters.add("clock.gaps")
         logger.warning("clock: nothing ran for {:.1f} s; list and platform are asked anew", gap)
         disregard(self.facade.relay, self.clock.last)
-        self.reactor.callLater(0, self.anew)
+        self.reactor.callLater(0, self.reconnect)
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         if not self.stopped:
-            self.units.forget_idle()
-            self.discovery.anew()
+            self.units.close_idle()
+            self.discovery.reconnect()
             if self.told.platform:
-                self.platform.anew()
+                self.platform.reconnect()
 
     def assign(self, told: Assignment) -> None:
         """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes
@@ -315,9 +315,9 @@
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
         if statement.workload not in self.facade.workloads:
-            raise Unclear("no such workload")
+            raise StatementError("no such workload")
         if statement.id in self.ids:  # else units could not tell the two apart
-            raise Unclear("the id of an open invocation")
+            raise StatementError("the id of an open invocation")
         answer = Serving(self, statement, at).answer
         self.schedule()
         return answer
@@ -391,7 +391,7 @@
             elif isinstance(step, Shoot):  # its client left meanwhile
                 self.facade.report(Outcome(number, step.place, "moot"))
         for number, data in wants.notes:
-            self.peers.tell(number, data)
+            self.peers.send(number, data)
         for vote in wants.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
             self.platform.vote(*vote)
@@ -434,11 +434,11 @@
         now = self.clock()
         late = self.last_looks.late(now)
         if not late:
-            take_in(self.door, lambda: self.counters.counts["clients.connections"])
+            accept_pending(self.door, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
         over = self.last_looks.over(now, len(self.clients.connections))
         if late:  # who does not read its answer, or comes again and again, would keep this
-            self.clients.cut()  # relay for ever
+            self.clients.abort_stalled()  # relay for ever
         if not over:
             self.reactor.callLater(LAST, self.finish)
             return
--- a/tealsail/net/statements.py
+++ b/tealsail/net/statements.py
@@ -1,4 +1,4 @@
-"""The statements that clients send and units are sent, and the comment at their end."""
+"""SQL statements that clients send and units receive, with the fields in the comment at their end."""
 
 import re
 from typing import NamedTuple
@@ -13,60 +13,65 @@
     + rb"\s*\)\s*RETURNING\s+\w+\s*",
     re.I,
 )
-WAIT, ID = re.compile(rb"\d{1,9}(\.\d{1,9})?"), re.compile(rb"[!-~]{1,64}")
-VALUE = re.compile(rb"\\x(?:[0-9a-fA-F]{2})*")
-IDLE = re.compile(rb"\s*(SET|RESET|DISCARD)\b.*", re.I | re.S)
+WAIT_FIELD = re.compile(rb"\d{1,9}(\.\d{1,9})?")  # milliseconds
+ID_FIELD = re.compile(rb"[!-~]{1,64}")
+HEX_VALUE = re.compile(rb"\\x(?:[0-9a-fA-F]{2})*")
+SESSION_COMMAND = re.compile(rb"\s*(SET|RESET|DISCARD)\b.*", re.I | re.S)  # answered without a unit
 
 
-class Unclear(Exception):
-    """A statement or a comment that can't be read; the stream itself goes on."""
+class StatementError(Exception):
+    """A statement or its comment can't be read; the connection goes on.  Clients see the text."""
 
 
 class Statement(NamedTuple):
-    """What a client asks.  `wait` is in milliseconds; the text round `wait` passes on as it came."""
+    """A client's statement and the fields of its comment.
 
-    before: bytes
-    after: bytes
+    The text before and after the digits of the time to wait is passed on to the unit as it came.
+    """
+
+    text_before_wait: bytes
+    text_after_wait: bytes
     id: bytes
     workload: str
     customer: str
     key: str
-    wait: float
-    repeat: bool
+    wait: float  # milliseconds that the client waits for the answer
+    repeat: bool  # whether the client has sent this request before
 
 
 def read(text: bytes) -> Statement:
-    body, mark, comment = text.rpartition(b"/*")
-    comment, end, rest = comment.partition(b"*/")
-    if not mark or not end or rest.strip(b" ;\n\t"):
-        raise Unclear("no comment at its end")
+    """Parse a SELECT or INSERT with its comment.  Raises StatementError."""
+    body, comment_start, comment = text.rpartition(b"/*")
+    comment, comment_end, rest = comment.partition(b"*/")
+    if not comment_start or not comment_end or rest.strip(b" ;\n\t"):
+        raise StatementError("no comment at its end")
     match = SELECT.fullmatch(body) or INSERT.fullmatch(body)
     if not match:
-        raise Unclear("neither of the two forms")
+        raise StatementError("neither of the two forms")
     fields = {}
     for pair in comment.split(b","):
         name, equals, value = pair.strip().partition(b"=")
         if not equals or name in fields:
-            raise Unclear("a field without a value, or twice")
+            raise StatementError("a field without a value, or twice")
         fields[name] = value
-    place = re.search(rb"(?:^|,)\s*d=([^,\s]*)", comment)
-    if match.lastindex == 2 and not VALUE.fullmatch(match[2]):
-        raise Unclear("a value that can't be read")
+    wait_match = re.search(rb"(?:^|,)\s*d=([^,\s]*)", comment)
+    if match.lastindex == 2 and not HEX_VALUE.fullmatch(match[2]):
+        raise StatementError("a value that can't be read")
     try:
-        wait = float(fields[b"d"]) if WAIT.fullmatch(fields[b"d"]) else -1.0
+        wait = float(fields[b"d"]) if WAIT_FIELD.fullmatch(fields[b"d"]) else -1.0
         workload = fields[b"c"].decode()
         customer = fields.get(b"t", b"").decode()
-        key = match[1].replace(b"''", b"'").decode("latin-1")  # any bytes
+        key = match[1].replace(b"''", b"'").decode("latin-1")  # a key may consist of any bytes
     except KeyError as missing:
-        raise Unclear(f"no field {missing.args[0].decode()}") from None
+        raise StatementError(f"no field {missing.args[0].decode()}") from None
     except ValueError:
-        raise Unclear("a field that can't be read") from None
-    if not ID.fullmatch(fields.get(b"id", b"")) or not 0 <= wait < 1e9 or not place:
-        raise Unclear("no id, or no time to wait")
-    first = len(body) + 2 + place.start(1)
+        raise StatementError("a field that can't be read") from None
+    if not ID_FIELD.fullmatch(fields.get(b"id", b"")) or not 0 <= wait < 1e9 or not wait_match:
+        raise StatementError("no id, or no time to wait")
+    wait_start = len(body) + 2 + wait_match.start(1)
     return Statement(
-        text[:first],
-        text[first + len(place[1]) :],
+        text[:wait_start],
+        text[wait_start + len(wait_match[1]) :],
         fields[b"id"],
         workload,
         customer,
@@ -76,6 +81,6 @@
     )
 
 
-def onward(statement: Statement, wait: int) -> bytes:
-    """The statement for a unit: only the time to wait (milliseconds) is ours."""
-    return statement.before + b"%d" % wait + statement.after
+def text_for_unit(statement: Statement, wait: int) -> bytes:
+    """The statement as sent to a unit: only the time to wait, in milliseconds, is replaced."""
+    return statement.text_before_wait + b"%d" % wait + statement.text_after_wait
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -1,4 +1,8 @@
-"""Units: their connections, kept and used again one shot at a time, and what comes back over them."""
+"""Connections to units, kept and used again, with one shot at a time on each.
+
+Times are in seconds here.  A connection is set up first, then it is idle or has one shot on it.  Before an idle
+connection gets a shot, an empty query (the probe) shows whether the unit is still there.
+"""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -11,16 +15,18 @@
 
 from ..choices.endings import rested, unused
 from . import messages
-from .connections import Ended
+from .connections import OutgoingConnection
 from .counters import Counters
 from .messages import Value
 
-USER, DATABASE, LOAD = b"backend", b"store", b"stats"
-BEYOND = 1e6  # no figure of a load report
+USER = b"backend"
+DATABASE = b"store"
+LOAD_PARAMETER = b"stats"  # the parameter in which a unit reports its load
+LOAD_LIMIT = 1e6  # figures of a load report are below it
 
 
-class Came(NamedTuple):
-    """How a shot ended (the words are the facade's), the unit's answer and its load report."""
+class ShotResult(NamedTuple):
+    """How a shot ended, as the facade names outcomes, with the unit's answer and its load report."""
 
     outcome: str
     value: Value | None = None
@@ -28,33 +34,35 @@
 
 
 def load_report(text: bytes) -> dict[str, float] | None:
-    """None: it can't be read."""
+    """The figures of `name=figure,...`; None if the text is malformed or a figure is out of bounds."""
     try:
         pairs = (pair.split("=") for pair in text.decode().split(","))
         load = {name: float(figure) for name, figure in pairs}
     except ValueError:
         return None
-    return load if all(0 <= figure < BEYOND for figure in load.values()) else None  # no nan either
+    return load if all(0 <= figure < LOAD_LIMIT for figure in load.values()) else None  # excludes NaN too
 
 
-class Connection(Ended):
-    """One connection to a unit: set up, idle, or with one shot out."""
+class Connection(OutgoingConnection):
+    """One connection to a unit: being set up, idle, being probed, or with one shot on it."""
 
     def __init__(self, pool: "Pool") -> None:
         self.pool, self.counters = pool, pool.counters
-        self.splitter = messages.Splitter(typed=True)
-        self.ready: Deferred[Connection] = Deferred()  # set up; fails with the reason as its text
-        self.shot: Shot | None = None
-        self.check: Shot | None = None  # waits for the answer to an empty query
-        self.settled = self.told = self.written = self.proven = False
-        self.refused = ""  # an error while it is being set up
-        self.described: messages.Described | None = None
-        self.row: messages.Row | None = None
+        self.splitter = messages.MessageSplitter(typed=True)
+        self.ready: Deferred[Connection] = Deferred()  # fires when set up; fails with the outcome as its text
+        self.shot: Shot | None = None  # the one that is on it
+        self.probing_shot: Shot | None = None  # waits for the answer to the probe
+        # Respectively: `ready` has fired, also with a failure; a load report has come since the query was sent; the
+        # whole query is written; the probe's answer has come, and only its ReadyForQuery is still due.
+        self.is_set_up = self.load_reported = self.written = self.probe_answered = False
+        self.setup_outcome = ""  # of an error during the setup
+        self.description: messages.RowDescription | None = None
+        self.row: messages.DataRow | None = None
         self.unsent = b""
-        self.result: Came | None = None  # of the shot; told with the load report, at ReadyForQuery
-        self.stopped: Came | None = None  # what to tell of a shot that is waited for no longer
+        self.result: ShotResult | None = None  # delivered at ReadyForQuery, since the load report may come before that
+        self.stop_result: ShotResult | None = None  # delivered at the connection's end, if the shot was stopped
         self.idle_since = 0.0
-        self.answered_at = 0.0  # when the last answer was whole
+        self.answered_at = 0.0  # when the last answer was complete
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -67,73 +75,75 @@
         self.splitter.feed(data)
         try:
             for kind, body in self.splitter:
-                self.came(messages.from_unit(kind, body))
+                self.on_message(messages.parse_unit_message(kind, body))
                 if self.code:
                     return
-        except messages.Unreadable as problem:
+        except messages.ProtocolError as problem:
             self.counters.add("units.unreadable")
             logger.warning("unreadable from unit {}: {}", self.pool.address, problem)
             self.end("unreadable")
 
-    def came(self, what: Any) -> None:
-        match what:
-            case messages.Status(name, value) if name == LOAD:
+    def on_message(self, message: Any) -> None:
+        match message:
+            case messages.ParameterStatus(name, value) if name == LOAD_PARAMETER:
                 load = load_report(value)
-                if load:  # what can't be read is as good as none
-                    self.pool.load, self.told = load, True
-            case messages.Status() | messages.Passed():
+                if load:  # a malformed report counts as none
+                    self.pool.load, self.load_reported = load, True
+            case messages.ParameterStatus() | messages.IgnoredMessage():
                 pass
-            case _ if not self.settled:
-                self.greeted(what)
+            case _ if not self.is_set_up:
+                self.on_setup_message(message)
             case _ if self.shot:
-                self.answered(what)
-            case messages.Empty() if self.check and not self.proven:
-                self.proven = True
-            case messages.Ready() if self.proven:
-                check, self.check, self.proven = self.check, None, False
-                check.opened(self)
-            case _:  # of an earlier answer: what comes next can't be told apart
-                raise messages.Unreadable(f"{type(what).__name__} that nobody asked for")
-
-    def greeted(self, what: Any) -> None:
-        match what:
-            case messages.Ready():
-                self.settled = True
+                self.on_answer_message(message)
+            case messages.EmptyQueryResponse() if self.probing_shot and not self.probe_answered:
+                self.probe_answered = True
+            case messages.ReadyForQuery() if self.probe_answered:
+                shot, self.probing_shot, self.probe_answered = self.probing_shot, None, False
+                shot.on_connection(self)
+            case _:  # more of an earlier answer: it can't be told from an answer to the next query
+                raise messages.ProtocolError(f"{type(message).__name__} was not expected")
+
+    def on_setup_message(self, message: Any) -> None:
+        match message:
+            case messages.ReadyForQuery():
+                self.is_set_up = True
                 self.ready.callback(self)
-            case messages.Trouble(code, _):
-                self.refused = "full" if code == b"53300" else "unreachable"
+            case messages.ErrorResponse(code, _):
+                self.setup_outcome = "full" if code == b"53300" else "unreachable"
             case messages.Authentication(0):
                 pass
             case _:
-                raise messages.Unreadable(f"{type(what).__name__} as a greeting")
-
-    def answered(self, what: Any) -> None:
-        """Row description, one row of one column, completion; or an error; then ready.  In no other order."""
-        match what:
-            case messages.Described(columns=1) if not self.described and not self.result:
-                self.described = what
-            case messages.Row(columns=1) if self.described and not self.row and not self.result:
-                self.row = what
-            case messages.Complete() if self.row and not self.result:
-                self.result = Came("served", Value(self.described, self.row, what))
-            case messages.Trouble(code, _) if not self.result:
-                self.result = Came("full" if code == b"53300" else "error")
-            case messages.Ready() if self.result:
+                raise messages.ProtocolError(f"{type(message).__name__} during connection setup")
+
+    def on_answer_message(self, message: Any) -> None:
+        """Row description, one row of one column and completion, or an error; then ReadyForQuery.  In this order."""
+        match message:
+            case messages.RowDescription(columns=1) if not self.description and not self.result:
+                self.description = message
+            case messages.DataRow(columns=1) if self.description and not self.row and not self.result:
+                self.row = message
+            case messages.CommandComplete() if self.row and not self.result:
+                self.result = ShotResult("served", Value(self.description, self.row, message))
+            case messages.ErrorResponse(code, _) if not self.result:
+                self.result = ShotResult("full" if code == b"53300" else "error")
+            case messages.ReadyForQuery() if self.result:
                 self.answered_at = self.pool.reactor.seconds()
-                self.finish(self.result)
-                self.pool.free(self)
+                self.finish_shot(self.result)
+                self.pool.release(self)
             case _:
-                raise messages.Unreadable(f"{type(what).__name__} out of its turn")
+                raise messages.ProtocolError(f"{type(message).__name__} out of order")
+
+    def probe(self, shot: "Shot") -> None:
+        """Send an empty query, to learn whether the unit is still there before the shot is sent.
 
-    def prove(self, shot: "Shot") -> None:
-        """Before a shot is entrusted to a kept connection: is the other side still there?  What is written
-        to one that it has closed may have run, for all that can be known here."""
-        self.check = shot
+        A query written to a connection that the unit has closed may have run, for all that this side can tell.
+        """
+        self.probing_shot = shot
         self.transport.write(messages.query(b""))
 
-    def ask(self, shot: "Shot", query: bytes) -> None:
-        self.shot, self.written, self.unsent, self.told = shot, False, query, False
-        self.described = self.row = self.result = None
+    def send_query(self, shot: "Shot", query: bytes) -> None:
+        self.shot, self.written, self.unsent, self.load_reported = shot, False, query, False
+        self.description = self.row = self.result = None
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
@@ -146,98 +156,104 @@
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """The connection has ended; `written` keeps what was known."""
+        """The connection has ended; `written` keeps its value."""
 
-    def finish(self, otherwise: Came) -> None:
+    def finish_shot(self, otherwise: ShotResult) -> None:
+        """Deliver the shot's result, or this one if there is none yet."""
         shot, self.shot = self.shot, None
         if shot:
-            shot.end((self.result or otherwise)._replace(load=self.pool.load if self.told else None))
+            shot.finish((self.result or otherwise)._replace(load=self.pool.load if self.load_reported else None))
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.pool.leave(self)
-        if not self.settled:
-            self.settled = True
-            self.ready.errback(ConnectionError(self.refused or "unreachable"))
-        if self.check:
-            check, self.check = self.check, None
+        self.pool.remove(self)
+        if not self.is_set_up:
+            self.is_set_up = True
+            self.ready.errback(ConnectionError(self.setup_outcome or "unreachable"))
+        if self.probing_shot:
+            shot, self.probing_shot = self.probing_shot, None
             self.counters.add("units.stale")
-            check.begin()
-        # whether a shot may have run is decided by whether its last byte was written
-        self.finish(self.stopped or Came("reset" if self.written else "unreachable"))
+            shot.begin()
+        # a query may have run only if its last byte was written
+        self.finish_shot(self.stop_result or ShotResult("reset" if self.written else "unreachable"))
         self.counters.ended("unit", self.why(reason), self.pool.address)
 
 
 class Shot:
-    """One attempt: `done` gets its one `Came`.  `stands` is asked before it is written after a wait."""
+    """One attempt at a unit; `done` fires once, with its ShotResult.
+
+    `text` gives the query at the moment in which it is sent.  `stands` is asked before that, if the shot had to wait
+    for a new connection: it tells whether the choice of this unit still holds.
+    """
 
     def __init__(self, pool: "Pool", text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> None:
         self.pool, self.text, self.stands = pool, text, stands
-        self.done: Deferred[Came] = Deferred()
+        self.done: Deferred[ShotResult] = Deferred()
         self.connection: Connection | None = None
-        self.opening: Deferred | None = None
-        self.checked: Any = None  # the timer of a kept connection's check
-        self.over = False
+        self.opening: Deferred | None = None  # the new connection that it waits for
+        self.probe_timer: Any = None
+        self.is_over = False
         self.timer = pool.reactor.callLater(wait, self.stop, "timeout")
 
     def begin(self) -> None:
-        """Over a kept connection, once that has answered; if it ends instead, over the next; or a new one."""
-        self.settle()
-        if self.over:
+        """Take an idle connection and probe it, or open a new one; called again if the idle one has ended."""
+        self.cancel_probe_timer()
+        if self.is_over:
             return
-        kept = self.pool.idle_one()
-        if kept:
-            self.checked = self.pool.reactor.callLater(self.pool.units.connect_wait, self.unproven, kept)
-            return kept.prove(self)
+        idle = self.pool.take_idle()
+        if idle:
+            self.probe_timer = self.pool.reactor.callLater(self.pool.units.connect_wait, self.on_probe_timeout, idle)
+            return idle.probe(self)
         self.opening = self.pool.open()
-        self.opening.addCallbacks(self.opened, self.failed)
+        self.opening.addCallbacks(self.on_connection, self.on_connect_failed)
 
-    def unproven(self, connection: Connection) -> None:
-        """As good as out of reach, and nothing was written."""
-        if connection.check is self:
-            connection.check = None
+    def on_probe_timeout(self, connection: Connection) -> None:
+        """The unit counts as unreachable; nothing of the query was written."""
+        if connection.probing_shot is self:
+            connection.probing_shot = None
             connection.end("unproven")
-            self.end(Came("unreachable"))
+            self.finish(ShotResult("unreachable"))
 
-    def opened(self, connection: Connection) -> None:
+    def on_connection(self, connection: Connection) -> None:
+        """A connection is ready for the query."""
         self.opening = None
-        self.settle()
-        if self.over:
-            self.pool.free(connection)
-        elif self.pool.closed or not self.stands():  # the same unit may be at another address by now
-            self.pool.free(connection)
-            self.end(Came("moot"))
+        self.cancel_probe_timer()
+        if self.is_over:
+            self.pool.release(connection)
+        elif self.pool.closed or not self.stands():  # closed: the unit may be at another address by now
+            self.pool.release(connection)
+            self.finish(ShotResult("moot"))
         else:
             self.connection = connection
-            self.write(connection)
+            self.send(connection)
 
-    def failed(self, reason: Failure) -> None:
+    def on_connect_failed(self, reason: Failure) -> None:
         self.opening = None
-        text = reason.getErrorMessage()
-        self.end(Came(text if text in ("full", "unreachable") else "unreachable"))
+        outcome = reason.getErrorMessage()
+        self.finish(ShotResult(outcome if outcome in ("full", "unreachable") else "unreachable"))
 
-    def write(self, connection: Connection) -> None:
-        connection.ask(self, messages.query(self.text()))
+    def send(self, connection: Connection) -> None:
+        connection.send_query(self, messages.query(self.text()))
 
-    def settle(self) -> None:
-        if self.checked and self.checked.active():
-            self.checked.cancel()
+    def cancel_probe_timer(self) -> None:
+        if self.probe_timer and self.probe_timer.active():
+            self.probe_timer.cancel()
 
     def stop(self, outcome: str) -> None:
-        """Stop waiting.  The connection is closed first, so that nothing is out when the next shot begins."""
-        if self.over:
+        """Stop waiting, with this outcome if the query was written and `moot` if not."""
+        if self.is_over:
             return
         if not self.connection:
-            return self.end(Came("moot"))  # nothing was written
-        # told once the connection has ended: a further shot must not go out while this one's is open
-        self.connection.stopped = Came(outcome if self.connection.written else "moot")
+            return self.finish(ShotResult("moot"))
+        # delivered once the connection has ended: the next shot must not be sent while this one's connection is open
+        self.connection.stop_result = ShotResult(outcome if self.connection.written else "moot")
         self.connection.end(outcome)
 
-    def end(self, came: Came) -> None:
-        if not self.over:
-            self.over = True
+    def finish(self, result: ShotResult) -> None:
+        if not self.is_over:
+            self.is_over = True
             if self.timer.active():
                 self.timer.cancel()
-            self.done.callback(came)
+            self.done.callback(result)
 
 
 class Pool:
@@ -246,51 +262,53 @@
     def __init__(self, units: "Units", address: str) -> None:
         self.units, self.address = units, address
         self.reactor, self.counters = units.reactor, units.counters
-        self.load: dict[str, float] | None = None
+        self.load: dict[str, float] | None = None  # the unit's latest report
         self.idle: list[Connection] = []  # the one used last stands last
         self.all: dict[Connection, None] = {}
         self.closed = False
 
-    def idle_one(self) -> Connection | None:
+    def take_idle(self) -> Connection | None:
+        """Remove and return the idle connection used last, of those that have rested since their last answer."""
         place = rested([each.answered_at for each in self.idle], self.reactor.seconds())
         return None if place is None else self.idle.pop(place)
 
     def open(self) -> Deferred[Connection]:
-        """A new connection, set up within the time for that; it fails as `unreachable` or `full`."""
+        """A new connection, once it is set up; fails with ConnectionError `unreachable` or `full`."""
         connection = Connection(self)
-        if not self.units.room():
+        if not self.units.has_room():
             self.counters.add("units.no_room")
-            connection.settled = True
+            connection.is_set_up = True
             connection.ready.errback(ConnectionError("unreachable"))
             return connection.ready
         self.all[connection] = None
         host, port = self.address.rsplit(":", 1)
         endpoint = TCP4ClientEndpoint(self.reactor, host, int(port), timeout=self.units.connect_wait)
-        joined = connectProtocol(endpoint, connection)
-        timer = self.reactor.callLater(self.units.connect_wait, self.overdue, connection, joined)
+        connected = connectProtocol(endpoint, connection)
+        timer = self.reactor.callLater(self.units.connect_wait, self.on_setup_timeout, connection, connected)
 
         def refused(reason: Failure) -> None:
             self.counters.add("units.refused")
-            self.leave(connection)
-            if not connection.settled:
-                connection.settled = True
+            self.remove(connection)
+            if not connection.is_set_up:
+                connection.is_set_up = True
                 connection.ready.errback(ConnectionError("unreachable"))
 
-        def settled(result: Any) -> Any:
+        def cancel_timer(result: Any) -> Any:
             if timer.active():
                 timer.cancel()
             return result
 
-        joined.addErrback(refused)
-        return connection.ready.addBoth(settled)
+        connected.addErrback(refused)
+        return connection.ready.addBoth(cancel_timer)
 
-    def overdue(self, connection: Connection, joined: Deferred) -> None:
+    def on_setup_timeout(self, connection: Connection, connected: Deferred) -> None:
         if connection.transport:
             connection.end("slow_setup")
         else:
-            joined.cancel()
+            connected.cancel()
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
+        """A connection has no shot any more: keep it idle, or end it if the unit has left the list."""
         if connection.code or connection in self.idle:
             return
         if self.closed:
@@ -298,54 +316,61 @@
         connection.idle_since = self.reactor.seconds()
         self.idle.append(connection)
 
-    def leave(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
         self.all.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def trim(self, before: float) -> None:
-        """Close what has stood idle since then."""
+    def close_idle_since(self, before: float) -> None:
+        """Close the connections that have been idle since that time or longer."""
         while self.idle and self.idle[0].idle_since <= before:
             self.idle.pop(0).end("idle")
 
     def close(self) -> None:
-        """No more shots: idle connections end now, the others when their shot has."""
+        """Take no more shots: idle connections end now, the others after their shot."""
         self.closed = True
         while self.idle:
             self.idle.pop().end("unlisted")
 
 
 class Units:
-    """All units that are listed: number -> pool."""
+    """The connection pools of all listed units, by the unit's number."""
 
-    def __init__(self, reactor: Any, counters: Counters, connect_wait: float, idle_time: float, most: int) -> None:
+    def __init__(
+        self, reactor: Any, counters: Counters, connect_wait: float, idle_time: float, max_connections: int
+    ) -> None:
+        """Times in seconds: `connect_wait` bounds the setup of a connection and a probe; after `idle_time` the unit's
+        machine ends an idle connection.  `max_connections` is for all units together."""
         self.reactor, self.counters = reactor, counters
-        self.connect_wait, self.most = connect_wait, most
-        self.unused, self.looks = unused(idle_time)
+        self.connect_wait, self.max_connections = connect_wait, max_connections
+        self.max_idle, self.idle_check_interval = unused(idle_time)
         self.pools: dict[int, Pool] = {}
-        self.marks: dict[int, tuple] = {}  # what a listed unit is: address, build and start
-        self.old: dict[Pool, None] = {}  # of units that have left, with shots still out
-        self.trimming()
+        self.identities: dict[int, tuple] = {}  # a listed unit's address, build and start
+        self.retired: dict[Pool, None] = {}  # pools of units that have left the list, until their last shot
+        self.check_idle()
 
     def listed(self, number: int, address: str, build: int, started: int) -> None:
-        """It takes shots from now on; at another address, with another build or start it is another one."""
-        mark = (address, build, started)
-        if self.marks.get(number) != mark:
+        """A unit takes shots from now on; with another address, build or start it is another unit."""
+        identity = (address, build, started)
+        if self.identities.get(number) != identity:
             self.unlisted(number)
-            self.marks[number], self.pools[number] = mark, Pool(self, address)
+            self.identities[number], self.pools[number] = identity, Pool(self, address)
 
     def unlisted(self, number: int) -> None:
-        self.marks.pop(number, None)
+        """A unit takes no more shots."""
+        self.identities.pop(number, None)
         pool = self.pools.pop(number, None)
         if pool:
             pool.close()
-            self.old[pool] = None
+            self.retired[pool] = None
 
     def numbers(self) -> list[int]:
+        """The numbers of the listed units."""
         return list(self.pools)
 
     def shoot(self, number: int, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> Shot | None:
-        """None: that unit is not listed (any more)."""
+        """Begin a shot that may last `wait` seconds; see `Shot`.  None if the unit is not listed."""
         pool = self.pools.get(number)
         if pool is None:
             return None
@@ -354,31 +379,32 @@
         return shot
 
     def held(self) -> int:
-        return sum(len(pool.all) for pool in (*self.pools.values(), *self.old))
+        """The number of open connections, those being set up included."""
+        return sum(len(pool.all) for pool in (*self.pools.values(), *self.retired))
 
-    def room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one makes room for it."""
-        if self.held() < self.most:
+    def has_room(self) -> bool:
+        """Whether one more connection may be opened; at the limit the one that is idle longest is closed for it."""
+        if self.held() < self.max_connections:
             return True
-        longest = min(
+        longest_idle = min(
             (pool.idle[0] for pool in self.pools.values() if pool.idle),
             key=lambda connection: connection.idle_since,
             default=None,
         )
-        if longest:
-            longest.pool.idle.remove(longest)
-            longest.end("no_room")
-        return longest is not None
+        if longest_idle:
+            longest_idle.pool.idle.remove(longest_idle)
+            longest_idle.end("no_room")
+        return longest_idle is not None
 
-    def forget_idle(self) -> None:
-        """After a time in which nothing ran idle connections may be dead: new ones are made."""
+    def close_idle(self) -> None:
+        """Close all idle connections: after a time in which this process did not run they may be dead."""
         for pool in self.pools.values():
-            pool.trim(self.reactor.seconds())
+            pool.close_idle_since(self.reactor.seconds())
 
-    def trimming(self) -> None:
-        """Idle connections end well before the unit's machine would end them."""
+    def check_idle(self) -> None:
+        """Close connections well before the unit's machine would end them as idle; repeats itself."""
         now = self.reactor.seconds()
         for pool in self.pools.values():
-            pool.trim(now - self.unused)
-        self.old = {pool: None for pool in self.old if pool.all}
-        self.timer = self.reactor.callLater(self.looks, self.trimming)
+            pool.close_idle_since(now - self.max_idle)
+        self.retired = {pool: None for pool in self.retired if pool.all}
+        self.timer = self.reactor.callLater(self.idle_check_interval, self.check_idle)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -58,13 +58,13 @@
         self.relay = policy.Relay(self.host, facts, 7, 100 * SECOND)
         self.relay.on_stage(1, 1, policy.RELEASED, 1.0, 0)
         self.count = 0
-        self.lists([self.unit(number) for number in range(units)])
+        self.update_list([self.unit(number) for number in range(units)])
 
     @staticmethod
     def unit(number: int, build: int = 1, state: str = "open", started: int = 0, zone: int = 0) -> tuple:
         return (number, build, state, zone, 0, 1.0, started)
 
-    def lists(self, entries: list[tuple], kind: str = "whole") -> None:
+    def update_list(self, entries: list[tuple], kind: str = "whole") -> None:
         self.relay.on_list(kind, entries)
 
     def later(self, tenths: int) -> None:
@@ -79,14 +79,14 @@
         """The units of the shots, of one invocation or of all."""
         return [unit for invocation, unit, _ in self.host.of("send") if number in (None, invocation)]
 
-    def comes(self, number: int, outcome: str, place: int = 0, latency: int = 1000) -> None:
+    def report_outcome(self, number: int, outcome: str, place: int = 0, latency: int = 1000) -> None:
         self.relay.on_outcome(number, place, outcome, outcome == "served", latency, None)
 
     def serve(self, outcome: str = "served", latency: int = 1000, **how: Any) -> int:
         """Take one and let its first shot come back; returns the unit."""
         number = self.take(**how)
         if self.sent(number):
-            self.comes(number, outcome, latency=latency)
+            self.report_outcome(number, outcome, latency=latency)
         return self.sent(number)[0] if self.sent(number) else -1
 
     def beat(self) -> None:
@@ -97,7 +97,7 @@
         """A build on trial in stage 0, on the last units, long warm."""
         self.relay.on_stage(build, 0, policy.ON_TRIAL, 0.5, age)
         units = len(self.relay.units)
-        self.lists(
+        self.update_list(
             [
                 self.unit(
                     number,
@@ -122,7 +122,7 @@
 # The network code's stories: connections in memory, and a clock that only a story moves.
 
 
-class Wire(testing.StringTransport):
+class MemoryTransport(testing.StringTransport):
     """One end of a connection; what it wrote is what `sent` returns.  Closing shows only after `settle`,
     as with real sockets."""
 
@@ -164,7 +164,7 @@
         self.ended = True
         self.protocol.connectionLost(Failure(reason or ConnectionLost()))
 
-    def gets(self, data: bytes, piece: int = 1 << 20) -> None:
+    def feed(self, data: bytes, piece: int = 1 << 20) -> None:
         for first in range(0, len(data), piece):
             self.protocol.dataReceived(data[first : first + piece])
 
@@ -188,43 +188,43 @@
     def stopListening(self) -> None:
         self.udp = None
 
-    def dialled(self, port: int) -> list[int]:
+    def pending_connects(self, port: int) -> list[int]:
         """Which of the connections asked for go to that port and are neither up nor refused."""
         return [place for place, each in enumerate(self.tcpClients) if each and each[1] == port]
 
-    def up(self, port: int) -> Wire:
+    def complete_connect(self, port: int) -> MemoryTransport:
         """The oldest connection asked for to that port comes up."""
-        place = self.dialled(port)[0]
+        place = self.pending_connects(port)[0]
         factory, self.tcpClients[place] = self.tcpClients[place][2], None
-        return Wire(factory.buildProtocol(None))
+        return MemoryTransport(factory.buildProtocol(None))
 
-    def refuse(self, port: int) -> None:
-        place = self.dialled(port)[0]
+    def refuse_connect(self, port: int) -> None:
+        place = self.pending_connects(port)[0]
         factory, self.tcpClients[place] = self.tcpClients[place][2], None
         factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
 
-def field(kind: bytes, body: bytes) -> bytes:
+def message(kind: bytes, body: bytes) -> bytes:
     """A message of the protocol, as a stand-in words it."""
     return kind + struct.pack(">I", len(body) + 4) + body
 
 
-IDLE = field(b"Z", b"I")
-GREETING = field(b"R", bytes(4)) + field(b"K", bytes(8)) + IDLE
+READY = message(b"Z", b"I")
+STARTUP_RESPONSE = message(b"R", bytes(4)) + message(b"K", bytes(8)) + READY
 ROW = (
-    field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
-    + field(b"D", b"\0\1\0\0\0\2\x9f\x03")
-    + field(b"C", b"SELECT 1\0")
+    message(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
+    + message(b"D", b"\0\1\0\0\0\2\x9f\x03")
+    + message(b"C", b"SELECT 1\0")
 )
-OPENING = struct.pack(">II", 37, 3 << 16) + b"user\0backend\0database\0store\0\0"
+STARTUP = struct.pack(">II", 37, 3 << 16) + b"user\0backend\0database\0store\0\0"
 
 
-def failure(code: str) -> bytes:
-    return field(b"E", f"SERROR\0C{code}\0Mno\0\0".encode())
+def error_response(code: str) -> bytes:
+    return message(b"E", f"SERROR\0C{code}\0Mno\0\0".encode())
 
 
-def asking(
+def client_query(
     wait: int = 480, more: str = "", workload: str = "basket", name: str = "7f3a", number: str = "9b1f"
 ) -> bytes:
     text = f"SELECT content FROM kv WHERE name = '{name}' /* id={number},c={workload},t=acme,d={wait}{more} */"
-    return field(b"Q", text.encode() + b"\0")
+    return message(b"Q", text.encode() + b"\0")
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,7 +9,7 @@
 from tealsail.net.discovery import read_news
 from tealsail.net.relay import Relay
 
-from .fake import IDLE, ROW, Reactor, asking, field
+from .fake import READY, ROW, Reactor, client_query, message
 from .test_relay import DESK, LIST, UNIT, Story as RelayStory, config, listing, reply, told, unit
 
 SECOND, START = 10_000, 1_700_000_000.0
@@ -90,7 +90,7 @@
 
     def test_after_a_step_back_of_an_hour_what_is_late_is_late(self) -> None:
         """Before, the relay's time stood still for that hour: no shot was ever late, no beat came."""
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
         self.ahead = -3600.0
@@ -103,22 +103,22 @@
         self.assertEqual(self.relay.counters.counts["clock.steps"], 1)
 
     def test_two_hundred_steps_of_a_second_to_a_day_and_each_invocation_is_answered_in_time(self) -> None:
-        client, chance = self.client(asking()), Random(5)
+        client, chance = self.client(client_query()), Random(5)
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
-        self.assertEqual(client.sent(), ROW + IDLE)
+        wire.feed(ROW + READY)
+        self.assertEqual(client.sent(), ROW + READY)
         self.wait(0.1)  # a connection that has just answered rests
         for _ in range(200):
             self.ahead += chance.choice((-1, 1)) * 86_400 ** chance.random()
-            client.gets(asking())
+            client.feed(client_query())
             asked = wire.sent()
             if b"id=9b1f" not in asked:  # idle for a while: it proves itself first
-                wire.gets(field(b"I", b"") + IDLE)
+                wire.feed(message(b"I", b"") + READY)
                 asked = wire.sent()
             self.assertIn(b"id=9b1f", asked)
-            wire.gets(ROW + IDLE)
-            self.assertEqual(client.sent(), ROW + IDLE)
+            wire.feed(ROW + READY)
+            self.assertEqual(client.sent(), ROW + READY)
             self.wait(1)
         self.assertGreater(self.relay.counters.counts["clock.steps"], 150)
         self.assertEqual(self.relay.facade.faults, 0)
@@ -126,14 +126,14 @@
     def test_after_a_stop_of_the_process_nothing_older_is_trusted(self) -> None:
         """A shot was out when the process was stopped: that it is late says nothing of its build or unit; the idle
         connections, the list and the platform's news may be old."""
-        first = self.client(asking())
+        first = self.client(client_query())
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
+        wire.feed(ROW + READY)
         first.sent()
-        self.reactor.up(LIST).sent()
-        self.reactor.up(DESK).sent()
-        second = self.client(asking())
+        self.reactor.complete_connect(LIST).sent()
+        self.reactor.complete_connect(DESK).sent()
+        second = self.client(client_query())
         wire.sent()
         relay = self.relay.facade.relay
         shot = next(iter(relay.known.values())).shots[0]
@@ -146,11 +146,11 @@
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
-        whole = self.reactor.up(LIST)
+        whole = self.reactor.complete_connect(LIST)
         self.assertTrue(whole.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
-        whole.gets(reply(listing(50, True, unit(7002, "s-2"))))
+        whole.feed(reply(listing(50, True, unit(7002, "s-2"))))
         self.assertEqual(len(relay.units), 1)
-        self.reactor.up(DESK)
+        self.reactor.complete_connect(DESK)
 
     def test_a_listed_unit_does_not_start_anew_when_the_clock_steps(self) -> None:
         started = (self.reactor.seconds() - 100) * 1000
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,18 +25,18 @@
 from tealsail.choices.pauses import UNTOLD
 from tealsail.net.relay import LAST, LINGER, Relay
 
-from .fake import GREETING, IDLE, OPENING, ROW, asking, field
+from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, client_query, message
 from .test_relay import config, listing, reply, told, unit
 
-EMPTY, NOTHING = field(b"Q", b"\0"), field(b"I", b"") + IDLE
+EMPTY, NOTHING = message(b"Q", b"\0"), message(b"I", b"") + READY
 PATIENCE = 20.0  # seconds of real time, for a machine that is busy with other things
 
 
 def row(value: bytes) -> bytes:
     return (
-        field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
-        + field(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
-        + field(b"C", b"SELECT 1\0")
+        message(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
+        + message(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
+        + message(b"C", b"SELECT 1\0")
     )
 
 
@@ -113,7 +113,7 @@
         if rcvbuf:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, rcvbuf)
         client.connect(("127.0.0.1", self.port))
-        client.sendall(OPENING + EMPTY)
+        client.sendall(STARTUP + EMPTY)
         if turn:
             self.assertTrue(self.got(client, NOTHING).endswith(NOTHING))
         return client
@@ -127,7 +127,7 @@
     def shot(self) -> socket.socket:
         """The unit's end of a new connection with a query on it."""
         inside = self.accept(self.unit_side)
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         self.got(inside, b"*/\0")
         return inside
 
@@ -181,11 +181,11 @@
         self.started()
         client = self.connect()
         ended = self.leaving()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         self.in_kernel(client)
         self.later(0.002)
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(client), ROW + READY)
         client.close()
         self.pass_time(3 * LAST)
         self.assertEqual(len(ended), 1)
@@ -195,10 +195,10 @@
         self.started()
         self.leaving()
         clients = [self.connect(turn=False) for _ in range(150)]
-        clients[-1].sendall(asking(wait=3000))
+        clients[-1].sendall(client_query(wait=3000))
         self.later(0.002)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(clients[-1]).endswith(NOTHING + ROW + IDLE))
+        self.shot().sendall(ROW + READY)
+        self.assertTrue(self.to_the_end(clients[-1]).endswith(NOTHING + ROW + READY))
         for client in clients[:-1]:
             self.assertTrue(self.to_the_end(client).endswith(NOTHING))
 
@@ -207,12 +207,12 @@
         self.leaving()
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
-        client.sendall(OPENING)
+        client.sendall(STARTUP)
         self.later(0.002)
-        self.got(client, IDLE)
-        client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
+        self.got(client, READY)
+        client.sendall(client_query(wait=3000))
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(client), ROW + READY)
 
     def test_who_was_welcomed_just_before_the_door_closes_still_asks(self) -> None:
         """Guards against an end between the welcome and a query that is on its way: there is no door left for it to
@@ -222,12 +222,12 @@
         clients = [socket.create_connection(("127.0.0.1", self.port)) for _ in range(2)]
         for client in clients:
             self.addCleanup(client.close)
-            client.sendall(OPENING)
-            self.got(client, IDLE)
+            client.sendall(STARTUP)
+            self.got(client, READY)
         self.later(0.002)
-        clients[0].sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(clients[0]), ROW + IDLE)
+        clients[0].sendall(client_query(wait=3000))
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(clients[0]), ROW + READY)
         clients[0].close()
         self.pass_time(0.3 + LAST)
         self.assertEqual(self.to_the_end(clients[1]), b"")
@@ -240,10 +240,10 @@
         ends."""
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
-        client.sendall(OPENING + asking(wait=3000))
+        client.sendall(STARTUP + client_query(wait=3000))
         self.later(look)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
+        self.shot().sendall(ROW + READY)
+        self.assertTrue(self.to_the_end(client).endswith(ROW + READY))
         client.close()
         self.pass_time(4 * LAST)
         self.assertEqual(len(ended), 1)
@@ -254,7 +254,7 @@
         client = self.connect()
         ended = self.leaving()
         self.later(0.002)
-        client.sendall(asking(wait=3000))  # our end is on its way to it
+        client.sendall(client_query(wait=3000))  # our end is on its way to it
         self.assertEqual(self.to_the_end(client), b"")
         client.close()
         self.pass_time(LAST)
@@ -271,16 +271,16 @@
         """Guards against new clients for a relay whose door is open only for those who crossed its end."""
         self.started()
         busy = self.connect()
-        busy.sendall(asking(wait=3000))
+        busy.sendall(client_query(wait=3000))
         inside = self.shot()
         self.leaving()
         self.later(0.002)
         front = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(front.close)
-        front.sendall(OPENING + EMPTY)
-        self.assertNotIn(field(b"I", b""), self.to_the_end(front))
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(busy), ROW + IDLE)
+        front.sendall(STARTUP + EMPTY)
+        self.assertNotIn(message(b"I", b""), self.to_the_end(front))
+        inside.sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(busy), ROW + READY)
 
     def test_who_comes_again_and_again_does_not_hold_the_end_up(self) -> None:
         self.started()
@@ -290,7 +290,7 @@
                 client = socket.socket()
                 self.addCleanup(client.close)
                 if client.connect_ex(("127.0.0.1", self.port)) == 0:
-                    client.sendall(OPENING)
+                    client.sendall(STARTUP)
             self.pass_time(0.1)
         self.assertEqual(len(ended), 1)
 
@@ -298,15 +298,15 @@
         self.started()
         kept, lost = self.connect(), self.connect()
         for client in (kept, lost):
-            client.sendall(asking(wait=3000)[:20])
+            client.sendall(client_query(wait=3000)[:20])
             self.in_kernel(client)
             self.turn()
         ended = self.leaving()
         self.later(0.002)
         self.turn()
-        kept.sendall(asking(wait=3000)[20:])
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(kept), ROW + IDLE)
+        kept.sendall(client_query(wait=3000)[20:])
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(kept), ROW + READY)
         kept.close()
         self.pass_time(2.2)
         self.assertEqual(self.to_the_end(lost), b"")
@@ -320,15 +320,15 @@
         client = self.connect(rcvbuf=4096)
         here = next(iter(self.relay.clients.connections))
         here.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside, ended = self.shot(), self.leaving()
         self.later(0.002)
         inside.setblocking(False)
-        answer, sent = row(bytes(200_000)) + IDLE, 0
+        answer, sent = row(bytes(200_000)) + READY, 0
         while sent < len(answer):
             sent += inside.send(answer[sent:])
             self.turn()
-        self.until(lambda: here.clogged)
+        self.until(lambda: here.write_paused)
         return client, answer, ended
 
     def test_a_client_that_reads_late_gets_all_and_then_the_end(self) -> None:
@@ -350,15 +350,15 @@
         """Guards against a relay that asks another which unit to take and does not hear the answer."""
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.shot()
         self.leaving()
         self.later(0.002)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.sendto(b"note", self.relay.post.socket.getsockname())
             self.until(lambda: self.relay.counters.counts["peers.dropped"])
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
+        inside.sendall(ROW + READY)
+        self.assertEqual(self.to_the_end(client), ROW + READY)
 
 
 class AtTheClients(Crossing):
@@ -367,16 +367,16 @@
         clients = self.started().clients
         client = self.connect()
         here = next(iter(clients.connections))
-        here.asked, here.idle_since = code != "mute", clients.clock() - 25_000
-        client.sendall(asking(wait=3000))
+        here.has_queried, here.idle_since = code != "mute", clients.clock() - 25_000
+        client.sendall(client_query(wait=3000))
         self.in_kernel(client)
-        clients.most = 16 if code == "mute" else 1
+        clients.max_connections = 16 if code == "mute" else 1
         if code == "no_room":
-            self.assertFalse(clients.enter(type(here)(clients)))
+            self.assertFalse(clients.admit(type(here)(clients)))
         else:
             clients.sweep()
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
 
     def test_a_query_in_the_kernel_is_not_crowded_out(self) -> None:
         """Guards, as the next two, against the end of a connection that only looks idle: what it asked would be
@@ -395,26 +395,26 @@
         clients = self.started().clients
         client = self.connect()
         here = next(iter(clients.connections))
-        here.asked, here.idle_since = code != "mute", clients.clock() - 25_000
+        here.has_queried, here.idle_since = code != "mute", clients.clock() - 25_000
         if code == "closing":
             self.leaving()
             self.later(0.002)
         elif code == "no_room":
-            clients.most = 1
-            clients.enter(type(here)(clients))
+            clients.max_connections = 1
+            clients.admit(type(here)(clients))
         else:
-            clients.most = 16 if code == "mute" else 1
+            clients.max_connections = 16 if code == "mute" else 1
             clients.sweep()
-        clients.most = 16
+        clients.max_connections = 16
         if select.select([client], [], [], 0)[0]:
             self.assertEqual(client.recv(1, socket.MSG_DONTWAIT), b"", "an end in order")
             client.close()
             client = socket.create_connection(("127.0.0.1", self.port))
             self.addCleanup(client.close)
-            client.sendall(OPENING)
-        client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
+            client.sendall(STARTUP)
+        client.sendall(client_query(wait=3000))
+        self.shot().sendall(ROW + READY)
+        self.assertTrue(self.got(client, ROW + READY).endswith(ROW + READY))
         self.assertEqual(clients.counters.counts[f"client.ended.{code}"], 1)
 
     def test_a_query_behind_the_look_when_idle_connections_end_is_served(self) -> None:
@@ -435,7 +435,7 @@
         """Guards against an end with something unread, which is a reset and may destroy what was written before it."""
         self.started()
         client = self.connect()
-        client.sendall(field(b"!", b""))
+        client.sendall(message(b"!", b""))
         self.in_kernel(client)
         client.sendall(bytes(300_000))
         said = self.to_the_end(client)
@@ -448,11 +448,11 @@
     def test_who_does_not_end_its_half_is_left(self) -> None:
         self.started()
         client = self.connect()
-        client.sendall(field(b"!", b""))
+        client.sendall(message(b"!", b""))
         self.to_the_end(client)
         self.pass_time(0.6)
         self.assertEqual(len(self.relay.clients.connections), 0)
-        self.assertEqual(self.relay.clients.reading_out, 0)
+        self.assertEqual(self.relay.clients.half_closed, 0)
 
 
 class AtTheUnits(Crossing):
@@ -461,20 +461,20 @@
         query's."""
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.shot()
-        inside.sendall(row(b"first") + IDLE)
-        self.assertEqual(self.got(client, IDLE), row(b"first") + IDLE)
+        inside.sendall(row(b"first") + READY)
+        self.assertEqual(self.got(client, READY), row(b"first") + READY)
         self.now += 0.002
-        client.sendall(asking(wait=3000, name="other"))
+        client.sendall(client_query(wait=3000, name="other"))
         self.until(lambda: select.select([inside, self.unit_side], [], [], 0)[0])
         if select.select([inside], [], [], 0)[0]:
             inside.sendall(NOTHING)  # whether it is still there; and then the query
             self.got(inside, b"*/\0")
         other = self.shot() if select.select([self.unit_side], [], [], 0)[0] else inside
-        inside.sendall(row(b"first") + IDLE)
-        other.sendall(row(b"other") + IDLE)
-        self.assertEqual(self.got(client, IDLE), row(b"other") + IDLE)
+        inside.sendall(row(b"first") + READY)
+        other.sendall(row(b"other") + READY)
+        self.assertEqual(self.got(client, READY), row(b"other") + READY)
 
     def there(self, server: socket.socket, build: int = 41, lifecycle: str = "ready") -> dict:
         return unit(1, build=build, lifecycle=lifecycle) | {"hostPort": f"127.0.0.1:{server.getsockname()[1]}"}
@@ -491,15 +491,15 @@
         self.started()
         elsewhere = self.listening()
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         former = self.accept(self.unit_side)
         self.told(self.there(elsewhere))
-        former.sendall(GREETING)
+        former.sendall(STARTUP_RESPONSE)
         inside = self.accept(elsewhere)
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         self.got(inside, b"*/\0")
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        inside.sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         self.assertNotIn(b"SELECT", self.ended(former))
 
     def test_a_unit_that_ends_idle_connections_soon_gets_no_query_on_one_that_it_is_about_to_end(self) -> None:
@@ -507,15 +507,15 @@
         settings = config()["settings"]
         self.started(settings=settings | {"limits": settings["limits"] | {"connIdle": 300}})
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.shot()
-        inside.sendall(ROW + IDLE)
-        self.got(client, IDLE)
+        inside.sendall(ROW + READY)
+        self.got(client, READY)
         for _ in range(29):
             self.later(0.01)
-        client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        client.sendall(client_query(wait=3000))
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         self.assertNotIn(b"Q", self.ended(inside))
 
     def test_a_unit_gone_and_back_in_one_answer_is_the_one_that_came_last(self) -> None:
@@ -523,45 +523,45 @@
         elsewhere = self.listening()
         self.told(self.there(self.unit_side, lifecycle="gone"), self.there(elsewhere, build=42))
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.accept(elsewhere)
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         self.got(inside, b"*/\0")
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        inside.sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         self.assertEqual(select.select([self.unit_side], [], [], 0)[0], [])
 
     def test_a_connection_that_comes_up_when_its_shot_is_over_carries_nothing(self) -> None:
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.accept(self.unit_side)
         client.close()
         self.until(lambda: self.relay.counters.counts["clients.left"])
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         self.until(lambda: any(pool.idle for pool in self.relay.units.pools.values()))
-        self.relay.units.forget_idle()
+        self.relay.units.close_idle()
         self.assertNotIn(b"SELECT", self.ended(inside))
 
     def test_a_client_that_leaves_in_the_turn_of_its_answer_costs_nobody_else_anything(self) -> None:
         """The answer and the client's reset wait in the kernel together; the next client is served as ever."""
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         inside = self.shot()
-        inside.sendall(ROW + IDLE)
+        inside.sendall(ROW + READY)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
         self.until(lambda: self.relay.counters.counts["clients.connections"] and not self.relay.clients.connections)
         self.pass_time(0.1)
         client = self.connect()
-        client.sendall(asking(wait=3000))
+        client.sendall(client_query(wait=3000))
         other = inside if self.relay.units.held() else self.accept(self.unit_side)
         if other is not inside:
-            other.sendall(GREETING)
+            other.sendall(STARTUP_RESPONSE)
         self.answer_checks(other)
-        other.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        other.sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         self.assertEqual(self.relay.counters.counts["faults"], 0)
 
     def answer_checks(self, inside: socket.socket) -> None:
@@ -576,9 +576,9 @@
     def test_spoilt_answers_lists_and_notes_end_nothing_but_themselves(self) -> None:
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000, workload="order"))
-        self.shot().sendall(field(b"T", b"\xff\xff"))
-        self.assertIn(b"C58000\0", self.got(client, IDLE))
+        client.sendall(client_query(wait=3000, workload="order"))
+        self.shot().sendall(message(b"T", b"\xff\xff"))
+        self.assertIn(b"C58000\0", self.got(client, READY))
         agent = self.accept(self.agent_side)
         self.got(agent, b"\r\n\r\n")
         agent.sendall(reply({"generation": "x", "instances": [7]}))
@@ -587,9 +587,9 @@
                 post.sendto(spoilt, ("127.0.0.1", int(self.tree["peer_listen"].split(":")[1])))
         self.until(lambda: self.relay.counters.counts["discovery.unreadable"])
         self.pass_time(0.3)
-        client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        client.sendall(client_query(wait=3000))
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         counts = self.relay.counters.counts
         self.assertEqual((counts["faults"], self.relay.facade.faults, counts["units.unreadable"]), (0, 0, 1))
 
@@ -600,20 +600,20 @@
         text = (
             b"INSERT INTO kv (name, content) VALUES ('k', '\\x%s') RETURNING content /* id=1,c=order,t=acme,d=3000 */"
         )
-        client.sendall(field(b"Q", text % (b"00" * size) + b"\0"))
+        client.sendall(message(b"Q", text % (b"00" * size) + b"\0"))
         inside = self.accept(self.unit_side)
         self.unit_side.close()  # nothing else to send it to
         pool = next(iter(self.relay.units.pools.values()))
         next(iter(pool.all)).transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         inside.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         seen = b""
         while b"INSERT" not in seen:
             self.until(lambda: select.select([inside], [], [], 0)[0])
             seen += inside.recv(4096)
         inside.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         inside.close()
-        return self.got(client, IDLE)
+        return self.got(client, READY)
 
     def test_a_reset_before_the_last_byte_is_no_shot(self) -> None:
         """And so a rejection, harmless to repeat; with the next one guards against a one-shot that is sent twice or
@@ -645,8 +645,8 @@
         new.sendall(reply(listing(43, False, unit(1, lifecycle="draining") | here)))
         self.got(new, b"\r\n\r\n")
         client = self.connect()
-        client.sendall(asking(wait=3000))
-        self.assertIn(b"C53300\0", self.got(client, IDLE))
+        client.sendall(client_query(wait=3000))
+        self.assertIn(b"C53300\0", self.got(client, READY))
 
     def test_a_reply_that_comes_in_drops_is_given_up(self) -> None:
         """Guards against an agent that never ends what it began: each piece would give it another second."""
@@ -666,7 +666,7 @@
         self.started(held=True)
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
-        client.sendall(OPENING + asking(wait=3000))
+        client.sendall(STARTUP + client_query(wait=3000))
         for _ in range(20):
             self.turn()
         return client
@@ -677,14 +677,14 @@
         client = self.first_query()
         here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
         self.agent().sendall(reply(listing(42, True, unit(1, lifecycle="draining") | here)))
-        self.assertIn(b"C53300\0", self.got(client, IDLE))
+        self.assertIn(b"C53300\0", self.got(client, READY))
         self.assertEqual(select.select([self.unit_side], [], [], 0)[0], [])
 
     def test_a_list_that_says_nothing_holds_the_door_for_a_moment_only(self) -> None:
         client = self.first_query()
         self.later(UNTOLD)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
+        self.shot().sendall(ROW + READY)
+        self.assertTrue(self.got(client, ROW + READY).endswith(ROW + READY))
 
     def test_a_relay_that_ends_before_its_list_came_serves_who_waits(self) -> None:
         client = self.first_query()
@@ -692,8 +692,8 @@
         self.relay.stop().addCallback(ended.append)
         self.now += LINGER
         self.turn()
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
+        self.shot().sendall(ROW + READY)
+        self.assertTrue(self.to_the_end(client).endswith(ROW + READY))
 
 
 class NewSettings(Crossing):
@@ -738,9 +738,9 @@
         """Guards against a stranger that uses up the share of whoever is listed first."""
         self.started()
         client = self.connect()
-        client.sendall(asking(wait=3000).replace(b"t=acme", b"t=evil"))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        client.sendall(client_query(wait=3000).replace(b"t=acme", b"t=evil"))
+        self.shot().sendall(ROW + READY)
+        self.assertEqual(self.got(client, READY), ROW + READY)
         listed, strange = self.relay.facade.relay.admission.by_customer
         now = self.relay.facade.relay.now
         self.assertEqual((listed.total(now), strange.total(now)), (0, 1))
@@ -853,7 +853,7 @@
                 if sock is server:
                     new = server.accept()[0]
                     self.addCleanup(new.close)
-                    new.sendall(GREETING)
+                    new.sendall(STARTUP_RESPONSE)
                     inside[new] = b""
                 elif not (data := sock.recv(1 << 16)):
                     del inside[sock]
@@ -861,7 +861,7 @@
                     inside[sock] += data
                     if inside[sock].endswith(b"*/\0"):
                         inside[sock], queries = b"", queries - 1
-                        sock.sendall(ROW + IDLE)
+                        sock.sendall(ROW + READY)
                     elif inside[sock].endswith(EMPTY):
                         sock.sendall(NOTHING)
 
@@ -875,22 +875,22 @@
         )
         process = self.process()
         self.said(process, "serving")
-        busy, idle = self.client(OPENING + asking(wait=20000)), self.client(OPENING + EMPTY)
+        busy, idle = self.client(STARTUP + client_query(wait=20000)), self.client(STARTUP + EMPTY)
         self.seen(idle, NOTHING)
         inside = server.accept()[0]
         self.addCleanup(inside.close)
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         self.seen(inside, b"*/\0")
         process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
-        inside.sendall(ROW + IDLE)
-        idle.sendall(asking(wait=20000, number="9b2f"))
-        late = self.client(OPENING + asking(wait=20000, number="9b3f"))
+        inside.sendall(ROW + READY)
+        idle.sendall(client_query(wait=20000, number="9b2f"))
+        late = self.client(STARTUP + client_query(wait=20000, number="9b3f"))
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGCONT)
         self.answer(server, 2)
         for client in (busy, idle, late):
-            self.assertTrue(self.seen(client, ROW + IDLE).endswith(ROW + IDLE))
+            self.assertTrue(self.seen(client, ROW + READY).endswith(ROW + READY))
             client.close()
         rest = process.stderr.read()
         self.assertEqual(process.wait(PATIENCE), 0)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -37,7 +37,7 @@
         for state, votes in (("gone", BACK), ("draining", ON)):
             story = Story()
             story.trial()
-            story.lists([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
+            story.update_list([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
             story.relay.on_told(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual(story.votes(), votes)
@@ -48,7 +48,7 @@
         self.assertEqual(self.judged(alike, alike, control="timer"), [])  # not under the clock
         story = Story()
         story.trial()
-        story.lists([story.unit(3, 2, started=story.relay.now)], kind="changes")
+        story.update_list([story.unit(3, 2, started=story.relay.now)], kind="changes")
         story.relay.on_told(1, story.evidence(alike, alike))
         story.beat()
         self.assertEqual(story.votes(), [])
@@ -189,13 +189,13 @@
         out = [story.take() for _ in range(6)]
         story.trial(many=0)
         for number in out:
-            story.comes(number, "served", latency=9 * SECOND)
+            story.report_outcome(number, "served", latency=9 * SECOND)
         self.assertEqual(sum(story.relay.trial.groups["canary"]), 0)
 
     def test_a_cold_units_times_count_by_its_warmth_and_not_at_all_at_first(self) -> None:
         story = Story(units=1)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 1.0, 0)
-        story.lists([story.unit(0, 2, started=story.relay.now)])
+        story.update_list([story.unit(0, 2, started=story.relay.now)])
         story.relay.cold_share = [(1.0, 1.0)] * 2
         story.serve(latency=3000)
         row = story.relay.trial.groups["canary"]
@@ -472,7 +472,7 @@
         first = story.relay.rows[0][0]
         story.relay.known[story.count].shots[0].unit = first
         first.missed = 1
-        story.comes(story.count, "unreachable")
+        story.report_outcome(story.count, "unreachable")
         self.assertIs(story.relay.rows[0][-1], first)  # what fails gives its place to the next
         story.relay.choice.cut_off, known, strange = 0.9, *story.relay.rows[0][:2]
         known.met, known.out, strange.met, strange.out = story.relay.now, 1, 0, 0
@@ -483,7 +483,7 @@
         for index in range(300):
             story = Story(units=10, relays=300, index=index, may_tell=False)
             story.relay.chance.state = mix(index)
-            story.lists([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
+            story.update_list([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
             story.serve()
             shots += story.sent()
         cold = sum(unit > 7 for unit in shots)
@@ -539,7 +539,7 @@
         story = self.story(units=4)
         story.trial(many=2)
         numbers = [story.take() for _ in range(20)]
-        story.lists([story.unit(number) for number in range(2)])
+        story.update_list([story.unit(number) for number in range(2)])
         for number in numbers:
             story.relay.on_told(story.relay.guide.order[0], answer_note(number, 0))
         self.assertTrue(set(story.sent()) <= {0, 1})
@@ -550,7 +550,7 @@
         story = Story()
         for _ in range(100):
             story.serve("error")
-        story.lists([story.unit(9, started=story.relay.now - SECOND)], kind="changes")
+        story.update_list([story.unit(9, started=story.relay.now - SECOND)], kind="changes")
         for _ in range(200):
             story.serve("error")
         self.assertLess(story.sent().count(9), 10)
@@ -582,7 +582,7 @@
 
     def test_of_units_with_as_little_at_hand_the_askers_zone_comes_first(self) -> None:
         story = self.story(zone=1)
-        story.lists([story.unit(number, zone=number % 2) for number in range(6)])
+        story.update_list([story.unit(number, zone=number % 2) for number in range(6)])
         story.take()
         asked = read_shots(story.host.of("tell")[-1][1])[2:]
         self.assertEqual([unit % 2 for unit in asked], [1, 1, 1, 0, 0, 0])
@@ -659,7 +659,7 @@
                 story.serve()
                 story.serve(outcome, latency=500)
                 self.assertTrue(story.relay.choice.fit(story.relay.units[0]))
-            story.comes(story.take(), outcome, latency=500)
+            story.report_outcome(story.take(), outcome, latency=500)
             self.assertFalse(story.relay.choice.fit(story.relay.units[0]))
         story = Story(units=1, workloads=(ONE_SHOT,))
         story.serve("unreachable", latency=SECOND // 4)  # nothing came back at all: out of reach
@@ -671,8 +671,8 @@
         for _ in range(30):
             number = story.take()
             if story.sent(number)[0] == 0:
-                story.comes(number, "cancelled", latency=SECOND)
-            story.comes(number, "served", place=len(story.sent(number)) - 1)
+                story.report_outcome(number, "cancelled", latency=SECOND)
+            story.report_outcome(number, "served", place=len(story.sent(number)) - 1)
         self.assertLess(story.sent().count(0), 5)
         story.later(unit.rest_until)
         self.assertTrue(story.relay.choice.fit(unit))
@@ -684,7 +684,7 @@
         out = [story.take() for _ in range(40)]
         story.later(2 * SECOND)
         for number in out:
-            story.comes(number, "served", latency=2 * SECOND)
+            story.report_outcome(number, "served", latency=2 * SECOND)
         self.assertTrue(25 < story.relay.admission.limit < 40)
         for _ in range(60):
             story.serve(latency=2 * SECOND)
@@ -718,9 +718,9 @@
         for _ in range(40):
             number = story.take()
             for place, unit in enumerate(story.sent(number)):
-                story.comes(number, "full" if unit == 0 else "served", place=place)
+                story.report_outcome(number, "full" if unit == 0 else "served", place=place)
             if len(story.sent(number)) == 2:
-                story.comes(number, "served", place=1)
+                story.report_outcome(number, "served", place=1)
         self.assertEqual(story.relay.admission.limit, limit)
         self.assertLess(story.sent().count(0), 5)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,7 +6,7 @@
 from tealsail import settings
 from tealsail.net import discovery, messages, platform, statements
 
-from .fake import OPENING, ROW, asking, failure, field
+from .fake import ROW, STARTUP, client_query, error_response, message
 
 INSERT = (
     b"INSERT INTO kv (name, content) VALUES ('7f', '\\x9f03') RETURNING content "
@@ -20,40 +20,45 @@
 
 class Messages(unittest.TestCase):
     def test_messages_in_pieces_of_one_byte_or_several_in_one_read(self) -> None:
-        stream = field(b"S", b"stats\0util=0.61\0") + ROW + failure("XX000") + field(b"Z", b"I")
+        stream = message(b"S", b"stats\0util=0.61\0") + ROW + error_response("XX000") + message(b"Z", b"I")
         for piece in (1, 7, len(stream)):
-            splitter, seen = messages.Splitter(typed=True), []
+            splitter, seen = messages.MessageSplitter(typed=True), []
             for first in range(0, len(stream), piece):
                 splitter.feed(stream[first : first + piece])
-                seen += [messages.from_unit(*each) for each in splitter]
+                seen += [messages.parse_unit_message(*each) for each in splitter]
             self.assertEqual(
-                [type(each).__name__ for each in seen], ["Status", "Described", "Row", "Complete", "Trouble", "Ready"]
+                [type(each).__name__ for each in seen],
+                ["ParameterStatus", "RowDescription", "DataRow", "CommandComplete", "ErrorResponse", "ReadyForQuery"],
             )
             self.assertEqual(
-                (seen[0], seen[2].columns, seen[4].code), (messages.Status(b"stats", b"util=0.61"), 1, b"XX000")
+                (seen[0], seen[2].columns, seen[4].code),
+                (messages.ParameterStatus(b"stats", b"util=0.61"), 1, b"XX000"),
             )
-            self.assertEqual(messages.whole(messages.Value(*seen[1:4])), ROW + field(b"Z", b"I"))
+            self.assertEqual(messages.value_response(messages.Value(*seen[1:4])), ROW + message(b"Z", b"I"))
 
     def test_the_first_message(self) -> None:
-        self.assertEqual(messages.opening(OPENING[4:]), messages.Startup({b"user": b"backend", b"database": b"store"}))
-        self.assertEqual(messages.opening(bytes.fromhex("04d2162f")), messages.Encryption())
+        self.assertEqual(
+            messages.parse_first_message(STARTUP[4:]),
+            messages.Startup({b"user": b"backend", b"database": b"store"}),
+        )
+        self.assertEqual(messages.parse_first_message(bytes.fromhex("04d2162f")), messages.EncryptionRequest())
         for body in (b"", b"\0\2\0\0", b"\0\3\0\0user\0", b"\0\3\0\0user\0me\0"):
-            self.assertRaises(messages.Unreadable, messages.opening, body)
+            self.assertRaises(messages.ProtocolError, messages.parse_first_message, body)
 
     def test_what_is_beyond_bounds_is_not_waited_for(self) -> None:
         for typed, data in ((True, b"Q\x7f\0\0\0"), (True, b"Q\0\0\0\3"), (False, b"\0\1\0\0")):
-            splitter = messages.Splitter(typed)
+            splitter = messages.MessageSplitter(typed)
             splitter.feed(data)
-            self.assertRaises(messages.Unreadable, list, splitter)
+            self.assertRaises(messages.ProtocolError, list, splitter)
 
     def test_garbage_is_read_or_unreadable_and_nothing_else(self) -> None:
         for seed in range(300):
             body = garbage(seed, seed % 40)
             for kind in (b"R", b"S", b"T", b"D", b"E", b"C", b"Z", b"q", b"Q"):
-                for read in (messages.from_unit, messages.from_client):
+                for read in (messages.parse_unit_message, messages.parse_client_message):
                     try:
                         read(kind, body)
-                    except messages.Unreadable:
+                    except messages.ProtocolError:
                         pass
 
 
@@ -63,16 +68,16 @@
         self.assertEqual(
             (statement.workload, statement.customer, statement.key, statement.wait), ("order", "acme", "7f", 480)
         )
-        self.assertEqual(statements.onward(statement, 73), INSERT.replace(b"d=480", b"d=73"))
+        self.assertEqual(statements.text_for_unit(statement, 73), INSERT.replace(b"d=480", b"d=73"))
 
     def test_quotes_a_mark_for_repeats_and_a_comment_inside_a_value(self) -> None:
         text = b"SELECT content FROM kv WHERE name = 'o''clock /* d=1 */' /* id=1,c=a,t=b,d=0.5,r=1 */"
         statement = statements.read(text)
         self.assertEqual((statement.key, statement.wait, statement.repeat), ("o'clock /* d=1 */", 0.5, True))
-        self.assertEqual(statements.onward(statement, 2), text.replace(b"d=0.5", b"d=2"))
+        self.assertEqual(statements.text_for_unit(statement, 2), text.replace(b"d=0.5", b"d=2"))
 
     def test_what_can_not_be_read_says_so(self) -> None:
-        good = asking()[5:-1]
+        good = client_query()[5:-1]
         for text in (
             b"",
             b"SELECT 1",
@@ -94,7 +99,7 @@
             good.replace(b",t=acme", b",t"),
             garbage(5, 200),
         ):
-            self.assertRaises(statements.Unclear, statements.read, text)
+            self.assertRaises(statements.StatementError, statements.read, text)
 
 
 class Http(unittest.TestCase):
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -16,7 +16,16 @@
 from tealsail.record.recorder import Recorder
 from tealsail.setup import document
 
-from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure
+from .fake import (
+    READY,
+    ROW,
+    STARTUP,
+    STARTUP_RESPONSE,
+    MemoryTransport,
+    Reactor,
+    client_query,
+    error_response,
+)
 from .test_relay import UNIT, config, told
 
 NET = Path(__file__).parent.parent / "tealsail" / "net"
@@ -89,16 +98,16 @@
         relay.start()
         return relay
 
-    def client(self, *data: bytes) -> Wire:
-        wire = Wire(self.reactor.tcpServers[0][1].buildProtocol(None))
-        wire.gets(OPENING)
+    def client(self, *data: bytes) -> MemoryTransport:
+        wire = MemoryTransport(self.reactor.tcpServers[0][1].buildProtocol(None))
+        wire.feed(STARTUP)
         wire.sent()
-        wire.gets(b"".join(data))
+        wire.feed(b"".join(data))
         return wire
 
-    def unit(self) -> Wire:
-        wire = self.reactor.up(UNIT)
-        wire.gets(GREETING)
+    def unit(self) -> MemoryTransport:
+        wire = self.reactor.complete_connect(UNIT)
+        wire.feed(STARTUP_RESPONSE)
         return wire
 
     def lines(self, kind: type) -> list:
@@ -106,15 +115,15 @@
 
     def test_what_a_relay_took_sent_and_answered(self) -> None:
         relay = self.relay()
-        client = self.client(asking())
+        client = self.client(client_query())
         wire = self.unit()
         wire.sent()
         self.reactor.advance(0.03)
-        wire.gets(ROW + IDLE)
-        self.assertEqual(client.sent(), ROW + IDLE)
-        client.gets(asking(workload="order", more=",r=1"))
+        wire.feed(ROW + READY)
+        self.assertEqual(client.sent(), ROW + READY)
+        client.feed(client_query(workload="order", more=",r=1"))
         wire.sent()
-        wire.gets(IDLE)  # the empty query's answer is owed first
+        wire.feed(READY)  # the empty query's answer is owed first
         self.reactor.advance(0.6)
         wire.settle()
         relay.record.close()
@@ -134,11 +143,11 @@
 
     def test_a_client_that_leaves_and_a_failed_shot(self) -> None:
         relay = self.relay(keys="none")
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
-        wire.gets(failure("XX000") + IDLE)
-        client.gets(asking())
+        wire.feed(error_response("XX000") + READY)
+        client.feed(client_query())
         client.drop()
         relay.record.close()
         self.assertEqual([line.answer for line in self.lines(End)], ["forfeited", "left"])
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,7 +13,17 @@
 from tealsail.net.relay import Relay
 from tealsail.notes import ask_note, state_note
 
-from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure, field
+from .fake import (
+    READY,
+    ROW,
+    STARTUP,
+    STARTUP_RESPONSE,
+    MemoryTransport,
+    Reactor,
+    client_query,
+    error_response,
+    message,
+)
 
 CLIENTS, UNIT, LIST, DESK = 5432, 7001, 8500, 6400
 
@@ -84,16 +94,16 @@
         self.relay.start()
         self.factory = self.reactor.tcpServers[0][1]
 
-    def client(self, *data: bytes) -> Wire:
-        wire = Wire(self.factory.buildProtocol(None))
-        wire.gets(OPENING)
+    def client(self, *data: bytes) -> MemoryTransport:
+        wire = MemoryTransport(self.factory.buildProtocol(None))
+        wire.feed(STARTUP)
         wire.sent()
-        wire.gets(b"".join(data))
+        wire.feed(b"".join(data))
         return wire
 
-    def unit(self, port: int = UNIT) -> Wire:
-        wire = self.reactor.up(port)
-        wire.gets(GREETING)
+    def unit(self, port: int = UNIT) -> MemoryTransport:
+        wire = self.reactor.complete_connect(port)
+        wire.feed(STARTUP_RESPONSE)
         return wire
 
     def wait(self, seconds: float) -> None:
@@ -101,31 +111,31 @@
             self.reactor.advance(0.1)
 
     def test_an_invocation_from_known_units_and_news_alone(self) -> None:
-        client = self.client(asking(more=",k=77"))
+        client = self.client(client_query(more=",k=77"))
         wire = self.unit()
         self.assertIn(b"id=9b1f,c=basket,t=acme,d=480,k=77", wire.sent())
-        wire.gets(ROW + IDLE)
-        self.assertEqual(client.sent(), ROW + IDLE)
-        client.gets(asking(workload="nothing"))
+        wire.feed(ROW + READY)
+        self.assertEqual(client.sent(), ROW + READY)
+        client.feed(client_query(workload="nothing"))
         self.assertIn(b"C42601\0", client.sent())
 
     def test_the_unit_is_told_what_is_left_of_the_time(self) -> None:
-        self.client(asking())
+        self.client(client_query())
         self.reactor.advance(0.1)
         self.assertIn(b"d=380 */", self.unit().sent())
 
     def test_nothing_to_send_to_is_a_rejection_and_what_may_have_run_never_is(self) -> None:
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
-        wire.gets(failure("XX000") + IDLE)
+        wire.feed(error_response("XX000") + READY)
         self.assertIn(b"C58000\0", client.sent())
         self.discovery(listing(42, False, unit(UNIT, lifecycle="draining")))
-        client.gets(asking(workload="order"))
+        client.feed(client_query(workload="order"))
         self.assertIn(b"C53300\0", client.sent())
 
     def test_a_silent_unit_gets_no_longer_than_the_client_waits(self) -> None:
-        client = self.client(asking(workload="order"))
+        client = self.client(client_query(workload="order"))
         wire = self.unit()
         wire.sent()
         self.wait(0.5)
@@ -133,7 +143,7 @@
         self.assertIn(b"C58000\0", client.sent())
 
     def test_a_client_that_leaves_calls_its_shot_off(self) -> None:
-        client = self.client(asking())
+        client = self.client(client_query())
         wire = self.unit()
         wire.sent()
         client.drop()
@@ -141,82 +151,84 @@
         self.assertTrue(wire.settle())
         self.assertEqual(self.relay.serving, {})
 
-    def discovery(self, news: dict) -> Wire:
-        wire = self.reactor.up(LIST)
+    def discovery(self, news: dict) -> MemoryTransport:
+        wire = self.reactor.complete_connect(LIST)
         wire.sent()
-        wire.gets(reply(news))
+        wire.feed(reply(news))
         return wire
 
     def test_the_list_is_watched_without_a_pause(self) -> None:
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.complete_connect(LIST)
         self.assertTrue(wire.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
-        wire.gets(reply(listing(42, True, unit(7002, "s-2"))), piece=9)
+        wire.feed(reply(listing(42, True, unit(7002, "s-2"))), piece=9)
         self.assertIn(b"GET /catalog/members?after=42&wait_ms=20000 ", wire.sent())
-        self.client(asking())
+        self.client(client_query())
         first = self.unit(7002)
         first.sent()
-        first.gets(ROW + IDLE)
-        wire.gets(reply(listing(43, False, unit(7002, "s-2", "gone"), unit(7003, "s-3"))))
+        first.feed(ROW + READY)
+        wire.feed(reply(listing(43, False, unit(7002, "s-2", "gone"), unit(7003, "s-3"))))
         self.assertIn(b"?after=43&", wire.sent())
         self.assertTrue(first.settle())  # idle connections to what has left the list end
-        self.client(asking())
+        self.client(client_query())
         self.unit(7003)
 
     def test_silent_or_broken_discovery_stops_nothing_and_is_asked_again(self) -> None:
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.complete_connect(LIST)
         self.wait(4.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.reactor.refuse(LIST)
+        self.reactor.refuse_connect(LIST)
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.complete_connect(LIST)
         wire.sent()
-        wire.gets(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        wire.feed(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         self.assertTrue(wire.settle())
         self.wait(1.0)
         wire = self.discovery(listing(42, True, unit(UNIT)))
         wire.sent()
-        wire.gets(reply({"generation": "?"}))
+        wire.feed(reply({"generation": "?"}))
         self.assertTrue(wire.settle())
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.complete_connect(LIST)
         self.assertNotIn(b"after", wire.sent())  # what an unreadable answer told is missed: all of it anew
-        wire.gets(reply(listing(42, True, unit(UNIT))))
+        wire.feed(reply(listing(42, True, unit(UNIT))))
         self.wait(22.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())  # what was known is not asked for again
-        self.client(asking())
+        self.assertIn(
+            b"?after=42&", self.reactor.complete_connect(LIST).sent()
+        )  # what was known is not asked for again
+        self.client(client_query())
         self.unit()
 
     def test_a_fleet_too_many_for_the_list_asks_for_what_is_new_and_later(self) -> None:
         """Turned away, a relay asked for the whole list, and soon: more work for a keeper that had too much of it."""
         wire = self.discovery(listing(42, True, unit(UNIT)))
-        wire.gets(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 3\r\nConnection: close\r\n\r\n")
+        wire.feed(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 3\r\nConnection: close\r\n\r\n")
         self.assertTrue(wire.settle())
         self.wait(3.0)
-        self.assertFalse(self.reactor.dialled(LIST))
+        self.assertFalse(self.reactor.pending_connects(LIST))
         self.wait(2.1)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())
+        self.assertIn(b"?after=42&", self.reactor.complete_connect(LIST).sent())
 
     def test_where_lists_are_asked_for_the_first_question_is_for_what_is_new_and_not_at_once(self) -> None:
         self.reactor = Reactor()
         Relay(
             self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))
         ).start()
-        self.assertFalse(self.reactor.dialled(LIST))
+        self.assertFalse(self.reactor.pending_connects(LIST))
         self.wait(4.1)
-        self.assertIn(b"?after=41&", self.reactor.up(LIST).sent())
+        self.assertIn(b"?after=41&", self.reactor.complete_connect(LIST).sent())
 
-    def desk(self) -> Wire:
-        wire = self.reactor.up(DESK)
+    def desk(self) -> MemoryTransport:
+        wire = self.reactor.complete_connect(DESK)
         self.assertEqual(json.loads(wire.sent())["method"], "subscribe")
-        wire.gets(b'{"jsonrpc":"2.0","id":1,"result":true}\n')
+        wire.feed(b'{"jsonrpc":"2.0","id":1,"result":true}\n')
         return wire
 
-    def news(self, wire: Wire, **stands: object) -> None:
+    def news(self, wire: MemoryTransport, **stands: object) -> None:
         line = {"jsonrpc": "2.0", "method": "stage", "params": state(**stands)}
-        wire.gets(json.dumps(line).encode() + b"\n", piece=11)
+        wire.feed(json.dumps(line).encode() + b"\n", piece=11)
 
     def test_news_between_answers_and_every_answer_of_a_vote(self) -> None:
         wire, heard = self.desk(), []
@@ -228,13 +240,13 @@
             vote = json.loads(wire.sent())
             self.assertEqual(vote["params"], {"Revision": 42, "Wave": 0, "Decision": "go"})
             self.news(wire, build=42, stands="canary")
-            wire.gets(b'{"id":1,"error":{"message":"FAILED"}}\n')  # late, of another call
+            wire.feed(b'{"id":1,"error":{"message":"FAILED"}}\n')  # late, of another call
             said = {"id": vote["id"], "error": {"code": -32602, "message": error}}
-            wire.gets(json.dumps(said).encode() + b"\n")
+            wire.feed(json.dumps(said).encode() + b"\n")
             self.assertEqual(heard.pop(), answer)
         self.relay.platform.vote(42, 0, "back")
         number = json.loads(wire.sent())["id"]
-        wire.gets(json.dumps({"id": number, "result": state(42, 0, "reverting", 0.0)}).encode() + b"\n")
+        wire.feed(json.dumps({"id": number, "result": state(42, 0, "reverting", 0.0)}).encode() + b"\n")
         self.assertEqual((heard.pop(), self.relay.facade.relay.phase), ("ok", 1))
 
     def test_a_vote_with_no_answer_may_count_and_one_that_was_not_written_does_not(self) -> None:
@@ -257,9 +269,9 @@
         wire = self.desk()
         for _ in range(5):
             self.wait(1)
-            wire.gets(b'{"jsonrpc":"2.0","method":"ping"}\n')
+            wire.feed(b'{"jsonrpc":"2.0","method":"ping"}\n')
         self.assertFalse(wire.closing)
-        wire.gets(b"x" * 9000)
+        wire.feed(b"x" * 9000)
         self.assertTrue(wire.settle())
         self.wait(0.5)
         self.desk()
@@ -269,27 +281,29 @@
         old.sent()
         self.relay.assign(told(config(discovery="127.0.0.1:8600")))
         self.relay.assign(told(config(discovery="127.0.0.1:8700")))  # two in a row: the last counts
-        old.gets(reply(listing(43, False, unit(7002, "s-2"))))
+        old.feed(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
-        passed = self.reactor.up(8600)
+        passed = self.reactor.complete_connect(8600)
         self.assertTrue(passed.settle())
-        new = self.reactor.up(8700)
+        new = self.reactor.complete_connect(8700)
         self.assertTrue(old.settle())
         self.assertIn(b"GET /catalog/members HTTP", new.sent())  # the whole list, from another agent
-        new.gets(reply(listing(7, True, unit(7003, "s-3"))))
+        new.feed(reply(listing(7, True, unit(7003, "s-3"))))
         self.assertIn(b"?after=7&", new.sent())
         self.assertEqual([pool.address for pool in self.relay.units.pools.values()], ["127.0.0.9:7003"])
         self.wait(1)
-        self.assertEqual((new.closing, self.reactor.dialled(LIST), self.reactor.dialled(8700)), (False, [], []))
+        self.assertEqual(
+            (new.closing, self.reactor.pending_connects(LIST), self.reactor.pending_connects(8700)), (False, [], [])
+        )
 
     def test_an_old_discovery_that_closes_first_is_not_dialled_again(self) -> None:
         old = self.discovery(listing(42, True, unit(UNIT)))
         self.relay.assign(told(config(discovery="127.0.0.1:8600")))
         old.drop()
-        self.reactor.refuse(8600)  # not there yet
+        self.reactor.refuse_connect(8600)  # not there yet
         self.wait(0.3)
-        self.assertEqual(self.reactor.dialled(LIST), [])
-        self.assertIn(b"GET /catalog/members HTTP", self.reactor.up(8600).sent())
+        self.assertEqual(self.reactor.pending_connects(LIST), [])
+        self.assertIn(b"GET /catalog/members HTTP", self.reactor.complete_connect(8600).sent())
 
     def test_a_move_of_the_platform_leaves_the_vote_that_is_out_its_answer(self) -> None:
         old, heard = self.desk(), []
@@ -297,12 +311,12 @@
         self.relay.platform.vote(41, 0, "back")
         number = json.loads(old.sent())["id"]
         self.relay.assign(told(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
-        new = self.reactor.up(6500)
+        new = self.reactor.complete_connect(6500)
         self.assertEqual(json.loads(new.sent())["method"], "subscribe")
         self.news(new, build=42, stands="canary", cap=0.28)
         self.news(old, build=40)  # what counts comes over the new one
         self.assertEqual((self.relay.facade.relay.build, old.closing), (42, False))
-        old.gets(json.dumps({"id": number, "result": state(42, 0, "canary", 0.28)}).encode() + b"\n")
+        old.feed(json.dumps({"id": number, "result": state(42, 0, "canary", 0.28)}).encode() + b"\n")
         self.assertEqual((heard, old.settle(), new.closing), (["ok"], True, False))
         self.relay.platform.vote(42, 0, "on")
         self.assertEqual(json.loads(new.sent())["method"], "release.vote")
@@ -311,8 +325,8 @@
         self.news(self.desk(), build=42, stands="canary", cap=0.28)
         self.wait(3)
         self.assertEqual({to for _, to in self.reactor.datagrams}, {("127.0.0.2", 7946)})
-        self.relay.peers.tell(-1, b"all")
-        self.relay.peers.tell(1, bytes(257))
+        self.relay.peers.send(-1, b"all")
+        self.relay.peers.send(1, bytes(257))
         self.assertEqual(self.reactor.datagrams[-1], (b"all", ("127.0.0.9", 7946)))
         note = self.reactor.datagrams[0][0]
         for data, place in ((note, 3), (bytes(300), 2), (b"\xff", 2)):
@@ -340,13 +354,13 @@
         self.assertGreater(self.relay.counters.counts["peers.shed"], 6_500)
 
     def test_the_id_of_an_open_invocation_is_an_error_until_that_is_answered(self) -> None:
-        first, second = self.client(asking()), self.client(asking())
+        first, second = self.client(client_query()), self.client(client_query())
         self.assertIn(b"C42601\0", second.sent())
         wire = self.unit()
         wire.sent()
-        wire.gets(ROW + IDLE)
-        self.assertEqual((first.sent(), self.relay.ids), (ROW + IDLE, set()))
-        second.gets(asking())
+        wire.feed(ROW + READY)
+        self.assertEqual((first.sent(), self.relay.ids), (ROW + READY, set()))
+        second.feed(client_query())
         self.assertEqual(second.sent(), b"")
 
     def test_spoilt_words_of_discovery_and_the_platform_change_nothing_and_are_asked_for_anew(self) -> None:
@@ -361,13 +375,13 @@
             self.assertEqual(len(self.relay.units.pools), 1)
             self.relay.discovery.pauses.reset()
             self.wait(0.2)
-        wire = self.reactor.up(LIST)
-        wire.gets(b"[" * 9000)  # no head, and no end of it
+        wire = self.reactor.complete_connect(LIST)
+        wire.feed(b"[" * 9000)  # no head, and no end of it
         self.wait(1.1)
         self.assertTrue(wire.settle())  # a part alone is not waited for as for a watch
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
-        wire.gets(reply(listing(51, True, unit(UNIT)))[:-4])
+        wire = self.reactor.complete_connect(LIST)
+        wire.feed(reply(listing(51, True, unit(UNIT)))[:-4])
         self.wait(1.1)
         self.assertTrue(wire.settle())
         for line in (
@@ -379,7 +393,7 @@
         ):
             self.relay.platform.pauses.reset()
             wire = self.desk()
-            wire.gets(line)
+            wire.feed(line)
             self.wait(0.6)
             self.assertTrue(wire.settle(), line)
             self.wait(0.2)
@@ -387,10 +401,10 @@
 
     def test_a_fault_costs_that_invocation_alone(self) -> None:
         self.relay.units.shoot = lambda *what: 1 / 0
-        client = self.client(asking())
+        client = self.client(client_query())
         self.assertIn(b"C58000\0", client.sent())
         del self.relay.units.shoot
-        client.gets(asking())
+        client.feed(client_query())
         self.unit()
 
     def test_a_planned_end_takes_what_still_comes_and_finishes_what_was_taken(self) -> None:
@@ -398,13 +412,13 @@
         idle = self.client()
         self.relay.stop().addCallback(ended.append)
         self.wait(0.3)
-        late = self.client(asking(wait=3000, workload="order"))
+        late = self.client(client_query(wait=3000, workload="order"))
         wire = self.unit()
         self.wait(0.4)
         self.assertEqual((idle.settle(), late.closing, ended), (True, False, []))
         wire.sent()
-        wire.gets(ROW + IDLE)
-        self.assertEqual((late.sent(), late.settle()), (ROW + IDLE, True))
+        wire.feed(ROW + READY)
+        self.assertEqual((late.sent(), late.settle()), (ROW + READY, True))
         self.wait(0.2)
         self.assertEqual(len(ended), 1)
 
@@ -471,19 +485,19 @@
             process.send_signal(signal.SIGHUP)
             self.assertIn("configuration not taken", process.stderr.readline())
         client = socket.create_connection(("127.0.0.1", port), timeout=30)
-        client.sendall(OPENING + field(b"Q", b"\0") + asking(wait=20000))
+        client.sendall(STARTUP + message(b"Q", b"\0") + client_query(wait=20000))
         unit_side.settimeout(30)
         inside, _ = unit_side.accept()
-        inside.sendall(GREETING)
+        inside.sendall(STARTUP_RESPONSE)
         seen = b""
         while b"SELECT" not in seen:
             seen += inside.recv(4096)
         process.send_signal(signal.SIGTERM)
-        inside.sendall(ROW + IDLE)
+        inside.sendall(ROW + READY)
         seen = b""
         while data := client.recv(4096):
             seen += data
-        self.assertTrue(seen.endswith(field(b"I", b"") + IDLE + ROW + IDLE))
+        self.assertTrue(seen.endswith(message(b"I", b"") + READY + ROW + READY))
         self.assertIn("clients.value=1", process.communicate(timeout=30)[1])
         self.assertEqual(process.returncode, 0)
         for each in (client, inside, unit_side):
