--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
         story = Story(workloads=(ONE_SHOT,))
         number = story.take()
         story.later(4 * SECOND)
-        story.comes(number, "timeout", latency=4 * SECOND)
+        story.report_outcome(number, "timeout", latency=4 * SECOND)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_with_no_unit_it_is_rejected_at_once(self) -> None:
@@ -25,7 +25,7 @@
         number = story.take()
         story.relay.on_abandoned(number)
         story.beat()  # its outcome is still to come
-        story.comes(number, "error")
+        story.report_outcome(number, "error")
         self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.host.of("cancel"), [(number, 0)])
         self.assertFalse(story.host.of("forfeit") + story.host.of("reject"))
@@ -34,7 +34,7 @@
         story = Story()
         number = story.take()
         story.later(4 * SECOND)
-        story.comes(number, "full")
+        story.report_outcome(number, "full")
         self.assertEqual((len(story.sent(number)), len(story.host.of("reject"))), (1, 1))
 
 
@@ -43,27 +43,27 @@
         for outcome in ("error", "reset", "timeout"):
             story = Story(workloads=(ONE_SHOT,))
             number = story.take()
-            story.comes(number, outcome)
+            story.report_outcome(number, outcome)
             self.assertEqual(len(story.sent(number)), 1)
             self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_a_one_shot_proved_not_to_have_run_goes_out_again(self) -> None:
         story = Story(workloads=(ONE_SHOT,))
         number = story.take()
-        story.comes(number, "full")
+        story.report_outcome(number, "full")
         self.assertEqual(len(story.sent(number)), 2)
-        story.comes(number, "error", place=1)
+        story.report_outcome(number, "error", place=1)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_a_stamped_one_stays_in_its_group_and_in_its_time(self) -> None:
         story = Story(workloads=(STAMPED,))
-        story.lists([story.unit(number, zone=number) for number in range(4)])
+        story.update_list([story.unit(number, zone=number) for number in range(4)])
         number = story.take()
-        story.comes(number, "error")
+        story.report_outcome(number, "error")
         self.assertEqual(len(set(story.sent(number))), 1)
         late = story.take()
         story.later(2 * SECOND)
-        story.comes(late, "error")
+        story.report_outcome(late, "error")
         self.assertEqual(len(story.sent(late)), 1)
         self.assertEqual(story.host.of("forfeit"), [(late,)])
 
@@ -78,15 +78,15 @@
         invocation.shots[0].unit.out += 1
         story.relay.on_wake(story.relay.WAKE_LATE + number)
         self.assertEqual((story.host.of("cancel"), len(story.sent(number))), ([(number, 0)], 1))
-        story.comes(number, "cancelled", latency=SECOND)
+        story.report_outcome(number, "cancelled", latency=SECOND)
         self.assertEqual(len(story.sent(number)), 2)
 
 
 class DrainsAreKept(unittest.TestCase):
     def test_draining_gone_and_missing_units_get_nothing(self) -> None:
         story = Story(units=4)
-        story.lists([story.unit(0, state="draining"), story.unit(1, state="gone")], kind="changes")
-        story.lists([story.unit(0, state="draining"), story.unit(2)])
+        story.update_list([story.unit(0, state="draining"), story.unit(1, state="gone")], kind="changes")
+        story.update_list([story.unit(0, state="draining"), story.unit(2)])
         for _ in range(20):
             story.serve()
         self.assertEqual(set(story.sent()), {2})
@@ -97,12 +97,12 @@
         story = Story(units=4, may_tell=False)
         for _ in range(60):
             story.serve()
-        story.lists([story.unit(number, started=story.relay.now * (number == 3)) for number in range(4)])
+        story.update_list([story.unit(number, started=story.relay.now * (number == 3)) for number in range(4)])
         for _ in range(60):
             story.serve()
         cold = story.sent()[60:].count(3)
         self.assertTrue(0 < cold < 10)
-        story.lists([story.unit(number, started=story.relay.now) for number in range(2)])
+        story.update_list([story.unit(number, started=story.relay.now) for number in range(2)])
         story.relay.admission.limit, story.relay.cold_share = 1000, [(1.0, 1.0)] * 2
         for _ in range(200):
             story.take()
@@ -111,7 +111,7 @@
     def test_on_the_way_back_the_first_cold_earlier_unit_does_not_get_everything(self) -> None:
         story = Story(units=20)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
-        story.lists(
+        story.update_list(
             [story.unit(number, 1 + (number > 0), started=story.relay.now * (number == 0)) for number in range(20)]
         )
         story.later(SECOND)  # the grace of the lowered cap is over
@@ -130,7 +130,7 @@
 
     def test_a_build_that_no_news_has_named_counts_as_in_stage_0(self) -> None:
         story = Story(caps=[0.1, 1.0])
-        story.lists([story.unit(number, 2 if number == 3 else 1) for number in range(4)])
+        story.update_list([story.unit(number, 2 if number == 3 else 1) for number in range(4)])
         shots = self.shots(story)
         self.assertLessEqual(shots, 1 + 10)
         self.assertGreater(shots, 3)
@@ -139,13 +139,13 @@
         for cap in (0.3, 0.7, 1.0):
             story, taken, chance = Story(stage_shares=[0.25]), [], Chance(5)
             story.relay.on_stage(2, 1, policy.ON_TRIAL, cap, 10 * SECOND)
-            story.lists([story.unit(number, 2) for number in range(4)])
+            story.update_list([story.unit(number, 2) for number in range(4)])
             for _ in range(900):
                 story.later(int(chance.share() * chance.share() * SECOND // 20) + 1)
                 number = story.take()
                 taken.append((story.relay.now, bool(story.sent(number))))
                 if story.sent(number):
-                    story.comes(number, "error" if chance.share() < 0.02 else "served")
+                    story.report_outcome(number, "error" if chance.share() < 0.02 else "served")
                     taken += [(story.relay.now, None)] * (len(story.sent(number)) - 1)  # a further shot
             for at, (now, _) in enumerate(taken):
                 window = [sent for when, sent in taken[: at + 1] if when > now - 2 * SECOND]
@@ -159,12 +159,12 @@
         for cap, guarded in ((0.0, 0), (0.5, 1)):
             story = Story(workloads=(ONE_SHOT,), guarded_stages=guarded)
             story.relay.on_stage(2, 0, policy.ON_TRIAL, cap, 0)
-            story.lists([story.unit(number, 2) for number in range(4)])
+            story.update_list([story.unit(number, 2) for number in range(4)])
             self.assertEqual((self.shots(story), story.sent()), (0, []))
 
     def test_a_lowered_cap_binds_after_the_grace_where_nothing_else_runs(self) -> None:
         story = Story()
-        story.lists([story.unit(number, 2) for number in range(4)])
+        story.update_list([story.unit(number, 2) for number in range(4)])
         story.relay.on_stage(2, 1, policy.ON_TRIAL, 1.0, 0)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
         self.assertNotEqual(story.serve(), -1)
@@ -174,16 +174,16 @@
     def test_each_workload_by_itself_where_the_settings_say_so(self) -> None:
         story = Story(workloads=(HARMLESS, HARMLESS), exposure_per="class", free_shots=0)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.5, 0)
-        story.lists([])
+        story.update_list([])
         for _ in range(40):
             story.take(workload=0)
-        story.lists([story.unit(number, 2) for number in range(4)])
+        story.update_list([story.unit(number, 2) for number in range(4)])
         self.assertEqual([story.serve(workload=1) == -1 for _ in range(4)], [True, False, True, False])
 
     def test_the_trial_keeps_a_tenth_back_while_earlier_units_can_take_the_rest(self) -> None:
         story = Story(free_shots=0, caps=[0.2, 1.0])
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.2, 0)
-        story.lists([story.unit(number, 1 if number == 0 else 2) for number in range(4)])
+        story.update_list([story.unit(number, 1 if number == 0 else 2) for number in range(4)])
         for _ in range(100):
             story.serve()
             story.later(SECOND // 100)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,7 +29,16 @@
 from tealsail.notes import answer_note, count_notes, verdict_note
 from tealsail.record.lines import Fault
 
-from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure
+from .fake import (
+    READY,
+    ROW,
+    STARTUP,
+    STARTUP_RESPONSE,
+    MemoryTransport,
+    Reactor,
+    client_query,
+    error_response,
+)
 from .test_relay import config, listing, state, told
 
 RELAYS, OWN, BACKENDS = 5, 3, 12
@@ -37,7 +46,11 @@
 ATTEMPTS = 3
 STEP = 0.01  # seconds
 EMPTY_QUERY = messages.query(b"")
-ANSWERS = {"served": ROW + IDLE, "error": failure("XX000") + IDLE, "full": failure("53300") + IDLE}
+ANSWERS = {
+    "served": ROW + READY,
+    "error": error_response("XX000") + READY,
+    "full": error_response("53300") + READY,
+}
 
 
 def backend(place: int, **more: Any) -> dict:
@@ -94,12 +107,12 @@
         super().__init__()
         self.relay = Relay(self.reactor, assignment())
         self.relay.start()
-        self.wires: list[Wire] = []
+        self.wires: list[MemoryTransport] = []
 
     def ask(self, number: str, request_class: str) -> None:
-        client = Wire(self.reactor.tcpServers[0][1].buildProtocol(None))
-        client.gets(OPENING)
-        client.gets(asking(number=number, workload=request_class))
+        client = MemoryTransport(self.reactor.tcpServers[0][1].buildProtocol(None))
+        client.feed(STARTUP)
+        client.feed(client_query(number=number, workload=request_class))
         self.settle()
 
     def settle(self) -> None:
@@ -109,20 +122,20 @@
             moved = False
             self.reactor.advance(0)
             for port in range(7001, 7001 + BACKENDS):
-                while self.reactor.dialled(port):
-                    self.wires.append(self.reactor.up(port))
-                    self.wires[-1].gets(GREETING)
+                while self.reactor.pending_connects(port):
+                    self.wires.append(self.reactor.complete_connect(port))
+                    self.wires[-1].feed(STARTUP_RESPONSE)
                     moved = True
             for wire in [wire for wire in self.wires if not wire.settle()]:
                 data = wire.sent()
                 moved |= bool(data)
                 if EMPTY_QUERY in data:
-                    wire.gets(messages.EMPTY)
+                    wire.feed(messages.EMPTY_QUERY_RESPONSE)
                 if b"SELECT" in data:
                     self.waiting[data.split(b"id=")[1].split(b",")[0].decode()] = wire
 
     def answer(self, number: str, outcome: str) -> None:
-        self.waiting.pop(number).gets(ANSWERS[outcome])
+        self.waiting.pop(number).feed(ANSWERS[outcome])
         self.settle()
 
 
@@ -164,7 +177,7 @@
         self.relay.start()
 
     def ask(self, number: str, request_class: str) -> None:
-        body = asking(number=number, workload=request_class)[5:-1]
+        body = client_query(number=number, workload=request_class)[5:-1]
         self.relay.take(statements.read(body), self.relay.clock()).addErrback(lambda reason: None)
         self.settle()
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -8,7 +8,7 @@
 from tealsail.setup.facts import BadFacts, check
 
 from . import test_relay
-from .fake import HARMLESS, IDLE, ONE_SHOT, ROW, SECOND, Story, asking, failure
+from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, Story, client_query, error_response
 from .test_relay import config, told
 
 MOVED = dict(
@@ -96,12 +96,12 @@
             story, switch = self.story(most_shots=old, may_tell=False)
             taken = story.take()
             switch.change(self.now(story, most_shots=new))
-            story.comes(taken, "unreachable")
+            story.report_outcome(taken, "unreachable")
             self.assertEqual((len(story.sent(taken)), len(story.host.of("reject"))), (1, 1))
             switch.settle()
             later = story.take()
             for place in range(new):
-                story.comes(later, "unreachable", place=place)
+                story.report_outcome(later, "unreachable", place=place)
             self.assertEqual(len(story.sent(later)), new)
 
     def test_what_needs_a_restart_is_refused_by_name_and_nothing_changes(self) -> None:
@@ -127,31 +127,31 @@
         )
 
     def test_a_query_taken_before_the_switch_is_answered_once_after_it(self) -> None:
-        client = self.client(asking(wait=3000, workload="order"))
+        client = self.client(client_query(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
         self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
         self.relay.assign(told(config(settings=self.moved())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
-        wire.gets(ROW + IDLE)
-        self.assertEqual((client.sent(), wire.sent()), (ROW + IDLE, b""))
+        wire.feed(ROW + READY)
+        self.assertEqual((client.sent(), wire.sent()), (ROW + READY, b""))
         self.relay.assign(told(config()))  # the way back is the same step
         self.wait(1)
         self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.fresh), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
     def test_a_query_that_fails_after_the_switch_is_not_sent_beyond_either_limit(self) -> None:
-        client = self.client(asking(wait=3000))
+        client = self.client(client_query(wait=3000))
         self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        wire.gets(failure("XX000") + IDLE)
+        wire.feed(error_response("XX000") + READY)
         self.assertEqual((wire.sent(), client.sent().count(b"C53300")), (b"", 1))
 
     def test_a_file_that_cannot_be_used_moves_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
             self.assertRaises(Fixed, self.relay.assign, told(tree))
-        self.assertEqual(self.reactor.dialled(8600), [])
+        self.assertEqual(self.reactor.pending_connects(8600), [])
 
 
 for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -8,9 +8,22 @@
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
-from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, failure, field
+from .fake import (
+    READY,
+    ROW,
+    STARTUP,
+    STARTUP_RESPONSE,
+    MemoryTransport,
+    Reactor,
+    error_response,
+    message,
+)
 
-QUERY, EMPTY, PROOF = field(b"Q", b"text\0"), field(b"Q", b"\0"), field(b"I", b"") + IDLE
+QUERY, EMPTY, PROOF = (
+    message(b"Q", b"text\0"),
+    message(b"Q", b"\0"),
+    message(b"I", b"") + READY,
+)
 
 
 class Stories(unittest.TestCase):
@@ -20,66 +33,68 @@
         self.units.listed(1, "127.0.0.9:7001", 5, 0)
         self.stands = True
 
-    def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.Came]:
+    def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.ShotResult]:
         self.reactor.advance(REST)  # what has answered a moment ago is not taken again
         shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
         self.shot, came = shot, []
         shot.done.addCallback(came.append)
         return came
 
-    def up(self) -> Wire:
-        wire = self.reactor.up(7001)
-        wire.gets(GREETING)
+    def complete_connect(self) -> MemoryTransport:
+        wire = self.reactor.complete_connect(7001)
+        wire.feed(STARTUP_RESPONSE)
         return wire
 
-    def served(self) -> Wire:
+    def served(self) -> MemoryTransport:
         """A connection that is idle after one shot."""
-        came, wire = self.shoot(), self.up()
+        came, wire = self.shoot(), self.complete_connect()
         wire.sent()
-        wire.gets(ROW + IDLE)
+        wire.feed(ROW + READY)
         self.assertEqual(came[0].outcome, "served")
         return wire
 
     def test_a_whole_answer_byte_by_byte_with_the_load_report_behind_it(self) -> None:
-        came, wire = self.shoot(), self.reactor.up(7001)
-        self.assertEqual(wire.sent(), OPENING)
-        wire.gets(GREETING, piece=1)
+        came, wire = self.shoot(), self.reactor.complete_connect(7001)
+        self.assertEqual(wire.sent(), STARTUP)
+        wire.feed(STARTUP_RESPONSE, piece=1)
         self.assertEqual(wire.sent(), QUERY)
-        wire.gets(ROW + field(b"S", b"stats\0inflight=7,util=0.61\0") + IDLE, piece=1)
+        wire.feed(ROW + message(b"S", b"stats\0inflight=7,util=0.61\0") + READY, piece=1)
         self.assertEqual(
-            (came[0].outcome, messages.whole(came[0].value), came[0].load),
-            ("served", ROW + IDLE, {"inflight": 7.0, "util": 0.61}),
+            (came[0].outcome, messages.value_response(came[0].value), came[0].load),
+            ("served", ROW + READY, {"inflight": 7.0, "util": 0.61}),
         )
 
-    def proven(self, wire: Wire) -> bytes:
+    def proven(self, wire: MemoryTransport) -> bytes:
         """What is written to a kept connection once it has shown that it is there."""
         self.assertEqual(wire.sent(), EMPTY)
-        wire.gets(PROOF, piece=1)
+        wire.feed(PROOF, piece=1)
         return wire.sent()
 
     def test_a_kept_connection_that_is_gone_costs_no_shot(self) -> None:
         """Guards against shots written to what the unit has closed: for all that is known they may have run."""
         self.shoot(), self.shoot()
-        first, second = self.up(), self.up()
+        first, second = self.complete_connect(), self.complete_connect()
         for wire in (first, second):
             wire.sent()
-            wire.gets(ROW + IDLE)
+            wire.feed(ROW + READY)
         came = self.shoot()
         self.assertEqual(second.sent(), EMPTY)
         second.drop()
         self.assertEqual((self.proven(first), came), (QUERY, []))
-        first.gets(ROW + IDLE)
+        first.feed(ROW + READY)
         self.assertEqual(came[0].outcome, "served")
         came = self.shoot()
         first.sent()
         first.drop()
-        self.assertTrue(self.up().sent().endswith(QUERY))  # a new one, once none is kept
+        self.assertTrue(self.complete_connect().sent().endswith(QUERY))  # a new one, once none is kept
 
     def test_a_unit_that_does_not_even_answer_nothing_is_out_of_reach(self) -> None:
         wire = self.served()
         came = self.shoot()
         self.reactor.advance(0.25)
-        self.assertEqual((came[0].outcome, wire.settle(), self.reactor.dialled(7001)), ("unreachable", True, []))
+        self.assertEqual(
+            (came[0].outcome, wire.settle(), self.reactor.pending_connects(7001)), ("unreachable", True, [])
+        )
         wire = self.served()
         came = self.shoot(wait=0.1)
         self.reactor.advance(0.1)  # no longer waited for before that is known
@@ -87,19 +102,26 @@
         self.assertEqual((came[0].outcome, wire.settle()), ("moot", True))
 
     def test_more_than_the_answer_spoils_the_connection_and_not_the_answer(self) -> None:
-        for more in (ROW + IDLE, ROW, IDLE, b"noise\0\0\0", PROOF, failure("XX000")):
+        for more in (
+            ROW + READY,
+            ROW,
+            READY,
+            b"noise\0\0\0",
+            PROOF,
+            error_response("XX000"),
+        ):
             for later in (False, True):
-                came, wire = self.shoot(), self.up()
+                came, wire = self.shoot(), self.complete_connect()
                 wire.sent()
-                wire.gets(ROW + IDLE + more * (not later))
+                wire.feed(ROW + READY + more * (not later))
                 self.assertEqual(came[0].outcome, "served")
                 further = self.shoot()  # while it is asked whether it is there
                 if later:
                     self.assertEqual(wire.sent(), EMPTY)
-                    wire.gets(more + PROOF if more != PROOF else b"x" * 9)
+                    wire.feed(more + PROOF if more != PROOF else b"x" * 9)
                 self.assertTrue(wire.settle())
                 self.assertNotIn(QUERY, wire.sent())
-                other = self.up()
+                other = self.complete_connect()
                 self.assertEqual((further, other.sent()[-len(QUERY) :]), ([], QUERY))
                 other.drop()
 
@@ -114,34 +136,38 @@
             b"stats\0util=1e99\0",
             b"stats\0\0",
         ):
-            came, wire = self.shoot(), self.up()
+            came, wire = self.shoot(), self.complete_connect()
             wire.sent()
-            wire.gets(field(b"S", report) + ROW + IDLE)
+            wire.feed(message(b"S", report) + ROW + READY)
             self.assertEqual((came[0].outcome, came[0].load, wire.closing), ("served", None, False))
             wire.drop()
 
     def test_the_connection_used_last_is_used_first_and_one_shot_at_a_time(self) -> None:
         self.shoot(), self.shoot()
-        first, second = self.up(), self.up()
+        first, second = self.complete_connect(), self.complete_connect()
         for wire in (first, second):
             wire.sent()
-            wire.gets(ROW + IDLE)
+            wire.feed(ROW + READY)
         self.shoot()
         self.assertEqual((first.sent(), self.proven(second)), (b"", QUERY))
         self.shoot()
-        self.assertEqual((self.proven(first), self.reactor.dialled(7001)), (QUERY, []))
+        self.assertEqual((self.proven(first), self.reactor.pending_connects(7001)), (QUERY, []))
 
     def test_outcomes_by_what_came_back(self) -> None:
         wire = self.served()
-        for answer, outcome in ((failure("XX000"), "error"), (failure("53300"), "full"), (failure("57P03"), "error")):
+        for answer, outcome in (
+            (error_response("XX000"), "error"),
+            (error_response("53300"), "full"),
+            (error_response("57P03"), "error"),
+        ):
             came = self.shoot()
             self.assertEqual(self.proven(wire), QUERY)
-            wire.gets(answer + IDLE)
+            wire.feed(answer + READY)
             self.assertEqual(came[0].outcome, outcome)
 
     def test_whether_it_may_have_run_is_decided_by_its_last_byte(self) -> None:
         for written, outcome in ((False, "unreachable"), (True, "reset")):
-            came, wire = self.shoot(), self.up()
+            came, wire = self.shoot(), self.complete_connect()
             if written:
                 wire.sent()
             wire.drop(ConnectionDone())
@@ -149,33 +175,33 @@
 
     def test_an_answer_is_whole_though_the_connection_breaks_right_behind_it(self) -> None:
         for answer, outcome in ((ROW, "served"), (ROW[:-1], "reset")):
-            came, wire = self.shoot(), self.up()
+            came, wire = self.shoot(), self.complete_connect()
             wire.sent()
-            wire.gets(answer)
+            wire.feed(answer)
             wire.drop()
             self.assertEqual(came[0].outcome, outcome)
 
     def test_never_run_if_refused_turned_away_at_setup_or_never_up(self) -> None:
         came = self.shoot()
-        self.reactor.refuse(7001)
-        turned, wire = self.shoot(), self.reactor.up(7001)
-        wire.gets(failure("53300"))
+        self.reactor.refuse_connect(7001)
+        turned, wire = self.shoot(), self.reactor.complete_connect(7001)
+        wire.feed(error_response("53300"))
         wire.drop()
-        late, silent = self.shoot(), self.reactor.up(7001)
+        late, silent = self.shoot(), self.reactor.complete_connect(7001)
         self.reactor.advance(0.3)
         self.assertTrue(silent.settle())
         self.assertEqual([each[0].outcome for each in (came, turned, late)], ["unreachable", "full", "unreachable"])
 
     def test_a_pick_that_no_longer_stands_when_the_connection_is_up_is_not_written(self) -> None:
-        came, wire = self.shoot(), self.reactor.up(7001)
+        came, wire = self.shoot(), self.reactor.complete_connect(7001)
         wire.sent()
         self.stands = False
-        wire.gets(GREETING)
+        wire.feed(STARTUP_RESPONSE)
         self.assertEqual((wire.sent(), came[0].outcome), (b"", "moot"))
 
     def test_a_shot_given_up_is_told_once_its_connection_has_ended(self) -> None:
         """Guards against a further shot that is written while the one before it is still open."""
-        came, wire = self.shoot(wait=0.2), self.up()
+        came, wire = self.shoot(wait=0.2), self.complete_connect()
         wire.sent()
         self.reactor.advance(0.2)
         self.assertEqual((wire.closing, came), (True, []))
@@ -188,7 +214,7 @@
     def test_a_connection_set_up_too_late_for_its_shot_serves_the_next(self) -> None:
         self.shoot(wait=0.1)
         self.reactor.advance(0.1)
-        wire = self.up()
+        wire = self.complete_connect()
         wire.sent()
         self.shoot()
         self.assertEqual(self.proven(wire), QUERY)
@@ -202,12 +228,12 @@
             self.reactor.advance(1)
         self.assertTrue(wire.settle())
         self.shoot()
-        self.assertEqual(len(self.reactor.dialled(7001)), 1)
+        self.assertEqual(len(self.reactor.pending_connects(7001)), 1)
 
     def test_a_connection_that_has_ended_is_not_used_again(self) -> None:
         self.served().drop(ConnectionDone())
         self.shoot()
-        self.assertEqual(len(self.reactor.dialled(7001)), 1)
+        self.assertEqual(len(self.reactor.pending_connects(7001)), 1)
 
     def test_an_id_that_comes_back_with_another_build_address_or_start_is_another_unit(self) -> None:
         for mark in (("127.0.0.9:7001", 6, 0), ("127.0.0.9:7001", 6, 50), ("127.0.0.8:7001", 6, 50)):
@@ -228,24 +254,24 @@
 
     def test_a_unit_that_talks_nonsense_is_left(self) -> None:
         for nonsense in (
-            field(b"!", b""),
+            message(b"!", b""),
             b"D\x7f\0\0\0",
-            field(b"D", b""),
-            field(b"R", b"\0\0\0\3"),
-            field(b"D", b"\0\1") * 2,
-            field(b"C", b"SELECT 0\0") + IDLE,
-            IDLE,
+            message(b"D", b""),
+            message(b"R", b"\0\0\0\3"),
+            message(b"D", b"\0\1") * 2,
+            message(b"C", b"SELECT 0\0") + READY,
+            READY,
             PROOF,
-            ROW[:33] + field(b"D", b"\0\1\0\0\0\3\x9f\x03"),
+            ROW[:33] + message(b"D", b"\0\1\0\0\0\3\x9f\x03"),
             ROW[33:],
             b"D\xb2\xd0\x5e\0" + bytes(9000),
-            field(b"T", b"\0\2content\0" + bytes(18)),
-            field(b"D", b"\0\1\xff\xff\xff\xf0"),
-            field(b"E", b"C\0\0"),
-            field(b"T", b"\0\1" + b"x" * 40),
+            message(b"T", b"\0\2content\0" + bytes(18)),
+            message(b"D", b"\0\1\xff\xff\xff\xf0"),
+            message(b"E", b"C\0\0"),
+            message(b"T", b"\0\1" + b"x" * 40),
         ):
-            came, wire = self.shoot(), self.up()
+            came, wire = self.shoot(), self.complete_connect()
             wire.sent()
-            wire.gets(nonsense, piece=len(nonsense) if len(came) else 1)
+            wire.feed(nonsense, piece=len(nonsense) if len(came) else 1)
             self.assertTrue(wire.settle())
             self.assertEqual(came[0].outcome, "reset")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -399,9 +399,11 @@
     def test_clients_heed_when_a_rejection_says_to_come_back(self) -> None:
         """Guards against the first real surge's fault: repeats came at once, and service was better than it can be."""
         from tealsail.lab.loopback.clients import read_retry_after
-        from tealsail.net.messages import trouble
+        from tealsail.net.messages import error_response
 
-        self.assertEqual([read_retry_after(trouble("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000])
+        self.assertEqual(
+            [read_retry_after(error_response("53300", "no", after)[5:]) for after in (None, 500)], [0, 5000]
+        )
 
 
 class Networks(unittest.TestCase):
