--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -394,7 +394,7 @@
             None,
             "not measured",
             "half of the descriptors",
-            Place("net.units", "Units.has_room"),
+            Place("net.units", "Units.room"),
         ),
         State(
             Role.JUDGE,
