--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -42,7 +42,7 @@
 
 
 class Forfeited(NamedTuple):
-    """The request has failed, and may have been run."""
+    """The request has failed, and whether it was run is not known."""
 
 
 Answer = Value | Rejected | Forfeited
@@ -111,7 +111,7 @@
         self.clients, self.counters = clients, clients.counters
         self.splitter = messages.MessageSplitter(typed=False)
         self.queue: deque[ReceivedQuery | bytes | Ending] = deque()  # bytes: an answer that is known already
-        self.pending: deque[PendingAnswer] = deque()  # begun and not written yet
+        self.pending: deque[PendingAnswer] = deque()  # begun and not written yet; emptied by the answers or the end
         self.answer_bytes = 0  # of known answers in `pending`
         self.is_admitted = True  # False: all places were taken when it came
         self.came_during_shutdown = clients.closing
@@ -237,7 +237,7 @@
         if len(self.pending) == 1:
             self.release_held_bytes(pending)
         if isinstance(entry, bytes):
-            return self.settle(pending, entry)
+            return self.set_answer(pending, entry)
         self.queued_queries -= 1
         self.answer_query(entry, pending)
 
@@ -254,7 +254,7 @@
         has to be served."""
         now = self.clients.clock()
         is_mute = self.is_mute(now)
-        if self.can_end_unnoticed() and (
+        if self.can_be_closed() and (
             is_mute or leaves_off(not self.has_queried, now - self.idle_since, bool(self.partial_since))
         ):
             self.end("mute" if is_mute else "closing")
@@ -265,12 +265,12 @@
             self.counters.add("clients.empty")
             return self.answer_empty(pending)
         if statements.SESSION_COMMAND.fullmatch(text):
-            return self.settle(pending, messages.SET_RESPONSE)
+            return self.set_answer(pending, messages.SET_RESPONSE)
         try:
             pending.request = self.clients.take(statements.read(text), query.at)
         except statements.StatementError as problem:
             self.counters.add("clients.unclear")
-            return self.settle(
+            return self.set_answer(
                 pending, messages.error_response(STATEMENT_ERROR_CODE, str(problem)) + messages.READY_FOR_QUERY
             )
         self.counters.add("clients.taken")
@@ -279,18 +279,18 @@
 
     def answer_empty(self, pending: PendingAnswer) -> None:
         if not self.came_during_shutdown:
-            return self.settle(pending, messages.EMPTY_QUERY_RESPONSE)
+            return self.set_answer(pending, messages.EMPTY_QUERY_RESPONSE)
         self.queue.clear()  # a load balancer's readiness check: this relay is no longer ready
         self.enqueue(Ending("closing"))
-        self.settle(pending, b"")
+        self.set_answer(pending, b"")
 
     def on_answer(self, answer: Answer, pending: PendingAnswer) -> None:
         self.idle_since = self.clients.clock()
         self.counters.add(f"clients.{type(answer).__name__.lower()}")
-        self.settle(pending, encode_answer(answer))
+        self.set_answer(pending, encode_answer(answer))
         self.process_queue()
 
-    def settle(self, pending: PendingAnswer, answer: bytes) -> None:
+    def set_answer(self, pending: PendingAnswer, answer: bytes) -> None:
         """An answer is known: write it once all answers before it are written."""
         pending.request, pending.answer = None, answer
         self.add_answer_bytes(len(answer))
@@ -333,15 +333,16 @@
         since = self.partial_since or (now if self.has_queried else self.idle_since)
         return self.is_idle() and now - since > MUTE_TIMEOUT
 
-    def can_end_unnoticed(self) -> bool:
+    def can_be_closed(self) -> bool:
         """Whether it is idle and nothing waits unread in the kernel; otherwise its end would reset a query."""
         return self.is_idle() and not has_unread_bytes(self.transport)
 
     def end(self, code: str, last_message: bytes = b"", note: str = "") -> None:
         """End the connection behind what was written.
 
-        With a last message only our half ends, and what still comes is read and dropped until the other half ends too:
-        a close with something unread resets the connection, and the reset may overtake the message.
+        With a last message, or at shutdown, only our half ends, and what still comes is read and dropped until the
+        other half ends too: a close with something unread resets the connection, and the reset may overtake the last
+        message or answer.  When MAX_HALF_CLOSED connections do so already, this one closes at once.
         """
         if self.code:
             return
@@ -426,13 +427,10 @@
         """
         now, is_crowded = self.clock(), len(self.connections) > self.max_connections * CROWDED_SHARE
         for client in list(self.connections):
-            if client.is_mute(now) and client.can_end_unnoticed():
+            if client.is_mute(now) and client.can_be_closed():
                 client.end("mute")
             elif (
-                is_crowded
-                and not client.partial_since
-                and now - client.idle_since > UNUSED
-                and client.can_end_unnoticed()
+                is_crowded and not client.partial_since and now - client.idle_since > UNUSED and client.can_be_closed()
             ):
                 client.end("crowded")
         self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
@@ -462,7 +460,7 @@
                 each.idle_since,
             ),
         )
-        evicted = next((each for each in idle[:MAX_EVICTION_CANDIDATES] if each.can_end_unnoticed()), None)
+        evicted = next((each for each in idle[:MAX_EVICTION_CANDIDATES] if each.can_be_closed()), None)
         if evicted:
             evicted.end("no_room")
         return evicted is not None
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,4 +1,4 @@
-"""The one fake host of the stories, a relay that it drives, and a network in memory."""
+"""Test doubles: a host that records calls, a relay's decisions under a clock of the test's own, a network in memory."""
 
 import struct
 from typing import Any
@@ -11,7 +11,7 @@
 
 from tealsail import policy
 
-logger.remove()  # the stories are told by their assertions
+logger.remove()  # no log lines among the results of the tests
 
 SECOND = policy.SECOND
 HARMLESS = dict(promised=SECOND, abandon=4 * SECOND, effect="harmless", payoff=1.0)
@@ -20,7 +20,7 @@
 
 
 class FakeHost:
-    """Notes what the relay asks for, in order."""
+    """Records the calls of the relay in their order."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -29,11 +29,15 @@
         return lambda *what: self.calls.append((name, *what))
 
     def of(self, name: str) -> list[tuple[Any, ...]]:
+        """The arguments of all calls of this name."""
         return [call[1:] for call in self.calls if call[0] == name]
 
 
 class Story:
-    """One relay, its units (a number and what differs from an old warm unit of build 1) and its clock."""
+    """A `policy.Relay` with its units, on a clock that only the test moves; times are in tenths of a millisecond.
+
+    At the start there are `units` units, all warm and of build 1, which is released.
+    """
 
     def __init__(self, units: int = 4, workloads: tuple = (HARMLESS,), **facts: Any) -> None:
         self.host = FakeHost()
@@ -62,39 +66,44 @@
 
     @staticmethod
     def unit(number: int, build: int = 1, state: str = "open", started: int = 0, zone: int = 0) -> tuple:
+        """An entry of the list of units; `started` 0 means long ago, so the unit is warm."""
         return (number, build, state, zone, 0, 1.0, started)
 
     def update_list(self, entries: list[tuple], kind: str = "whole") -> None:
+        """The relay receives the list of units, or changes of it."""
         self.relay.on_list(kind, entries)
 
     def later(self, tenths: int) -> None:
         self.relay.now += tenths
 
     def take(self, workload: int = 0, key: str | None = None, customer: int = 0) -> int:
+        """An invocation comes that may last 4 s; returns its number."""
         self.count += 1
         self.relay.on_invocation(self.count, workload, customer, key, self.relay.now + 4 * SECOND, 0, False)
         return self.count
 
     def sent(self, number: int | None = None) -> list[int]:
-        """The units of the shots, of one invocation or of all."""
+        """The units of the shots sent so far, of one invocation or of all."""
         return [unit for invocation, unit, _ in self.host.of("send") if number in (None, invocation)]
 
     def report_outcome(self, number: int, outcome: str, place: int = 0, latency: int = 1000) -> None:
+        """The shot of that place in its invocation has ended."""
         self.relay.on_outcome(number, place, outcome, outcome == "served", latency, None)
 
     def serve(self, outcome: str = "served", latency: int = 1000, **how: Any) -> int:
-        """Take one and let its first shot come back; returns the unit."""
+        """Take an invocation and end its first shot with this outcome; returns the shot's unit, -1 for no shot."""
         number = self.take(**how)
         if self.sent(number):
             self.report_outcome(number, outcome, latency=latency)
         return self.sent(number)[0] if self.sent(number) else -1
 
     def beat(self) -> None:
+        """Half a second passes, and the relay's periodic work runs."""
         self.later(SECOND // 2)
         self.relay.on_wake(self.relay.WAKE_BEAT)
 
     def trial(self, build: int = 2, age: int = 10 * SECOND, many: int = 1) -> None:
-        """A build on trial in stage 0, on the last units, long warm."""
+        """A build goes on trial in stage 0, on the last `many` units, which have been warm for long."""
         self.relay.on_stage(build, 0, policy.ON_TRIAL, 0.5, age)
         units = len(self.relay.units)
         self.update_list(
@@ -109,6 +118,7 @@
         )
 
     def evidence(self, canary: dict[str, int], baseline: dict[str, int], start: int = 5) -> bytes:
+        """The note of another relay with its counts of both builds; `bucket` is the latency bucket of all served."""
         rows = [[each["served"], each.get("failed", 0)] + [0] * 8 for each in (canary, baseline)]
         for row, each in zip(rows, (canary, baseline)):
             row[2 + each.get("bucket", 1)] = each["served"]
@@ -116,15 +126,18 @@
         return struct.pack(f"<HIHH{len(cells)}H", 2, start, 10, 10, *cells)
 
     def votes(self) -> list[int]:
+        """The verdicts of the votes asked for so far."""
         return [verdict for _, _, verdict in self.host.of("vote")]
 
 
-# The network code's stories: connections in memory, and a clock that only a story moves.
+# For tests of the network code: connections in memory, and a clock that only the test moves.
 
 
 class MemoryTransport(testing.StringTransport):
-    """One end of a connection; what it wrote is what `sent` returns.  Closing shows only after `settle`,
-    as with real sockets."""
+    """The transport of one protocol object, with the test on the other side.
+
+    Closing only sets `closing`; the protocol learns of its end at the next `settle`, as with real sockets.
+    """
 
     closing = ended = False
 
@@ -142,7 +155,7 @@
             producer.resumeProducing()
 
     def sent(self) -> bytes:
-        """All that was written, now on its way."""
+        """What the protocol has written since the last call; a producer counts it as written only now."""
         if self.producer and not self.streaming:
             self.producer.resumeProducing()
         data = self.value()
@@ -155,22 +168,24 @@
     abortConnection = loseWriteConnection = loseConnection  # the other side ends its half at once
 
     def settle(self) -> bool:
-        """Whether it has ended by now."""
+        """Complete a close that is under way, and tell whether the connection has ended."""
         if self.closing and not self.ended:
             self.drop(ConnectionDone())
         return self.ended
 
     def drop(self, reason: Exception | None = None) -> None:
+        """The connection ends; it breaks unless a reason says otherwise."""
         self.ended = True
         self.protocol.connectionLost(Failure(reason or ConnectionLost()))
 
     def feed(self, data: bytes, piece: int = 1 << 20) -> None:
+        """The other side sends this, in pieces of so many bytes."""
         for first in range(0, len(data), piece):
             self.protocol.dataReceived(data[first : first + piece])
 
 
 class Reactor(testing.MemoryReactorClock):
-    """Everything on a network in memory."""
+    """A reactor with connections, listeners and datagrams in memory."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -189,23 +204,24 @@
         self.udp = None
 
     def pending_connects(self, port: int) -> list[int]:
-        """Which of the connections asked for go to that port and are neither up nor refused."""
+        """Positions in `tcpClients` of the connects to that port that are neither up nor refused."""
         return [place for place, each in enumerate(self.tcpClients) if each and each[1] == port]
 
     def complete_connect(self, port: int) -> MemoryTransport:
-        """The oldest connection asked for to that port comes up."""
+        """The oldest pending connect to that port succeeds."""
         place = self.pending_connects(port)[0]
         factory, self.tcpClients[place] = self.tcpClients[place][2], None
         return MemoryTransport(factory.buildProtocol(None))
 
     def refuse_connect(self, port: int) -> None:
+        """The oldest pending connect to that port is refused."""
         place = self.pending_connects(port)[0]
         factory, self.tcpClients[place] = self.tcpClients[place][2], None
         factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
 
 def message(kind: bytes, body: bytes) -> bytes:
-    """A message of the protocol, as a stand-in words it."""
+    """A message of PostgreSQL's protocol, built apart from the code under test."""
     return kind + struct.pack(">I", len(body) + 4) + body
 
 
@@ -220,11 +236,13 @@
 
 
 def error_response(code: str) -> bytes:
+    """A unit's error with that SQLSTATE code."""
     return message(b"E", f"SERROR\0C{code}\0Mno\0\0".encode())
 
 
 def client_query(
     wait: int = 480, more: str = "", workload: str = "basket", name: str = "7f3a", number: str = "9b1f"
 ) -> bytes:
+    """A client's query that waits `wait` milliseconds; `more` is added to the fields of its comment."""
     text = f"SELECT content FROM kv WHERE name = '{name}' /* id={number},c={workload},t=acme,d={wait}{more} */"
     return message(b"Q", text.encode() + b"\0")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of the network code: in any pieces, and against what is not the protocol's."""
+"""Parsers of the network code: input in pieces of any size, and malformed input."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 
 
 class Messages(unittest.TestCase):
-    def test_messages_in_pieces_of_one_byte_or_several_in_one_read(self) -> None:
+    def test_messages_split_over_reads_or_several_in_one_read(self) -> None:
         stream = message(b"S", b"stats\0util=0.61\0") + ROW + error_response("XX000") + message(b"Z", b"I")
         for piece in (1, 7, len(stream)):
             splitter, seen = messages.MessageSplitter(typed=True), []
@@ -36,7 +36,7 @@
             )
             self.assertEqual(messages.value_response(messages.Value(*seen[1:4])), ROW + message(b"Z", b"I"))
 
-    def test_the_first_message(self) -> None:
+    def test_first_message_of_a_client(self) -> None:
         self.assertEqual(
             messages.parse_first_message(STARTUP[4:]),
             messages.Startup({b"user": b"backend", b"database": b"store"}),
@@ -45,13 +45,13 @@
         for body in (b"", b"\0\2\0\0", b"\0\3\0\0user\0", b"\0\3\0\0user\0me\0"):
             self.assertRaises(messages.ProtocolError, messages.parse_first_message, body)
 
-    def test_what_is_beyond_bounds_is_not_waited_for(self) -> None:
+    def test_length_beyond_bounds_is_an_error_at_once(self) -> None:
         for typed, data in ((True, b"Q\x7f\0\0\0"), (True, b"Q\0\0\0\3"), (False, b"\0\1\0\0")):
             splitter = messages.MessageSplitter(typed)
             splitter.feed(data)
             self.assertRaises(messages.ProtocolError, list, splitter)
 
-    def test_garbage_is_read_or_unreadable_and_nothing_else(self) -> None:
+    def test_random_bytes_raise_nothing_but_protocol_errors(self) -> None:
         for seed in range(300):
             body = garbage(seed, seed % 40)
             for kind in (b"R", b"S", b"T", b"D", b"E", b"C", b"Z", b"q", b"Q"):
@@ -63,20 +63,20 @@
 
 
 class Statements(unittest.TestCase):
-    def test_all_but_the_time_to_wait_passes_on_as_it_came(self) -> None:
+    def test_only_the_time_to_wait_changes_on_the_way_to_the_unit(self) -> None:
         statement = statements.read(INSERT)
         self.assertEqual(
             (statement.workload, statement.customer, statement.key, statement.wait), ("order", "acme", "7f", 480)
         )
         self.assertEqual(statements.text_for_unit(statement, 73), INSERT.replace(b"d=480", b"d=73"))
 
-    def test_quotes_a_mark_for_repeats_and_a_comment_inside_a_value(self) -> None:
+    def test_quotes_repeat_field_and_comment_inside_a_value(self) -> None:
         text = b"SELECT content FROM kv WHERE name = 'o''clock /* d=1 */' /* id=1,c=a,t=b,d=0.5,r=1 */"
         statement = statements.read(text)
         self.assertEqual((statement.key, statement.wait, statement.repeat), ("o'clock /* d=1 */", 0.5, True))
         self.assertEqual(statements.text_for_unit(statement, 2), text.replace(b"d=0.5", b"d=2"))
 
-    def test_what_can_not_be_read_says_so(self) -> None:
+    def test_malformed_statements_raise_an_error(self) -> None:
         good = client_query()[5:-1]
         for text in (
             b"",
@@ -111,7 +111,7 @@
             seen += replies.feed(stream[first : first + piece])
         return seen + replies.ended()
 
-    def test_lengths_and_chunks_in_any_pieces(self) -> None:
+    def test_content_length_and_chunked_bodies_in_pieces(self) -> None:
         stream = (
             self.HEAD
             + b"content-length: 2\r\n\r\n{}"
@@ -133,7 +133,7 @@
                 ],
             )
 
-    def test_what_is_not_http_is_unreadable(self) -> None:
+    def test_malformed_http_raises_an_error(self) -> None:
         chunked = self.HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
         for stream in (
             b"SSH-2.0-x\r\n\r\n",
@@ -148,7 +148,7 @@
         ):
             self.assertRaises(discovery.Unreadable, self.replies, stream, 5)
 
-    def test_lists_that_can_not_be_read(self) -> None:
+    def test_malformed_lists_raise_an_error(self) -> None:
         good = {"generation": 1, "reset": True, "instances": [{"instanceId": "a", "hostPort": "10.0.0.1:5"}]}
         self.assertEqual(discovery.read_news(good).entries[0].weight, 1.0)
         for wrong in (
@@ -167,7 +167,7 @@
 class Lines(unittest.TestCase):
     STATE = b'{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}'
 
-    def test_answers_news_and_signs_of_life(self) -> None:
+    def test_answers_notifications_and_pings(self) -> None:
         state = platform.State(42, 1, "on trial", 0.28, 310)
         for line, read in (
             (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.Answer(11, state, "")),
@@ -178,7 +178,7 @@
         ):
             self.assertEqual(platform.read(line), read)
 
-    def test_what_can_not_be_read(self) -> None:
+    def test_malformed_lines_raise_an_error(self) -> None:
         for line in (
             b"{",
             b"[]",
@@ -192,7 +192,7 @@
 
 
 class Settings(unittest.TestCase):
-    def test_nested_json_and_the_wires_paths_give_the_same_map(self) -> None:
+    def test_nested_json_and_flat_paths_give_the_same_settings(self) -> None:
         tree = {
             "fleetSize": 3,
             "domain": {"mostShares": [0.1, 1.0], "oneWay": False, "span": 2000.0},
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -1,4 +1,4 @@
-"""Units' connections in memory: kept, used again, and what may have run."""
+"""Connections to units, in memory: setup, reuse, outcomes of shots, and limits."""
 
 import unittest
 
@@ -19,14 +19,14 @@
     message,
 )
 
-QUERY, EMPTY, PROOF = (
+QUERY, EMPTY, PROBE_ANSWER = (
     message(b"Q", b"text\0"),
     message(b"Q", b"\0"),
     message(b"I", b"") + READY,
 )
 
 
-class Stories(unittest.TestCase):
+class UnitConnections(unittest.TestCase):
     def setUp(self) -> None:
         self.reactor = Reactor()
         self.units = units.Units(self.reactor, Counters(), 0.25, 30.0, 3)
@@ -34,98 +34,99 @@
         self.stands = True
 
     def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.ShotResult]:
-        self.reactor.advance(REST)  # what has answered a moment ago is not taken again
+        self.reactor.advance(REST)  # a connection that has just answered is not reused at once
         shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
-        self.shot, came = shot, []
-        shot.done.addCallback(came.append)
-        return came
+        self.shot, results = shot, []
+        shot.done.addCallback(results.append)
+        return results
 
     def complete_connect(self) -> MemoryTransport:
-        wire = self.reactor.complete_connect(7001)
-        wire.feed(STARTUP_RESPONSE)
-        return wire
+        transport = self.reactor.complete_connect(7001)
+        transport.feed(STARTUP_RESPONSE)
+        return transport
 
     def served(self) -> MemoryTransport:
         """A connection that is idle after one shot."""
-        came, wire = self.shoot(), self.complete_connect()
-        wire.sent()
-        wire.feed(ROW + READY)
-        self.assertEqual(came[0].outcome, "served")
-        return wire
+        results, transport = self.shoot(), self.complete_connect()
+        transport.sent()
+        transport.feed(ROW + READY)
+        self.assertEqual(results[0].outcome, "served")
+        return transport
 
-    def test_a_whole_answer_byte_by_byte_with_the_load_report_behind_it(self) -> None:
-        came, wire = self.shoot(), self.reactor.complete_connect(7001)
-        self.assertEqual(wire.sent(), STARTUP)
-        wire.feed(STARTUP_RESPONSE, piece=1)
-        self.assertEqual(wire.sent(), QUERY)
-        wire.feed(ROW + message(b"S", b"stats\0inflight=7,util=0.61\0") + READY, piece=1)
+    def test_answer_that_arrives_byte_by_byte_with_a_load_report(self) -> None:
+        results, transport = self.shoot(), self.reactor.complete_connect(7001)
+        self.assertEqual(transport.sent(), STARTUP)
+        transport.feed(STARTUP_RESPONSE, piece=1)
+        self.assertEqual(transport.sent(), QUERY)
+        transport.feed(ROW + message(b"S", b"stats\0inflight=7,util=0.61\0") + READY, piece=1)
         self.assertEqual(
-            (came[0].outcome, messages.value_response(came[0].value), came[0].load),
+            (results[0].outcome, messages.value_response(results[0].value), results[0].load),
             ("served", ROW + READY, {"inflight": 7.0, "util": 0.61}),
         )
 
-    def proven(self, wire: MemoryTransport) -> bytes:
-        """What is written to a kept connection once it has shown that it is there."""
-        self.assertEqual(wire.sent(), EMPTY)
-        wire.feed(PROOF, piece=1)
-        return wire.sent()
+    def answer_probe(self, transport: MemoryTransport) -> bytes:
+        """What is written to an idle connection after its probe has been answered."""
+        self.assertEqual(transport.sent(), EMPTY)
+        transport.feed(PROBE_ANSWER, piece=1)
+        return transport.sent()
 
-    def test_a_kept_connection_that_is_gone_costs_no_shot(self) -> None:
-        """Guards against shots written to what the unit has closed: for all that is known they may have run."""
+    def test_idle_connection_that_the_unit_has_closed_gets_no_query(self) -> None:
+        """Guards against a query written to a connection that the unit has closed, since it would count as one that may
+        have run."""
         self.shoot(), self.shoot()
         first, second = self.complete_connect(), self.complete_connect()
-        for wire in (first, second):
-            wire.sent()
-            wire.feed(ROW + READY)
-        came = self.shoot()
+        for transport in (first, second):
+            transport.sent()
+            transport.feed(ROW + READY)
+        results = self.shoot()
         self.assertEqual(second.sent(), EMPTY)
         second.drop()
-        self.assertEqual((self.proven(first), came), (QUERY, []))
+        self.assertEqual((self.answer_probe(first), results), (QUERY, []))
         first.feed(ROW + READY)
-        self.assertEqual(came[0].outcome, "served")
-        came = self.shoot()
+        self.assertEqual(results[0].outcome, "served")
+        results = self.shoot()
         first.sent()
         first.drop()
-        self.assertTrue(self.complete_connect().sent().endswith(QUERY))  # a new one, once none is kept
+        self.assertTrue(self.complete_connect().sent().endswith(QUERY))  # a new one, since none is idle
 
-    def test_a_unit_that_does_not_even_answer_nothing_is_out_of_reach(self) -> None:
-        wire = self.served()
-        came = self.shoot()
+    def test_unit_that_does_not_answer_the_probe_is_unreachable(self) -> None:
+        transport = self.served()
+        results = self.shoot()
         self.reactor.advance(0.25)
         self.assertEqual(
-            (came[0].outcome, wire.settle(), self.reactor.pending_connects(7001)), ("unreachable", True, [])
+            (results[0].outcome, transport.settle(), self.reactor.pending_connects(7001)), ("unreachable", True, [])
         )
-        wire = self.served()
-        came = self.shoot(wait=0.1)
-        self.reactor.advance(0.1)  # no longer waited for before that is known
+        transport = self.served()
+        results = self.shoot(wait=0.1)
+        self.reactor.advance(0.1)  # the shot ends before the probe does
         self.reactor.advance(0.2)
-        self.assertEqual((came[0].outcome, wire.settle()), ("moot", True))
+        self.assertEqual((results[0].outcome, transport.settle()), ("moot", True))
 
-    def test_more_than_the_answer_spoils_the_connection_and_not_the_answer(self) -> None:
+    def test_messages_after_the_answer_end_the_connection_and_keep_the_answer(self) -> None:
         for more in (
             ROW + READY,
             ROW,
             READY,
             b"noise\0\0\0",
-            PROOF,
+            PROBE_ANSWER,
             error_response("XX000"),
         ):
             for later in (False, True):
-                came, wire = self.shoot(), self.complete_connect()
-                wire.sent()
-                wire.feed(ROW + READY + more * (not later))
-                self.assertEqual(came[0].outcome, "served")
-                further = self.shoot()  # while it is asked whether it is there
+                results, transport = self.shoot(), self.complete_connect()
+                transport.sent()
+                transport.feed(ROW + READY + more * (not later))
+                self.assertEqual(results[0].outcome, "served")
+                further = self.shoot()  # the connection is being probed
                 if later:
-                    self.assertEqual(wire.sent(), EMPTY)
-                    wire.feed(more + PROOF if more != PROOF else b"x" * 9)
-                self.assertTrue(wire.settle())
-                self.assertNotIn(QUERY, wire.sent())
+                    self.assertEqual(transport.sent(), EMPTY)
+                    transport.feed(more + PROBE_ANSWER if more != PROBE_ANSWER else b"x" * 9)
+                self.assertTrue(transport.settle())
+                self.assertNotIn(QUERY, transport.sent())
                 other = self.complete_connect()
                 self.assertEqual((further, other.sent()[-len(QUERY) :]), ([], QUERY))
                 other.drop()
 
-    def test_a_load_report_that_cannot_be_read_spoils_neither_the_answer_nor_the_belief(self) -> None:
+    def test_malformed_load_report_is_ignored(self) -> None:
         for report in (
             b"stats\0util=high\0",
             b"stats\0util=nan\0",
@@ -136,114 +137,114 @@
             b"stats\0util=1e99\0",
             b"stats\0\0",
         ):
-            came, wire = self.shoot(), self.complete_connect()
-            wire.sent()
-            wire.feed(message(b"S", report) + ROW + READY)
-            self.assertEqual((came[0].outcome, came[0].load, wire.closing), ("served", None, False))
-            wire.drop()
+            results, transport = self.shoot(), self.complete_connect()
+            transport.sent()
+            transport.feed(message(b"S", report) + ROW + READY)
+            self.assertEqual((results[0].outcome, results[0].load, transport.closing), ("served", None, False))
+            transport.drop()
 
-    def test_the_connection_used_last_is_used_first_and_one_shot_at_a_time(self) -> None:
+    def test_last_used_connection_is_reused_first_with_one_shot_at_a_time(self) -> None:
         self.shoot(), self.shoot()
         first, second = self.complete_connect(), self.complete_connect()
-        for wire in (first, second):
-            wire.sent()
-            wire.feed(ROW + READY)
+        for transport in (first, second):
+            transport.sent()
+            transport.feed(ROW + READY)
         self.shoot()
-        self.assertEqual((first.sent(), self.proven(second)), (b"", QUERY))
+        self.assertEqual((first.sent(), self.answer_probe(second)), (b"", QUERY))
         self.shoot()
-        self.assertEqual((self.proven(first), self.reactor.pending_connects(7001)), (QUERY, []))
+        self.assertEqual((self.answer_probe(first), self.reactor.pending_connects(7001)), (QUERY, []))
 
-    def test_outcomes_by_what_came_back(self) -> None:
-        wire = self.served()
+    def test_outcome_follows_from_the_error_code(self) -> None:
+        transport = self.served()
         for answer, outcome in (
             (error_response("XX000"), "error"),
             (error_response("53300"), "full"),
             (error_response("57P03"), "error"),
         ):
-            came = self.shoot()
-            self.assertEqual(self.proven(wire), QUERY)
-            wire.feed(answer + READY)
-            self.assertEqual(came[0].outcome, outcome)
+            results = self.shoot()
+            self.assertEqual(self.answer_probe(transport), QUERY)
+            transport.feed(answer + READY)
+            self.assertEqual(results[0].outcome, outcome)
 
-    def test_whether_it_may_have_run_is_decided_by_its_last_byte(self) -> None:
+    def test_query_may_have_run_only_if_its_last_byte_was_written(self) -> None:
         for written, outcome in ((False, "unreachable"), (True, "reset")):
-            came, wire = self.shoot(), self.complete_connect()
+            results, transport = self.shoot(), self.complete_connect()
             if written:
-                wire.sent()
-            wire.drop(ConnectionDone())
-            self.assertEqual(came[0].outcome, outcome)
+                transport.sent()
+            transport.drop(ConnectionDone())
+            self.assertEqual(results[0].outcome, outcome)
 
-    def test_an_answer_is_whole_though_the_connection_breaks_right_behind_it(self) -> None:
+    def test_complete_answer_counts_though_the_connection_breaks_before_ready_for_query(self) -> None:
         for answer, outcome in ((ROW, "served"), (ROW[:-1], "reset")):
-            came, wire = self.shoot(), self.complete_connect()
-            wire.sent()
-            wire.feed(answer)
-            wire.drop()
-            self.assertEqual(came[0].outcome, outcome)
+            results, transport = self.shoot(), self.complete_connect()
+            transport.sent()
+            transport.feed(answer)
+            transport.drop()
+            self.assertEqual(results[0].outcome, outcome)
 
-    def test_never_run_if_refused_turned_away_at_setup_or_never_up(self) -> None:
-        came = self.shoot()
+    def test_failed_connection_setup_means_that_nothing_was_run(self) -> None:
+        results = self.shoot()
         self.reactor.refuse_connect(7001)
-        turned, wire = self.shoot(), self.reactor.complete_connect(7001)
-        wire.feed(error_response("53300"))
-        wire.drop()
+        turned, transport = self.shoot(), self.reactor.complete_connect(7001)
+        transport.feed(error_response("53300"))
+        transport.drop()
         late, silent = self.shoot(), self.reactor.complete_connect(7001)
         self.reactor.advance(0.3)
         self.assertTrue(silent.settle())
-        self.assertEqual([each[0].outcome for each in (came, turned, late)], ["unreachable", "full", "unreachable"])
+        self.assertEqual([each[0].outcome for each in (results, turned, late)], ["unreachable", "full", "unreachable"])
 
-    def test_a_pick_that_no_longer_stands_when_the_connection_is_up_is_not_written(self) -> None:
-        came, wire = self.shoot(), self.reactor.complete_connect(7001)
-        wire.sent()
+    def test_query_is_not_sent_if_the_choice_of_the_unit_no_longer_holds(self) -> None:
+        results, transport = self.shoot(), self.reactor.complete_connect(7001)
+        transport.sent()
         self.stands = False
-        wire.feed(STARTUP_RESPONSE)
-        self.assertEqual((wire.sent(), came[0].outcome), (b"", "moot"))
+        transport.feed(STARTUP_RESPONSE)
+        self.assertEqual((transport.sent(), results[0].outcome), (b"", "moot"))
 
-    def test_a_shot_given_up_is_told_once_its_connection_has_ended(self) -> None:
-        """Guards against a further shot that is written while the one before it is still open."""
-        came, wire = self.shoot(wait=0.2), self.complete_connect()
-        wire.sent()
+    def test_stopped_shot_is_reported_after_its_connection_has_ended(self) -> None:
+        """Guards against a next shot that is sent while the connection of the one before is still open."""
+        results, transport = self.shoot(wait=0.2), self.complete_connect()
+        transport.sent()
         self.reactor.advance(0.2)
-        self.assertEqual((wire.closing, came), (True, []))
-        wire.settle()
-        self.assertEqual(came[0].outcome, "timeout")
-        came = self.shoot(wait=0.2)
+        self.assertEqual((transport.closing, results), (True, []))
+        transport.settle()
+        self.assertEqual(results[0].outcome, "timeout")
+        results = self.shoot(wait=0.2)
         self.reactor.advance(0.2)
-        self.assertEqual(came[0].outcome, "moot")  # no byte of it was written
+        self.assertEqual(results[0].outcome, "moot")  # no byte of it was written
 
-    def test_a_connection_set_up_too_late_for_its_shot_serves_the_next(self) -> None:
+    def test_connection_that_is_ready_too_late_for_its_shot_serves_the_next(self) -> None:
         self.shoot(wait=0.1)
         self.reactor.advance(0.1)
-        wire = self.complete_connect()
-        wire.sent()
+        transport = self.complete_connect()
+        transport.sent()
         self.shoot()
-        self.assertEqual(self.proven(wire), QUERY)
+        self.assertEqual(self.answer_probe(transport), QUERY)
 
-    def test_idle_connections_end_before_the_unit_would_end_them(self) -> None:
-        wire = self.served()
+    def test_idle_connections_are_closed_before_the_unit_would_close_them(self) -> None:
+        transport = self.served()
         for _ in range(27):
             self.reactor.advance(1)
-        self.assertFalse(wire.closing)
+        self.assertFalse(transport.closing)
         for _ in range(3):
             self.reactor.advance(1)
-        self.assertTrue(wire.settle())
+        self.assertTrue(transport.settle())
         self.shoot()
         self.assertEqual(len(self.reactor.pending_connects(7001)), 1)
 
-    def test_a_connection_that_has_ended_is_not_used_again(self) -> None:
+    def test_ended_connection_is_not_reused(self) -> None:
         self.served().drop(ConnectionDone())
         self.shoot()
         self.assertEqual(len(self.reactor.pending_connects(7001)), 1)
 
-    def test_an_id_that_comes_back_with_another_build_address_or_start_is_another_unit(self) -> None:
+    def test_unit_with_another_address_build_or_start_is_another_unit(self) -> None:
         for mark in (("127.0.0.9:7001", 6, 0), ("127.0.0.9:7001", 6, 50), ("127.0.0.8:7001", 6, 50)):
-            wire = self.served()
+            transport = self.served()
             self.units.listed(1, *mark)
-            self.assertTrue(wire.settle())
+            self.assertTrue(transport.settle())
         self.units.unlisted(1)
         self.assertIsNone(self.units.shoot(1, lambda: b"", 1, lambda: True))
 
-    def test_no_more_connections_than_there_is_room_for(self) -> None:
+    def test_connection_limit_closes_an_idle_one_or_opens_none(self) -> None:
         idle = self.served()
         self.units.listed(2, "127.0.0.9:7002", 5, 0)
         self.shoot(2), self.shoot(2)
@@ -252,7 +253,7 @@
         self.assertTrue(idle.settle())
         self.assertEqual(self.shoot(2)[0].outcome, "unreachable")
 
-    def test_a_unit_that_talks_nonsense_is_left(self) -> None:
+    def test_protocol_violation_by_a_unit_ends_its_connection(self) -> None:
         for nonsense in (
             message(b"!", b""),
             b"D\x7f\0\0\0",
@@ -261,7 +262,7 @@
             message(b"D", b"\0\1") * 2,
             message(b"C", b"SELECT 0\0") + READY,
             READY,
-            PROOF,
+            PROBE_ANSWER,
             ROW[:33] + message(b"D", b"\0\1\0\0\0\3\x9f\x03"),
             ROW[33:],
             b"D\xb2\xd0\x5e\0" + bytes(9000),
@@ -270,8 +271,8 @@
             message(b"E", b"C\0\0"),
             message(b"T", b"\0\1" + b"x" * 40),
         ):
-            came, wire = self.shoot(), self.complete_connect()
-            wire.sent()
-            wire.feed(nonsense, piece=len(nonsense) if len(came) else 1)
-            self.assertTrue(wire.settle())
-            self.assertEqual(came[0].outcome, "reset")
+            results, transport = self.shoot(), self.complete_connect()
+            transport.sent()
+            transport.feed(nonsense, piece=len(nonsense) if len(results) else 1)
+            self.assertTrue(transport.settle())
+            self.assertEqual(results[0].outcome, "reset")
