--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,15 +8,7 @@
 from tealsail.net import clients, messages
 from tealsail.net.counters import Counters
 
-from .fake import (
-    READY,
-    STARTUP,
-    STARTUP_RESPONSE,
-    MemoryTransport,
-    Reactor,
-    client_query,
-    message,
-)
+from .fake import READY, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, message
 
 VALUE = messages.Value(
     messages.RowDescription(b"\0\1x", 1), messages.DataRow(b"\0\1y", 1), messages.CommandComplete(b"z\0")
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -16,16 +16,7 @@
 from tealsail.record.recorder import Recorder
 from tealsail.setup import document
 
-from .fake import (
-    READY,
-    ROW,
-    STARTUP,
-    STARTUP_RESPONSE,
-    MemoryTransport,
-    Reactor,
-    client_query,
-    error_response,
-)
+from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
 from .test_relay import UNIT, config, told
 
 NET = Path(__file__).parent.parent / "tealsail" / "net"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,17 +13,7 @@
 from tealsail.net.relay import Relay
 from tealsail.notes import ask_note, state_note
 
-from .fake import (
-    READY,
-    ROW,
-    STARTUP,
-    STARTUP_RESPONSE,
-    MemoryTransport,
-    Reactor,
-    client_query,
-    error_response,
-    message,
-)
+from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response, message
 
 CLIENTS, UNIT, LIST, DESK = 5432, 7001, 8500, 6400
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,16 +29,7 @@
 from tealsail.notes import answer_note, count_notes, verdict_note
 from tealsail.record.lines import Fault
 
-from .fake import (
-    READY,
-    ROW,
-    STARTUP,
-    STARTUP_RESPONSE,
-    MemoryTransport,
-    Reactor,
-    client_query,
-    error_response,
-)
+from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
 from .test_relay import config, listing, state, told
 
 RELAYS, OWN, BACKENDS = 5, 3, 12
@@ -46,11 +37,7 @@
 ATTEMPTS = 3
 STEP = 0.01  # seconds
 EMPTY_QUERY = messages.query(b"")
-ANSWERS = {
-    "served": ROW + READY,
-    "error": error_response("XX000") + READY,
-    "full": error_response("53300") + READY,
-}
+ANSWERS = {"served": ROW + READY, "error": error_response("XX000") + READY, "full": error_response("53300") + READY}
 
 
 def backend(place: int, **more: Any) -> dict:
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -8,22 +8,10 @@
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
-from .fake import (
-    READY,
-    ROW,
-    STARTUP,
-    STARTUP_RESPONSE,
-    MemoryTransport,
-    Reactor,
-    error_response,
-    message,
-)
+from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, error_response, message
 
-QUERY, EMPTY, PROBE_ANSWER = (
-    message(b"Q", b"text\0"),
-    message(b"Q", b"\0"),
-    message(b"I", b"") + READY,
-)
+QUERY, EMPTY = message(b"Q", b"text\0"), message(b"Q", b"\0")
+PROBE_ANSWER = message(b"I", b"") + READY
 
 
 class UnitConnections(unittest.TestCase):
