--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -385,7 +385,7 @@
             request.cancel()
         self.pending.clear()
         self.add_answer_bytes(-self.answer_bytes)
-        self.counters.ended("client", code, peer_address(self.transport), self.note)
+        self.counters.connection_ended("client", code, peer_address(self.transport), self.note)
 
 
 def peer_address(transport: object) -> str:
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -36,7 +36,7 @@
 from .kernel import accept_pending, set_accepting_paused
 from .peers import Peers, parse_address
 from .platform import Platform, State
-from .start import Assignment
+from .relay_configuration import Assignment
 from .statements import Statement, StatementError, text_for_unit
 from .units import Shot, ShotResult, Units
 
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -175,7 +175,7 @@
             shot.begin()
         # a query may have run only if its last byte was written
         self.finish_shot(self.stop_result or ShotResult("reset" if self.written else "unreachable"))
-        self.counters.ended("unit", self.why(reason), self.pool.address)
+        self.counters.connection_ended("unit", self.why(reason), self.pool.address)
 
 
 class Shot:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 import tempfile
 import unittest
 
-from tealsail.net import start
+from tealsail.net import relay_configuration
 from tealsail.net.relay import Relay
 from tealsail.notes import ask_note, state_note
 
