--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -15,7 +15,7 @@
 from ..net.counters import Counters
 from ..net.kept import cancel
 from ..net.relay import Relay
-from ..net.start import BadStart, Torn, read, read_again
+from ..net.relay_configuration import BadStart, Torn, read, read_again
 from .signals import SIGNALS
 
 
--- a/tealsail/lab/scale/hollow.py
+++ b/tealsail/lab/scale/hollow.py
@@ -15,7 +15,7 @@
 from ...net.discovery import News
 from ...net.platform import State
 from ...net.relay import Relay
-from ...net.start import Assignment
+from ...net.relay_configuration import Assignment
 from ...net.units import Came
 from .backends import Backends, Load
 from .meter import Meter, MeteredPeers
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -16,7 +16,7 @@
 from ...net.discovery import Entry as Known, News
 from ...net.platform import State
 from ...net.relay import number_of
-from ...net.start import Assignment
+from ...net.relay_configuration import Assignment
 from ...net.units import Value
 from ...parts import mix
 from ...record.files import Writer
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -15,7 +15,7 @@
     from ..facade import Facade
     from .counters import Counters
     from .platform import State
-    from .start import Assignment
+    from .relay_configuration import Assignment
     from .statements import Statement
 
 MB = 1 << 20
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -36,7 +36,7 @@
 from .kernel import hold, take_in
 from .peers import Peers, pair
 from .platform import Platform, State
-from .start import Assignment
+from .relay_configuration import Assignment
 from .statements import Statement, Unclear, onward
 from .units import Came, Shot, Units
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 import tempfile
 import unittest
 
-from tealsail.net import start
+from tealsail.net import relay_configuration
 from tealsail.net.relay import Relay
 from tealsail.notes import ask_note, state_note
 
@@ -70,11 +70,11 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def told(tree: object) -> start.Assignment:
+def told(tree: object) -> relay_configuration.Assignment:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(tree if isinstance(tree, str) else json.dumps(tree))
         file.flush()
-        return start.read({"EDGE_CONFIG": file.name})
+        return relay_configuration.read({"EDGE_CONFIG": file.name})
 
 
 class Story(unittest.TestCase):
@@ -425,10 +425,10 @@
             (config(discovery=None), "discovery"),
             (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize"),
         ):
-            with self.assertRaisesRegex(start.BadStart, said):
+            with self.assertRaisesRegex(relay_configuration.BadStart, said):
                 told(tree)
         for environment in ({}, {"EDGE_CONFIG": "/nowhere/at/all"}):
-            self.assertRaises(start.BadStart, start.read, environment)
+            self.assertRaises(relay_configuration.BadStart, relay_configuration.read, environment)
 
     def run_it(self, *words: str, **environment: str) -> subprocess.Popen:
         return subprocess.Popen(
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -4,7 +4,7 @@
 
 from tealsail import policy
 from tealsail.choices.switch import Fixed, Switch
-from tealsail.net import start
+from tealsail.net import relay_configuration
 from tealsail.setup.facts import BadFacts, check
 
 from . import test_relay
@@ -51,10 +51,10 @@
             ({"index": 2}, "index: 2 of 2 relays"),
             ({"requestClasses": []}, "no workloads"),
         ):
-            with self.subTest(more), self.assertRaisesRegex(start.BadStart, f"settings: {said}"):
+            with self.subTest(more), self.assertRaisesRegex(relay_configuration.BadStart, f"settings: {said}"):
                 told(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
-        with self.assertRaisesRegex(start.BadStart, "requestClasses.0.aim: later than its deadline"):
+        with self.assertRaisesRegex(relay_configuration.BadStart, "requestClasses.0.aim: later than its deadline"):
             told(config(settings=settings(requestClasses=late)))
 
     def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
