--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -15,7 +15,7 @@
 from ..net.counters import Counters
 from ..net.kept import cancel
 from ..net.relay import Relay
-from ..net.relay_configuration import BadStart, Torn, read, read_again
+from ..net.relay_configuration import ConfigurationError, UnreadableConfiguration, read, reread
 from .signals import SIGNALS
 
 
@@ -39,7 +39,7 @@
             format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}",
         )
         return serve(told, document)
-    except (BadStart, CannotListenError, ValueError, OSError) as problem:
+    except (ConfigurationError, CannotListenError, ValueError, OSError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
 
@@ -64,9 +64,9 @@
     def read(self, tries: int) -> None:
         again = ""
         try:
-            self.relay.assign(read_again(os.environ))
-        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, BadStart) as problem:
-            if isinstance(problem, Torn) and tries < len(AGAIN):
+            self.relay.reconfigure(reread(os.environ))
+        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, ConfigurationError) as problem:
+            if isinstance(problem, UnreadableConfiguration) and tries < len(AGAIN):
                 self.timer = self.reactor.callLater(AGAIN[tries], self.read, tries + 1)
                 again = f" (read again in {AGAIN[tries]} s)"
             self.relay.counters.add("configuration.refused")
@@ -84,7 +84,7 @@
         found.seats(facts)  # whether it fits what the platform told
         return found
     except document.BadDocument as problem:
-        raise BadStart(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
+        raise ConfigurationError(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
 
 
 def steady_clock() -> Callable[[], float]:
@@ -106,11 +106,11 @@
     globalLogBeginner.beginLoggingTo([network_fault], redirectStandardIO=False)
 
     def counted() -> None:
-        relay.count_seats()
+        relay.collect_choice_counts()
         logger.info("counters {}", relay.counters.show())
 
     def stop() -> None:
-        if not relay.stopped:  # a second signal asks for nothing more
+        if not relay.shutdown:  # a second signal asks for nothing more
             relay.stop().addCallback(lambda _: reactor.stop())
 
     try:
@@ -124,6 +124,6 @@
         SIGNALS.act(acts, reactor.callFromThread)
         relay.start()
     except (ArithmeticError, AttributeError, LookupError, TypeError) as problem:
-        raise BadStart(f"the settings can't be used: {type(problem).__name__}: {problem}") from None
+        raise ConfigurationError(f"the settings can't be used: {type(problem).__name__}: {problem}") from None
     reactor.run(installSignalHandlers=False)
     return 0
--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -45,14 +45,14 @@
 
 BEAT = Cause("parts", "part", "for unit in row")
 LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
-READING = Cause("net.relay", "number_of", "blake2b(")
+READING = Cause("net.relay", "unit_number", "blake2b(")
 CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
 POOL = Cause("notes", "Pool.add", "for cell, count in zip")
 SENDERS = Cause("parts", "lone", "min(most, many)")
-SERVING = Cause("net.relay", "Serving.shoot", "relay.units.shoot(")
+SERVING = Cause("net.relay", "ActiveInvocation.shoot", "relay.units.shoot(")
 TELLING = Cause("policy", "Guide.tell", "self.send(keeper")
-HEARING = Cause("net.relay", "Relay.heard", "self.schedule()")
+HEARING = Cause("net.relay", "Relay.on_peer_message", "self.schedule_tick()")
 LOADS = Cause("policy", "Relay.on_wake", "forget(self.guide.loads")
 UNITS = Cause("parts", "Unit.__init__", "self.number, self.build")
 
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -132,8 +132,8 @@
 CUSTOMERS = Place("policy", "Admission.part")
 POOLING = Place("notes", "Pool.add")
 JUDGING = Place("policy", "Judge.judge")
-NEWS = Place("net.platform", "Platform.came")
-WATCHING = Place("net.discovery", "Discovery.came")
+NEWS = Place("net.platform", "Platform.on_message")
+WATCHING = Place("net.discovery", "Discovery.on_reply")
 RELOADS = Place("command.serve", "Reloads.read")
 SHEDDING = Place("choices.flood", "Flood.allows")
 ARRANGING = Place("policy", "Relay.arrange")
@@ -385,7 +385,7 @@
             None,
             "not measured",
             "half of the descriptors, one a connection",
-            Place("net.relay", "Serving.forget"),
+            Place("net.relay", "ActiveInvocation.remove_if_done"),
         ),
         State(
             Role.RELAY,
--- a/tealsail/lab/scale/hollow.py
+++ b/tealsail/lab/scale/hollow.py
@@ -13,9 +13,9 @@
 
 from ...net import messages, statements
 from ...net.discovery import News
-from ...net.platform import State
+from ...net.platform import RolloutState
 from ...net.relay import Relay
-from ...net.relay_configuration import Assignment
+from ...net.relay_configuration import RelayConfiguration
 from ...net.units import Came
 from .backends import Backends, Load
 from .meter import Meter, MeteredPeers
@@ -187,7 +187,7 @@
     """A relay without clients and backends on sockets; requests come in by `take`.  What it does is metered by kind."""
 
     def __init__(
-        self, reactor: Any, told: Assignment, outside: Outside, wall: Callable[[], float] | None = None
+        self, reactor: Any, told: RelayConfiguration, outside: Outside, wall: Callable[[], float] | None = None
     ) -> None:
         self.meter, self.outside, self.dead = Meter(), outside, False
         self.index = int(told.facts.get("index", 0))
@@ -197,37 +197,37 @@
         self.units = HollowBackends(self)
         self.discovery, self.platform = HollowDiscovery(self), HollowPlatform(self)
 
-    def watch(self) -> None:
+    def start_discovery(self) -> None:
         """The process watches the list for all its relays."""
 
     def take(self, statement: statements.Statement, at: int) -> Deferred:
         return self.meter.run("serving", super().take, statement, at)
 
-    def ticked(self) -> None:
+    def on_tick(self) -> None:
         if not self.dead:
-            self.meter.run("tick", super().ticked)
+            self.meter.run("tick", super().on_tick)
 
     def listed(self, news: News, kind: str = "") -> None:
         if not self.dead:
             self.meter.run("list", super().listed, news, kind)
 
-    def stood(self, state: State) -> None:
+    def on_rollout_state(self, state: RolloutState) -> None:
         if not self.dead:
-            self.meter.run("rollout", super().stood, state)
+            self.meter.run("rollout", super().on_rollout_state, state)
 
-    def counted(self, answer: str) -> None:
+    def on_vote_answer(self, answer: str) -> None:
         if not self.dead:
-            self.meter.run("rollout", super().counted, answer)
+            self.meter.run("rollout", super().on_vote_answer, answer)
 
     def kill(self) -> None:
         """Its process ends at once, and what it had at hand is lost."""
         self.dead = True
-        for timer in (self.timer, self.looking):
+        for timer in (self.timer, self.clock_check_timer):
             if timer is not None and timer.active():
                 timer.cancel()
         for serving in list(self.serving.values()):
             for attempt in list(serving.shots.values()):
                 attempt.stop("cancelled")
         self.serving.clear()
-        if self.post:
-            self.post.stopListening()
+        if self.peer_listener:
+            self.peer_listener.stopListening()
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -14,9 +14,9 @@
 from ...net import statements
 from ...net.clients import Rejected
 from ...net.discovery import Entry as Known, News
-from ...net.platform import State
-from ...net.relay import number_of
-from ...net.relay_configuration import Assignment
+from ...net.platform import RolloutState
+from ...net.relay import unit_number
+from ...net.relay_configuration import RelayConfiguration
 from ...net.units import Value
 from ...parts import mix
 from ...record.files import Writer
@@ -68,7 +68,7 @@
         self.setup = setup
         self.version = day.roster.version
         self.entries = {entry.name: self.known(entry) for entry in day.roster.whole(self.version)}
-        self.names = {number_of(name): name for name in self.entries}
+        self.names = {unit_number(name): name for name in self.entries}
         self.closed: dict[str, tuple[int, Entry]] = {}  # backend that drains or is gone -> since which version
 
     def known(self, entry: Entry) -> Known:
@@ -84,7 +84,7 @@
         self.version = word.version
         told = []
         for entry in word.entries:
-            self.names[number_of(entry.name)] = entry.name
+            self.names[unit_number(entry.name)] = entry.name
             known = self.known(entry)
             told.append(known)
             if entry.state == "gone":
@@ -169,15 +169,17 @@
         gc.enable()
         self.say(words.Ready())
 
-    def assignment(self, relay: int) -> Assignment:
+    def assignment(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
         age = max(0, self.setup.now() - rollout.since) / 10
-        state = State(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
+        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
         seed = mix(self.cast.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.listing.whole()
         everyone = str(self.setup.addresses.everyone(relay))
-        return Assignment(f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts)
+        return RelayConfiguration(
+            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts
+        )
 
     def start(self, relay: int) -> None:
         one = HollowRelay(self.reactor, self.assignment(relay), self.outside, time.time)
@@ -249,7 +251,7 @@
             case words.Start(relay) if relay not in self.relays:
                 self.start(relay)
             case words.Voted(relay, answer) if relay in self.relays:
-                self.relays[relay].counted(answer)
+                self.relays[relay].on_vote_answer(answer)
             case words.Close():
                 self.closing = True
                 self.look()
@@ -280,7 +282,7 @@
         for relay, one in list(self.relays.items()):
             self.tell_rollout(relay)
             age = max(0, self.setup.now() - word.since) / 10
-            one.stood(State(word.build, word.stage, word.phase, word.cap, age))
+            one.on_rollout_state(RolloutState(word.build, word.stage, word.phase, word.cap, age))
 
     def count_traffic(self, second: int) -> None:
         meters = [one.meter for one in self.relays.values()]
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -10,7 +10,7 @@
 
 from ..choices.clock import GAP, TENTHS, disregard
 from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
-from ..net.relay import number_of
+from ..net.relay import unit_number
 from ..parts import mix
 from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
 from ..world.clients import Arrival
@@ -596,7 +596,7 @@
             self.doors[relay].stood()
 
     def listed(self, entry: Entry) -> Listed:
-        number = number_of(entry.name)
+        number = unit_number(entry.name)
         self.unit_names[number] = entry.name
         return Listed(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
--- a/tealsail/net/__init__.py
+++ b/tealsail/net/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on sockets, one job a file.  Nothing is decided here: see tealsail/facade.py."""
+"""A relay on sockets: one module for each kind of connection.  It decides nothing itself: see tealsail/facade.py."""
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -342,7 +342,7 @@
             request.cancel()
         self.turns.clear()
         self.count_answer(-self.answer_bytes)
-        self.counters.ended("client", code, peer(self.transport), self.note)
+        self.counters.connection_ended("client", code, peer(self.transport), self.note)
 
 
 def peer(transport: object) -> str:
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of units and its changes, over HTTP/1.1 with a parser of our own."""
+"""Discovery: the list of units and its changes, over HTTP/1.1 with a parser of its own."""
 
 import json
 from collections.abc import Callable
@@ -13,59 +13,68 @@
 from .counters import Counters
 from .kept import Ended, Kept
 
-LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 8 * 1024 * 1024
-# seconds: a watch's wait, ours beyond it, and a plain call's.  What a silent watch misses counts as told 2 s after
-# its wait: by then another answer must have come, so half of that is waited for and half is left for the next
-# connection.
-WATCH, SLACK, FIRST_WAIT = 20.0, 1.0, 4.0
-PART, WHOLE = 1.0, 3.0  # seconds for the next piece of a reply that has begun; for all of it
-STATES = ("ready", "draining", "gone")
+MAX_HEAD_BYTES = 16 * 1024  # of a reply's head, and of one line between chunks
+MAX_BODY_BYTES = 8 * 1024 * 1024
+WATCH_WAIT_S = 20.0  # for which the agent may hold a watch until something changes
+# Beyond the watch's wait.  A change that a silent watch misses counts as known to the relay 2 s after the wait, so
+# another answer must have come by then: half of that is for the silent watch, half for the connection that replaces it.
+WATCH_SLACK_S = 1.0
+LIST_TIMEOUT_S = 4.0  # for the whole list, which is not held back
+PIECE_TIMEOUT_S = 1.0  # for the next piece of a reply that has begun
+REPLY_TIMEOUT_S = 3.0  # for all of a reply that has begun
+UNIT_STATES = ("ready", "draining", "gone")
 
 
 class Unreadable(Exception):
-    """The stream is lost."""
+    """The stream is not HTTP, or a reply is not a list of units: the connection is of no further use."""
 
 
 class Reply(NamedTuple):
+    """An HTTP reply."""
+
     status: int
     body: bytes
-    last: bool  # the connection ends behind it
-    wait: int = 0  # seconds that it asks to be left alone for
+    closes: bool  # the connection ends after it
+    retry_after_s: int = 0  # the Retry-After header, 0 where there is none
 
-    def turned_away(self) -> bool:
-        """Too much is asked of the other side, or it is at fault; what is known of the list still holds."""
+    def is_refusal(self) -> bool:
+        """Whether the agent is overloaded or at fault; the list that is known stays valid."""
         return self.status == 429 or self.status >= 500
 
 
 class Entry(NamedTuple):
+    """One unit in the list."""
+
     id: str
-    address: str
+    address: str  # host:port, may be empty
     zone: str
     cell: int
-    state: str
+    state: str  # one of UNIT_STATES
     weight: float
-    started: float  # Unix time in milliseconds, 0 for long ago
+    started_ms: float  # Unix time in milliseconds, 0 for long ago
     build: int
 
 
 class News(NamedTuple):
+    """The list of units, or its changes up to a version."""
+
     version: int
-    whole: bool
+    whole: bool  # False: only the entries that changed
     entries: list[Entry]
 
 
-def number_of(name: str) -> int:
-    """A unit's number for its name in the list; the same in every run."""
+def unit_number(name: str) -> int:
+    """The number that stands for a unit's name: its 56-bit BLAKE2b hash, the same in every process."""
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
 def read_news(tree: Any) -> News:
-    """From JSON; `known` in a relay's configuration has the same form."""
+    """From decoded JSON of discovery, or of `known` in a relay's configuration; raises Unreadable."""
     try:
         entries = [
             Entry(
                 str(each["instanceId"]),
-                address(each.get("hostPort", "")),
+                checked_address(each.get("hostPort", "")),
                 str(each.get("zone", "")),
                 int(each.get("cell", 0)),
                 str(each.get("lifecycle", "ready")),
@@ -77,154 +86,159 @@
         ]
         news = News(int(tree["generation"]), bool(tree.get("reset", True)), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
-        raise Unreadable(f"a list that can't be read: {type(problem).__name__} {problem}") from None
+        raise Unreadable(f"malformed list of units: {type(problem).__name__} {problem}") from None
     for each in entries:
         if not (
-            each.state in STATES
+            each.state in UNIT_STATES
             and 0 <= each.weight < 1e6
-            and 0 <= each.started < 1e15
+            and 0 <= each.started_ms < 1e15
             and 0 <= each.build < 1 << 16
             and abs(each.cell) < 1 << 31
-        ):  # no nan either
-            raise Unreadable(f"an entry beyond bounds: {each.id[:40]!r}")
+        ):  # NaN fails, too
+            raise Unreadable(f"entry with a value out of range: {each.id[:40]!r}")
     return news
 
 
-def address(text: str) -> str:
+def checked_address(text: str) -> str:
+    """`text` if it is empty or `host:port`; else raises ValueError."""
     host, colon, port = text.rpartition(":")
     if text and not (host and colon and port.isdigit() and 0 < int(port) < 65536):
         raise ValueError(f"address {text!r}")
     return text
 
 
-class Replies:
-    """Cuts a stream into HTTP replies; fed in any pieces."""
+class ReplyParser:
+    """Cuts a stream that comes in pieces of any size into HTTP replies; raises Unreadable."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
-        self.status = 0  # of the reply whose head has come
-        self.length: int | None = None  # of its body or of the chunk at hand; None: up to the end
-        self.chunked = self.trailer = self.last = False
-        self.wait = 0
-        self.body = bytearray()
+        self.buffer = bytearray()
+        self.status = 0  # of the current reply, 0 until its head is complete
+        self.length: int | None = None  # of its body or of the current chunk; None: up to the end of the stream
+        self.chunked = self.in_trailer = self.closes = False
+        self.retry_after_s = 0
+        self.body = bytearray()  # of a chunked reply, as far as it has come
 
     def feed(self, data: bytes) -> list[Reply]:
-        self.held += data
+        """The replies that are complete with this piece."""
+        self.buffer += data
         replies: list[Reply] = []
-        while self.step(replies):
+        while self.parse_next(replies):
             pass
         return replies
 
-    def begun(self) -> bool:
-        return bool(self.status or self.held)
+    def is_in_reply(self) -> bool:
+        """Whether part of a reply has come."""
+        return bool(self.status or self.buffer)
 
-    def ended(self) -> list[Reply]:
-        """The stream has ended: a body without a length is whole now."""
+    def at_end(self) -> list[Reply]:
+        """At the end of the stream: the reply that is complete with it, if its body has no length."""
         if self.status and self.length is None and not self.chunked:
-            return [self.whole(bytes(self.held))]
+            return [self.finish_reply(bytes(self.buffer))]
         return []
 
-    def step(self, replies: list[Reply]) -> bool:
+    def parse_next(self, replies: list[Reply]) -> bool:
+        """Parse the next part; False if more bytes are needed for it."""
         if not self.status:
-            return self.head()
+            return self.parse_head()
         if self.chunked:
-            return self.chunk(replies)
-        if self.length is None or len(self.held) < self.length:
-            if len(self.held) > LONGEST_BODY:
-                raise Unreadable("a body beyond bounds")
+            return self.parse_chunk(replies)
+        if self.length is None or len(self.buffer) < self.length:
+            if len(self.buffer) > MAX_BODY_BYTES:
+                raise Unreadable("body too long")
             return False
-        body = bytes(self.held[: self.length])
-        del self.held[: self.length]
-        replies.append(self.whole(body))
+        body = bytes(self.buffer[: self.length])
+        del self.buffer[: self.length]
+        replies.append(self.finish_reply(body))
         return True
 
-    def head(self) -> bool:
-        end = self.held.find(b"\r\n\r\n")
-        if end > LONGEST_HEAD or (end < 0 and len(self.held) > LONGEST_HEAD):
-            raise Unreadable("a head beyond bounds")
-        if end < 0:
+    def parse_head(self) -> bool:
+        head_end = self.buffer.find(b"\r\n\r\n")
+        if head_end > MAX_HEAD_BYTES or (head_end < 0 and len(self.buffer) > MAX_HEAD_BYTES):
+            raise Unreadable("head too long")
+        if head_end < 0:
             return False
-        first, *lines = bytes(self.held[:end]).split(b"\r\n")
-        del self.held[: end + 4]
+        first, *lines = bytes(self.buffer[:head_end]).split(b"\r\n")
+        del self.buffer[: head_end + 4]
         version, _, rest = first.partition(b" ")
         status = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or not status.isdigit() or len(status) != 3:
-            raise Unreadable(f"no status line: {first[:40]!r}")
-        if status.startswith(b"1"):  # an interim reply has no body and ends nothing
+            raise Unreadable(f"not an HTTP status line: {first[:40]!r}")
+        if status.startswith(b"1"):  # an interim reply has no body, and the final one follows
             return True
-        fields: dict[bytes, bytes] = {}
+        headers: dict[bytes, bytes] = {}
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon:
-                raise Unreadable("a header without a colon")
-            fields[name.strip().lower()] = value.strip()
+                raise Unreadable("header without a colon")
+            headers[name.strip().lower()] = value.strip()
         self.status = int(status)
-        self.chunked = fields.get(b"transfer-encoding", b"").lower().endswith(b"chunked")
-        length = fields.get(b"content-length")
-        if length is not None and not (length.isdigit() and int(length) <= LONGEST_BODY):
-            raise Unreadable("no such length")
+        self.chunked = headers.get(b"transfer-encoding", b"").lower().endswith(b"chunked")
+        length = headers.get(b"content-length")
+        if length is not None and not (length.isdigit() and int(length) <= MAX_BODY_BYTES):
+            raise Unreadable("invalid content length")
         self.length = 0 if self.status in (204, 304) else int(length) if length is not None else None
-        wait = fields.get(b"retry-after", b"")  # a date, the other form, is passed over
-        self.wait = int(wait) if wait.isdigit() and len(wait) < 10 else 0
-        how = fields.get(b"connection", b"").lower()
-        self.last = (
-            how == b"close"
-            or (version == b"HTTP/1.0" and how != b"keep-alive")
+        retry_after = headers.get(b"retry-after", b"")  # the other form, a date, is ignored
+        self.retry_after_s = int(retry_after) if retry_after.isdigit() and len(retry_after) < 10 else 0
+        connection = headers.get(b"connection", b"").lower()
+        self.closes = (
+            connection == b"close"
+            or (version == b"HTTP/1.0" and connection != b"keep-alive")
             or (self.length is None and not self.chunked)
         )
         if self.chunked:
             self.length = None
         return True
 
-    def chunk(self, replies: list[Reply]) -> bool:
-        end = self.held.find(b"\r\n")
-        if self.length is None:  # a chunk's size, or the trailer's lines behind the last
-            if end < 0 and len(self.held) > LONGEST_HEAD:
-                raise Unreadable("a chunk's line beyond bounds")
-            if end < 0:
+    def parse_chunk(self, replies: list[Reply]) -> bool:
+        line_end = self.buffer.find(b"\r\n")
+        if self.length is None:  # next is a chunk's size, or a line of the trailer after the last chunk
+            if line_end < 0 and len(self.buffer) > MAX_HEAD_BYTES:
+                raise Unreadable("line of a chunk's size too long")
+            if line_end < 0:
                 return False
-            line = bytes(self.held[:end])
-            del self.held[: end + 2]
-            if self.trailer:
+            line = bytes(self.buffer[:line_end])
+            del self.buffer[: line_end + 2]
+            if self.in_trailer:
                 if not line:
-                    replies.append(self.whole(bytes(self.body)))
+                    replies.append(self.finish_reply(bytes(self.body)))
                 return True
             try:
                 self.length = int(line.split(b";")[0].strip(), 16)
             except ValueError:
-                raise Unreadable("no chunk's size") from None
-            if not 0 <= self.length + len(self.body) <= LONGEST_BODY:
-                raise Unreadable("a body beyond bounds")
+                raise Unreadable("invalid chunk size") from None
+            if not 0 <= self.length + len(self.body) <= MAX_BODY_BYTES:
+                raise Unreadable("body too long")
             if not self.length:
-                self.trailer, self.length = True, None
+                self.in_trailer, self.length = True, None
             return True
-        if len(self.held) < self.length + 2:
+        if len(self.buffer) < self.length + 2:
             return False
-        if self.held[self.length : self.length + 2] != b"\r\n":
-            raise Unreadable("a chunk without its end")
-        self.body += self.held[: self.length]
-        del self.held[: self.length + 2]
+        if self.buffer[self.length : self.length + 2] != b"\r\n":
+            raise Unreadable("chunk longer than its size")
+        self.body += self.buffer[: self.length]
+        del self.buffer[: self.length + 2]
         self.length = None
         return True
 
-    def whole(self, body: bytes) -> Reply:
-        reply = Reply(self.status, body, self.last, self.wait)
+    def finish_reply(self, body: bytes) -> Reply:
+        """The current reply, which is complete; the next one may begin."""
+        reply = Reply(self.status, body, self.closes, self.retry_after_s)
         self.status, self.length, self.body = 0, None, bytearray()
-        self.chunked = self.trailer = False
+        self.chunked = self.in_trailer = False
         return reply
 
 
-class Caller(Ended):
-    """One connection to the agent, one call at a time."""
+class DiscoveryConnection(Ended):
+    """One connection to the discovery agent, with one request at a time."""
 
     def __init__(self, discovery: "Discovery") -> None:
-        self.discovery, self.replies = discovery, Replies()
-        self.since: float | None = None  # when the reply at hand began
+        self.discovery, self.parser = discovery, ReplyParser()
+        self.reply_began: float | None = None  # when the first piece of the current reply came, in seconds
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
 
-    def call(self, path: str) -> None:
+    def get(self, path: str) -> None:
         self.transport.write(
             f"GET {path} HTTP/1.1\r\nHost: {self.discovery.address}\r\nAccept: application/json\r\n\r\n".encode()
         )
@@ -233,16 +247,16 @@
         if self.code:
             return
         try:
-            for reply in self.replies.feed(data):
-                self.since = None
-                if reply.last:
-                    self.end("turned_away" if reply.turned_away() else "last")
-                self.discovery.came(self, reply)
-            if self.replies.begun() and self is self.discovery.caller and not self.code:
+            for reply in self.parser.feed(data):
+                self.reply_began = None
+                if reply.closes:
+                    self.end("turned_away" if reply.is_refusal() else "last")
+                self.discovery.on_reply(self, reply)
+            if self.parser.is_in_reply() and self is self.discovery.caller and not self.code:
                 now = self.discovery.reactor.seconds()
-                self.since = now if self.since is None else self.since
-                # not a watch's wait: this is no pause of an agent in order; nor for ever, in however small pieces
-                self.discovery.expect(min(PART, max(0.0, self.since + WHOLE - now)))
+                self.reply_began = now if self.reply_began is None else self.reply_began
+                # An agent in order does not pause within a reply, and small pieces must not keep it going for ever.
+                self.discovery.expect(min(PIECE_TIMEOUT_S, max(0.0, self.reply_began + REPLY_TIMEOUT_S - now)))
         except Unreadable as problem:
             self.unreadable(str(problem))
 
@@ -253,14 +267,17 @@
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         if not self.code:
-            for reply in self.replies.ended():
-                self.discovery.came(self, reply)
-        self.discovery.counters.ended("discovery", self.why(reason), self.discovery.address)
+            for reply in self.parser.at_end():
+                self.discovery.on_reply(self, reply)
+        self.discovery.counters.connection_ended("discovery", self.why(reason), self.discovery.address)
         self.discovery.lost(self)
 
 
 class Discovery(Kept):
-    """The whole list once, then a watch that is resumed at once after each answer."""
+    """Asks for the whole list once, then for changes by a long poll (a watch), again at once after each answer.
+
+    `on_news` gets each list or change.  `refusal_pauses` are those after a refusal, in place of `pauses`.
+    """
 
     def __init__(
         self,
@@ -268,67 +285,67 @@
         address: str,
         path: str,
         counters: Counters,
-        tell: Callable[[News], None],
+        on_news: Callable[[News], None],
         pauses: Pauses,
-        turned: Pauses,
+        refusal_pauses: Pauses,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
-        self.path, self.tell, self.turned = path, tell, turned  # the pauses after being turned away
-        self.version: int | None = None  # None: the whole list is asked for
-        self.away = 0  # seconds that the other side asked for when it last turned us away
-        self.moved = False  # and so it is at a new address
+        self.path, self.on_news, self.refusal_pauses = path, on_news, refusal_pauses
+        self.version: int | None = None  # None: ask for the whole list
+        self.retry_after_s = 0  # what the last refusal asked for
+        self.forget_version = False  # on the next connection, ask for the whole list
 
-    def protocol(self) -> Caller:
-        return Caller(self)
+    def protocol(self) -> DiscoveryConnection:
+        return DiscoveryConnection(self)
 
-    def joined(self, caller: Caller) -> None:
-        if self.moved:
-            self.moved, self.version = False, None
-        self.ask()
+    def joined(self, connection: DiscoveryConnection) -> None:
+        if self.forget_version:
+            self.forget_version, self.version = False, None
+        self.send_request()
 
     def move(self, address: str) -> None:
-        """What another agent's version numbers mean is not known: the whole list is asked for there."""
+        """Go to another agent.  Versions are an agent's own, so the whole list is asked for there."""
         if address != self.address:
-            self.moved = True
+            self.forget_version = True
         super().move(address)
 
     def anew(self) -> None:
-        self.moved = True
+        self.forget_version = True
         super().anew()
 
-    def begin(self, version: int, wait: float) -> None:
-        """The first watch is of what changed since then, so many seconds from now."""
+    def start_later(self, version: int, delay: float) -> None:
+        """Connect in `delay` seconds, and begin with a watch for what changed since `version`."""
         self.version = version
-        self.retry = self.reactor.callLater(wait, self.start)
+        self.retry = self.reactor.callLater(delay, self.start)
 
     def wait(self, code: str) -> float:
-        return self.turned.next(self.away) if code == "turned_away" else super().wait(code)
+        return self.refusal_pauses.next(self.retry_after_s) if code == "turned_away" else super().wait(code)
 
-    def ask(self) -> None:
-        first = self.version is None
+    def send_request(self) -> None:
+        whole = self.version is None
         self.counters.add("discovery.asked")
-        self.expect(FIRST_WAIT if first else WATCH + SLACK)
-        self.caller.call(self.path if first else f"{self.path}?after={self.version}&wait_ms={int(WATCH * 1000)}")
+        self.expect(LIST_TIMEOUT_S if whole else WATCH_WAIT_S + WATCH_SLACK_S)
+        self.caller.get(self.path if whole else f"{self.path}?after={self.version}&wait_ms={int(WATCH_WAIT_S * 1000)}")
 
-    def came(self, caller: Caller, reply: Reply) -> None:
-        if caller is not self.caller:
+    def on_reply(self, connection: DiscoveryConnection, reply: Reply) -> None:
+        if connection is not self.caller:
             return
         self.quiet()
-        if reply.turned_away():  # nothing was missed: no whole list, which all would ask for next
+        if reply.is_refusal():  # the version stays: nothing was missed, and whole lists would add to the load
             self.counters.add("discovery.turned_away")
-            self.away = reply.wait
-            return caller.end("turned_away")
+            self.retry_after_s = reply.retry_after_s
+            return connection.end("turned_away")
         try:
             if reply.status != 200:
                 raise Unreadable(f"status {reply.status}")
             news = read_news(json.loads(reply.body))
         except (Unreadable, ValueError, RecursionError) as problem:
-            self.version = None  # what was missed can't be told: the whole list next
-            return caller.unreadable(str(problem))
+            self.version = None  # changes may have been missed: ask for the whole list next
+            return connection.unreadable(str(problem))
         self.counters.add("discovery.answered")
         self.version = news.version
         self.pauses.reset()
-        self.turned.reset()
-        if not caller.code:
-            self.ask()  # before anything else: a watch goes on only for 200 ms
-        self.tell(news)
+        self.refusal_pauses.reset()
+        if not connection.code:
+            self.send_request()  # first of all: the agent keeps a watch only for 200 ms without its next request
+        self.on_news(news)
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform: its news of the newest build, and votes, as JSON-RPC 2.0 with one object to a line."""
+"""The platform, over JSON-RPC 2.0 with one object a line: states of the newest build's rollout, and votes on it."""
 
 import json
 from collections.abc import Callable
@@ -12,44 +12,51 @@
 from .counters import Counters
 from .kept import Ended, Kept, cancel
 
-LONGEST = 8 * 1024
-SILENT, PART = 3.5, 0.5  # seconds with no sign of life; for the rest of a line
-PHASES = {"canary": "on trial", "reverting": "going back", "stable": "released", "reverted": "withdrawn"}
-VERDICTS = {"none": "blank", "on": "go", "hold": "stay", "back": "stop"}
-ERRORS = {"BUSY": "full", "STALE": "moot", "FAILED": "error", "SYNTAX": "error"}
+MAX_LINE_BYTES = 8 * 1024
+SILENCE_TIMEOUT_S = 3.5  # without any message from the platform
+LINE_TIMEOUT_S = 0.5  # for the rest of a line that has begun
+PHASES = {
+    "canary": "on trial",
+    "reverting": "going back",
+    "stable": "released",
+    "reverted": "withdrawn",
+}  # by the platform's state
+DECISIONS = {"none": "blank", "on": "go", "hold": "stay", "back": "stop"}  # by the decision module's verdict
+VOTE_ERRORS = {"BUSY": "full", "STALE": "moot", "FAILED": "error", "SYNTAX": "error"}  # by the platform's message
 
 
 class Unreadable(Exception):
-    """A line that is no object of the protocol."""
+    """A line that is not an object of the protocol."""
 
 
-class State(NamedTuple):
-    """Where the newest build stands; `age` in milliseconds."""
+class RolloutState(NamedTuple):
+    """Where the rollout of the newest build stands, and since when."""
 
     build: int
     stage: int
-    phase: str
-    cap: float
-    age: float
+    phase: str  # a value of PHASES
+    cap: float  # the largest share of traffic that the build may have, 0 to 1
+    age: float  # of this state, in milliseconds
 
 
-class Answer(NamedTuple):
-    """To a call of ours; `state` is None where it failed or tells nothing."""
+class CallResult(NamedTuple):
+    """The response to a call; `state` is None if the call failed or its result holds none."""
 
     call: int
-    state: State | None
+    state: RolloutState | None
     error: str
 
 
-class Told(NamedTuple):
-    """A notification; `state` is None for a sign of life or another kind."""
+class Notification(NamedTuple):
+    """A notification; `state` is None for a heartbeat or any method other than `stage`."""
 
-    state: State | None
+    state: RolloutState | None
 
 
-def read_state(tree: Any) -> State:
+def read_state(tree: Any) -> RolloutState:
+    """From decoded JSON; raises Unreadable."""
     try:
-        state = State(
+        state = RolloutState(
             int(tree["Revision"]),
             int(tree["Wave"]),
             PHASES[tree["State"]],
@@ -57,15 +64,16 @@
             float(tree.get("AgeMs", 0)),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
-        raise Unreadable(f"no state: {type(problem).__name__} {problem}") from None
+        raise Unreadable(f"malformed rollout state: {type(problem).__name__} {problem}") from None
     if not (
         0 <= state.build < 1 << 16 and 0 <= state.stage < 256 and 0 <= state.cap <= 1 and 0 <= state.age < 1e12
-    ):  # what notes have room for; no nan either
-        raise Unreadable("no state: beyond bounds")
+    ):  # the ranges of the fields of messages between relays; NaN fails, too
+        raise Unreadable("rollout state out of range")
     return state
 
 
-def read(line: bytes) -> Answer | Told:
+def read(line: bytes) -> CallResult | Notification:
+    """One line from the platform; raises Unreadable."""
     try:
         tree = json.loads(line)
     except (ValueError, RecursionError):
@@ -73,24 +81,25 @@
     if not isinstance(tree, dict):
         raise Unreadable("not an object")
     if "method" in tree:
-        return Told(read_state(tree.get("params")) if tree["method"] == "stage" else None)
+        return Notification(read_state(tree.get("params")) if tree["method"] == "stage" else None)
     error, result = tree.get("error"), tree.get("result")
     text = str(error.get("message", "")) if isinstance(error, dict) else str(error or "")
     if not isinstance(tree.get("id"), int):
-        raise Unreadable("an answer to nothing")
-    return Answer(tree["id"], read_state(result) if isinstance(result, dict) else None, text)
+        raise Unreadable("response without a call's id")
+    return CallResult(tree["id"], read_state(result) if isinstance(result, dict) else None, text)
 
 
-def call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
+def encode_call(number: int, method: str, params: dict[str, Any] | None = None) -> bytes:
+    """A call as one line of JSON-RPC."""
     tree: dict[str, Any] = {"jsonrpc": "2.0", "id": number, "method": method}
     return json.dumps(tree | ({"params": params} if params else {}), separators=(",", ":")).encode() + b"\n"
 
 
-class Caller(Ended):
-    """One connection; it subscribes first, and calls go behind each other."""
+class PlatformConnection(Ended):
+    """One connection to the platform: a subscription, then calls without waiting for the response of the one before."""
 
     def __init__(self, platform: "Platform") -> None:
-        self.platform, self.held = platform, b""
+        self.platform, self.buffer = platform, b""  # the buffer holds an unfinished line
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -98,27 +107,31 @@
     def dataReceived(self, data: bytes) -> None:
         if self.code:
             return
-        *lines, self.held = (self.held + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         try:
             for line in lines:
                 if line.strip():
-                    self.platform.came(self, read(line))
-            if len(self.held) >= LONGEST:
-                raise Unreadable("a line beyond bounds")
-            if self.held and self is self.platform.caller:
-                self.platform.expect(PART)  # what began must end soon
+                    self.platform.on_message(self, read(line))
+            if len(self.buffer) >= MAX_LINE_BYTES:
+                raise Unreadable("line too long")
+            if self.buffer and self is self.platform.caller:
+                self.platform.expect(LINE_TIMEOUT_S)
         except Unreadable as problem:
             self.platform.counters.add("platform.unreadable")
             logger.warning("platform: {}", problem)
             self.end("unreadable")
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        self.platform.counters.ended("platform", self.why(reason), self.platform.address)
+        self.platform.counters.connection_ended("platform", self.why(reason), self.platform.address)
         self.platform.lost(self)
 
 
 class Platform(Kept):
-    """The subscription, kept up, and one vote at a time over the same connection."""
+    """A subscription that is made again when it is lost, and at most one vote at a time over the same connection.
+
+    `on_state` gets each state of the rollout.  `on_vote_answer` gets the result of each vote: ok, moot, full, error
+    (not carried out) or timeout (perhaps carried out).
+    """
 
     def __init__(
         self,
@@ -126,67 +139,72 @@
         address: str,
         vote_wait: float,
         counters: Counters,
-        tell: Callable[[State], None],
-        counted: Callable[[str], None],
+        on_state: Callable[[RolloutState], None],
+        on_vote_answer: Callable[[str], None],
         pauses: Pauses,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
-        self.vote_wait, self.tell, self.counted = vote_wait, tell, counted
-        self.calls = 0
-        self.voting: int | None = None  # the call of the vote that is out
-        self.ballot: Caller | None = None  # the connection that it was written to
+        self.vote_wait, self.on_state, self.on_vote_answer = vote_wait, on_state, on_vote_answer  # wait in seconds
+        self.last_call = 0  # the id of the newest call
+        self.vote_call: int | None = None  # the id of the call of the pending vote
+        self.vote_connection: PlatformConnection | None = None  # the one that the pending vote was written to
         self.vote_timer: Any = None
 
-    def protocol(self) -> Caller:
-        return Caller(self)
+    def protocol(self) -> PlatformConnection:
+        return PlatformConnection(self)
 
-    def joined(self, caller: Caller) -> None:
-        self.calls += 1
+    def joined(self, connection: PlatformConnection) -> None:
+        self.last_call += 1
         self.counters.add("platform.subscribed")
-        caller.transport.write(call(self.calls, "subscribe"))
-        self.expect(SILENT)
-
-    def outdated(self, caller: Caller) -> None:
-        """A vote that is out there may still get its answer."""
-        if caller is not self.ballot:
-            super().outdated(caller)
-
-    def came(self, caller: Caller, what: Answer | Told) -> None:
-        if isinstance(what, Answer) and caller is self.ballot and what.call == self.voting:
-            self.voted("ok" if what.state else ERRORS.get(what.error, "timeout"))
-        if caller is not self.caller:  # news comes over the connection that counts
+        connection.transport.write(encode_call(self.last_call, "subscribe"))
+        self.expect(SILENCE_TIMEOUT_S)
+
+    def outdated(self, connection: PlatformConnection) -> None:
+        """End a replaced connection, unless it may still carry the answer to the pending vote."""
+        if connection is not self.vote_connection:
+            super().outdated(connection)
+
+    def on_message(self, connection: PlatformConnection, message: CallResult | Notification) -> None:
+        """Take a message; from a replaced connection only the answer to the pending vote counts."""
+        if isinstance(message, CallResult) and connection is self.vote_connection and message.call == self.vote_call:
+            self.end_vote("ok" if message.state else VOTE_ERRORS.get(message.error, "timeout"))
+        if connection is not self.caller:
             return
         self.pauses.reset()
-        self.expect(SILENT)
-        if isinstance(what, Told):
-            self.counters.add("platform.news" if what.state else "platform.alive")
-        if what.state:
-            self.tell(what.state)
+        self.expect(SILENCE_TIMEOUT_S)
+        if isinstance(message, Notification):
+            self.counters.add("platform.news" if message.state else "platform.alive")
+        if message.state:
+            self.on_state(message.state)
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
-        self.calls += 1
+        """Send a vote; `on_vote_answer` gets its result later, within `vote_wait` seconds."""
+        self.last_call += 1
         self.counters.add("platform.votes")
-        self.voting = self.calls
-        if not self.caller or self.caller.code:  # nothing was written: it was not carried out
-            self.reactor.callLater(0, self.voted, "error")
+        self.vote_call = self.last_call
+        if not self.caller or self.caller.code:  # nothing was written, so it was not carried out
+            self.reactor.callLater(0, self.end_vote, "error")
             return
-        self.ballot = self.caller
-        self.vote_timer = self.reactor.callLater(self.vote_wait, self.voted, "timeout")
+        self.vote_connection = self.caller
+        self.vote_timer = self.reactor.callLater(self.vote_wait, self.end_vote, "timeout")
         self.caller.transport.write(
-            call(self.calls, "release.vote", {"Revision": build, "Wave": stage, "Decision": VERDICTS[verdict]})
+            encode_call(
+                self.last_call, "release.vote", {"Revision": build, "Wave": stage, "Decision": DECISIONS[verdict]}
+            )
         )
 
-    def voted(self, answer: str) -> None:
-        if self.voting is None:
+    def end_vote(self, answer: str) -> None:
+        """Report the pending vote's result, if there is a pending vote."""
+        if self.vote_call is None:
             return
-        caller, self.voting, self.ballot = self.ballot, None, None
+        connection, self.vote_call, self.vote_connection = self.vote_connection, None, None
         cancel(self.vote_timer)
         self.counters.add(f"platform.vote.{answer}")
-        if caller and caller is not self.caller:
-            self.outdated(caller)
-        self.counted(answer)
-
-    def lost(self, caller: Caller) -> None:
-        if caller is self.ballot:
-            self.voted("timeout")  # it may have been carried out
-        super().lost(caller)
+        if connection and connection is not self.caller:
+            self.outdated(connection)
+        self.on_vote_answer(answer)
+
+    def lost(self, connection: PlatformConnection) -> None:
+        if connection is self.vote_connection:
+            self.end_vote("timeout")  # it may have been carried out
+        super().lost(connection)
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -1,4 +1,4 @@
-"""What a relay does, as lines of its record (tealsail/record/); only where the operator's document asks for one."""
+"""A relay's record of its own traffic (tealsail/record/), kept only where the operator's document asks for one."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
@@ -9,52 +9,65 @@
 from ..record.lines import VERSION, Came, End, Head, News, Shot, Take, Told
 from ..record.recorder import Recorder
 from .clients import Answer, Forfeited, Rejected
-from .discovery import Entry, number_of
+from .discovery import Entry, unit_number
 
 if TYPE_CHECKING:
     from ..facade import Facade
     from .counters import Counters
-    from .platform import State
-    from .relay_configuration import Assignment
+    from .platform import RolloutState
+    from .relay_configuration import RelayConfiguration
     from .statements import Statement
 
-MB = 1 << 20
-STATES = {"ready": "open"}  # other states keep their names
+BYTES_PER_MB = 1 << 20
+RECORDED_STATES = {"ready": "open"}  # by discovery's name of a unit's state; the others keep their names
 
 
-class Recorded(Protocol):
-    """What a record reads of the relay that it is kept for."""
+class RecordedRelay(Protocol):
+    """What a record reads of its relay."""
 
-    told: "Assignment"
+    configuration: "RelayConfiguration"
     counters: "Counters"
     facade: "Facade"
     clock: Callable[[], int]  # tenths of a millisecond
 
 
 class Record:
-    """One relay's record: its own number throughout, times from its start."""
+    """The record of one relay.  Its lines bear the relay's index, and times in tenths of a millisecond since its start.
 
-    def __init__(self, relay: Recorded, wanted: Any) -> None:
-        facts = relay.told.facts
+    Raises OSError if the file can't be opened.
+    """
+
+    def __init__(self, relay: RecordedRelay, wanted: Any) -> None:
+        """`wanted` is the `recording` table of the operator's document (tealsail/setup/document.py)."""
+        facts = relay.configuration.facts
         self.relay, self.zero = relay, relay.clock()
-        self.own = int(facts.get("index", 0))
-        self.names: dict[int, tuple[str, int]] = {}  # unit -> its name and build
+        self.index = int(facts.get("index", 0))
+        self.units: dict[int, tuple[str, int]] = {}  # by a unit's number: its name and build
         head = Head(
-            0, VERSION, "relay", relay.told.name, 0, facts, {"zero_unix_ms": self.zero // 10, "tealsail": __version__}
+            0,
+            VERSION,
+            "relay",
+            relay.configuration.name,
+            0,
+            facts,
+            {"zero_unix_ms": self.zero // 10, "tealsail": __version__},
+        )
+        self.recorder = Recorder(
+            wanted.file, head, wanted.most_mb * BYTES_PER_MB, wanted.queue, wanted.keys, relay.counters.add
         )
-        self.recorder = Recorder(wanted.file, head, wanted.most_mb * MB, wanted.queue, wanted.keys, relay.counters.add)
 
     def now(self) -> int:
         return self.relay.clock() - self.zero
 
-    def taken(self, number: int, statement: "Statement", at: int) -> None:
+    def invocation_taken(self, number: int, statement: "Statement", at: int) -> None:
+        """`at`: when it came, by the relay's clock."""
         facade = self.relay.facade
         customer = facade.place(statement.customer)
         at -= self.zero
         self.recorder.note(
             Take(
                 self.now(),
-                self.own,
+                self.index,
                 number,
                 at,
                 facade.workloads[statement.workload],
@@ -65,15 +78,16 @@
             )
         )
 
-    def shot(self, number: int, place: int, unit: int, wait: int) -> None:
-        name, build = self.names.get(unit, ("", 0))
-        self.recorder.note(Shot(self.now(), self.own, number, place, name, build, wait))
+    def shot_sent(self, number: int, shot_number: int, unit: int, wait: int) -> None:
+        """`wait`: the shot's time-out in tenths of a millisecond."""
+        name, build = self.units.get(unit, ("", 0))
+        self.recorder.note(Shot(self.now(), self.index, number, shot_number, name, build, wait))
 
-    def came(self, number: int, place: int, outcome: str) -> None:
-        self.recorder.note(Came(self.now(), self.own, number, place, outcome))
+    def shot_ended(self, number: int, shot_number: int, outcome: str) -> None:
+        self.recorder.note(Came(self.now(), self.index, number, shot_number, outcome))
 
-    def ended(self, number: int, answer: Answer | None) -> None:
-        """None: its client has gone."""
+    def invocation_ended(self, number: int, answer: Answer | None) -> None:
+        """`answer` None: the client left before it was answered."""
         word = (
             "left"
             if answer is None
@@ -83,24 +97,32 @@
             if isinstance(answer, Forfeited)
             else "served"
         )
-        self.recorder.note(End(self.now(), self.own, number, word))
+        self.recorder.note(End(self.now(), self.index, number, word))
 
-    def listed(self, entries: list[Entry]) -> None:
+    def units_listed(self, entries: list[Entry]) -> None:
         for entry in entries:
-            number = number_of(entry.id)
+            number = unit_number(entry.id)
             if entry.state == "gone":
-                self.names.pop(number, None)
+                self.units.pop(number, None)
             else:
-                self.names[number] = entry.id, entry.build
-            started = max(0, settings.tenths(entry.started) - self.zero) if entry.started else 0
+                self.units[number] = entry.id, entry.build
+            started = max(0, settings.tenths(entry.started_ms) - self.zero) if entry.started_ms else 0
             self.recorder.note(
-                Told(self.now(), self.own, entry.id, entry.build, STATES.get(entry.state, entry.state), started)
+                Told(
+                    self.now(),
+                    self.index,
+                    entry.id,
+                    entry.build,
+                    RECORDED_STATES.get(entry.state, entry.state),
+                    started,
+                )
             )
 
-    def stood(self, state: "State") -> None:
-        self.recorder.note(News(self.now(), self.own, state.build, state.stage, state.phase, state.cap))
+    def rollout_changed(self, state: "RolloutState") -> None:
+        self.recorder.note(News(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
 
     def close(self) -> None:
+        """Write what is queued and close the file."""
         self.recorder.close()
         if self.recorder.problem:
             logger.warning("record: {}", self.recorder.problem)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay that wires clients, units, discovery, the platform and peers to the facade."""
+"""A relay: connects clients, units, discovery, the platform and other relays to the facade, which decides."""
 
 from collections.abc import Callable
 from typing import Any
@@ -31,31 +31,36 @@
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
 from .counters import Counters
-from .discovery import Discovery, Entry, News, number_of
+from .discovery import Discovery, Entry, News, unit_number
 from .kept import cancel
 from .kernel import hold, take_in
 from .peers import Peers, pair
-from .platform import Platform, State
-from .relay_configuration import Assignment
+from .platform import Platform, RolloutState
+from .relay_configuration import RelayConfiguration
 from .statements import Statement, Unclear, onward
 from .units import Came, Shot, Units
 
-PATH = "/catalog/members"
-SPARE, FEWEST = 64, 64  # descriptors for all but clients and units; at least
-OPEN = {"ready": "open"}  # other states keep their names
-LINGER, LAST = 0.5, 0.05  # seconds after SIGTERM: clients still come; looks at the end
-TENTHS = 10_000  # in a second
-LOOK = 1.0  # seconds between looks at the clocks
+LIST_PATH = "/catalog/members"
+RESERVED_DESCRIPTORS = 64  # file descriptors for all but clients and units
+MIN_DESCRIPTORS = 64  # for clients and units together, however few the relay may use
+FACADE_STATES = {"ready": "open"}  # by discovery's name of a unit's state; the others keep their names
+CLIENT_BACKLOG = 512  # connections that wait in the kernel to be accepted
+STOP_GRACE_S = 0.5  # after a stop is requested, in which the relay still serves as before
+DRAIN_CHECK_S = 0.05  # between checks for remaining clients
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+CLOCK_CHECK_S = 1.0  # between checks for steps of the wall clock
+MAX_TICK_WAIT_S = 1.0
 
 
-class Serving:
-    """One invocation on its way: a shot as the facade says, its outcome back, until there is an answer."""
+class ActiveInvocation:
+    """One invocation from its query to its answer: sends the shots that the facade asks for and reports outcomes."""
 
     def __init__(self, relay: "Relay", statement: Statement, at: int) -> None:
+        """`at`: when the query came, by the relay's clock."""
         self.relay, self.statement = relay, statement
-        self.answer: Deferred[Answer] = Deferred(self.left)
-        self.over = False
-        self.shots: dict[int, Shot] = {}  # those that are out
+        self.answer: Deferred[Answer] = Deferred(self.on_client_left)
+        self.is_over = False  # answered, or the client has left
+        self.shots: dict[int, Shot] = {}  # those without an outcome, by shot number
         self.number, step = relay.facade.pick(
             statement.workload,
             statement.customer,
@@ -64,248 +69,281 @@
             repeat=statement.repeat,
         )
         relay.serving[self.number] = self
-        relay.ids.add(statement.id)
+        relay.open_ids.add(statement.id)
         if relay.record:
-            relay.record.taken(self.number, statement, at)
-        self.go_on(step)
+            relay.record.invocation_taken(self.number, statement, at)
+        self.execute_safely(step)
 
-    def go_on(self, step: Step) -> None:
-        """As `follow`; a fault of ours costs this invocation alone."""
+    def execute_safely(self, step: Step) -> None:
+        """Like `execute`, but an exception forfeits this invocation and goes no further."""
         try:
-            self.follow(step)
+            self.execute(step)
         except Exception:
-            self.relay.fault(Failure())
-            self.end(Forfeited())
-            self.forget()
+            self.relay.log_fault(Failure())
+            self.finish(Forfeited())
+            self.remove_if_done()
 
-    def follow(self, step: Step) -> None:
+    def execute(self, step: Step) -> None:
         match step:
-            case Shoot(_, place, _) if self.over:
-                self.relay.facade.report(Outcome(self.number, place, "moot"))
-            case Shoot(unit, place, wait):
-                self.shoot(unit, place, wait)
+            case Shoot(_, shot_number, _) if self.is_over:
+                self.relay.facade.report(Outcome(self.number, shot_number, "moot"))
+            case Shoot(unit, shot_number, wait):
+                self.shoot(unit, shot_number, wait)
             case Reject(come_back):
-                self.end(Rejected(come_back))
+                self.finish(Rejected(come_back))
             case Forfeit():
-                self.end(Forfeited())
-        self.forget()
+                self.finish(Forfeited())
+        self.remove_if_done()
 
-    def shoot(self, unit: int, place: int, wait: int) -> None:
+    def shoot(self, unit: int, shot_number: int, wait: int) -> None:
+        """Send the statement to a unit and wait for the outcome, at most `wait` tenths of a millisecond."""
         relay, until = self.relay, self.relay.clock() + wait
         relay.counters.add("units.shots")
         shot = relay.units.shoot(
             unit,
             lambda: onward(self.statement, max(1, -(-(until - relay.clock()) // 10))),
-            wait / TENTHS,
-            lambda: relay.facade.stands(self.number, place),
+            wait / TENTHS_PER_SECOND,
+            lambda: relay.facade.stands(self.number, shot_number),
         )
         if shot is None:
-            self.came(Came("moot"), place)
+            self.on_outcome(Came("moot"), shot_number)
             return
-        self.shots[place] = shot
+        self.shots[shot_number] = shot
         if relay.record:
-            relay.record.shot(self.number, place, unit, wait)
-        shot.done.addCallback(self.came, place)
-        shot.done.addErrback(relay.fault)
+            relay.record.shot_sent(self.number, shot_number, unit, wait)
+        shot.done.addCallback(self.on_outcome, shot_number)
+        shot.done.addErrback(relay.log_fault)
 
-    def came(self, came: Came, place: int) -> None:
-        self.shots.pop(place, None)
+    def on_outcome(self, came: Came, shot_number: int) -> None:
+        """Report a shot's outcome; a served one answers the client before the next step."""
+        self.shots.pop(shot_number, None)
         self.relay.counters.add(f"units.{came.outcome}")
         fields = self.relay.load_fields
         load = {name: figure for name, figure in (came.load or {}).items() if name in fields}
         if self.relay.record:
-            self.relay.record.came(self.number, place, came.outcome)
-        step = self.relay.facade.report(Outcome(self.number, place, came.outcome, load or None))
+            self.relay.record.shot_ended(self.number, shot_number, came.outcome)
+        step = self.relay.facade.report(Outcome(self.number, shot_number, came.outcome, load or None))
         if came.outcome == "served" and came.value:
-            self.end(came.value)
-        self.follow(step)
-        self.relay.schedule()
-
-    def end(self, answer: Answer) -> None:
-        if not self.over:
-            self.over = True
+            self.finish(came.value)
+        self.execute(step)
+        self.relay.schedule_tick()
+
+    def finish(self, answer: Answer) -> None:
+        """Answer the client, unless it has its answer or has left."""
+        if not self.is_over:
+            self.is_over = True
             if self.relay.record:
-                self.relay.record.ended(self.number, answer)
+                self.relay.record.invocation_ended(self.number, answer)
             self.answer.callback(answer)
 
-    def call_off(self, place: int) -> None:
-        if place in self.shots:
-            self.shots[place].stop("cancelled")
+    def cancel_shot(self, shot_number: int) -> None:
+        if shot_number in self.shots:
+            self.shots[shot_number].stop("cancelled")
 
-    def left(self, answer: Deferred) -> None:
-        """The client has gone."""
-        self.over = True
+    def on_client_left(self, answer: Deferred) -> None:
+        self.is_over = True
         if self.relay.record:
-            self.relay.record.ended(self.number, None)
+            self.relay.record.invocation_ended(self.number, None)
         self.relay.facade.report(Departed(self.number))
-        self.relay.ticked()
-        self.forget()
+        self.relay.on_tick()
+        self.remove_if_done()
 
-    def forget(self) -> None:
-        if self.over and not self.shots:
+    def remove_if_done(self) -> None:
+        """Remove it from the relay's tables once it is over and no shot is out."""
+        if self.is_over and not self.shots:
             self.relay.serving.pop(self.number, None)
-            self.relay.ids.discard(self.statement.id)
+            self.relay.open_ids.discard(self.statement.id)
 
 
 class Relay:
-    """One relay, from `start` to `stop`; embedders hand in their own reactor, and the operator's document if they
-    have one (tealsail/setup/document.py).  `wall` is Unix time in seconds where the reactor's clock is a steady one;
-    without it the reactor's is taken for both.  Raises OSError if a record can't be opened."""
+    """One relay, from `start` to `stop`.
+
+    Programs that embed it hand in their own reactor, and the operator's document if there is one
+    (tealsail/setup/document.py).  `wall` gives Unix time in seconds where the reactor's clock is a steady one; without
+    it the reactor's clock is taken for both.  Raises OSError if a record can't be opened.
+    """
 
     def __init__(
         self,
         reactor: Any,
-        told: Assignment,
+        configuration: RelayConfiguration,
         counters: Counters | None = None,
         document: Any = None,
         wall: Callable[[], float] | None = None,
     ) -> None:
-        self.reactor, self.told, self.counters = reactor, told, counters or Counters()
-        self.clock, self.due = Clock(reactor.seconds, wall or reactor.seconds, self.woke), 0
+        self.reactor, self.configuration, self.counters = reactor, configuration, counters or Counters()
+        self.clock, self.tick_at = Clock(reactor.seconds, wall or reactor.seconds, self.on_gap), 0
         self.stamps = Stamps(self.clock)
-        facts = told.facts
-        self.facade = Facade(facts, told.seed, self.clock, document.seats(facts) if document else ())
+        facts = configuration.facts
+        self.facade = Facade(facts, configuration.seed, self.clock, document.seats(facts) if document else ())
         self.switch = Switch(self.facade.relay, facts)
-        room = max(FEWEST, told.sockets - SPARE) // 2
+        max_connections = (
+            max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
+        )  # to clients, and as many to units
         self.units = Units(
             reactor,
             self.counters,
-            facts.get("connect_wait", TENTHS) / TENTHS,
-            facts.get("idle_time", 30 * TENTHS) / TENTHS,
-            room,
+            facts.get("connect_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            facts.get("idle_time", 30 * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            max_connections,
+        )
+        self.clients = Clients(reactor, self.take, self.clock, self.counters, max_connections)
+        jitter = Chance(mix(configuration.seed, facts.get("index", 0)))
+        # the number of relays, and the seconds within which each asks for the list
+        self.fleet_pacing = (
+            facts.get("relays", 1),
+            facts.get("ask_within", WITHIN * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
         )
-        self.clients = Clients(reactor, self.take, self.clock, self.counters, room)
-        chance = Chance(mix(told.seed, facts.get("index", 0)))
-        self.fleet = facts.get("relays", 1), facts.get("ask_within", WITHIN * TENTHS) / TENTHS
-        self.chance = chance  # of what all relays do: apart from the module's
+        self.jitter = jitter  # spreads what all relays do at once; not the decision module's own generator
         self.discovery = Discovery(
-            reactor, told.discovery, PATH, self.counters, self.listed, Pauses(chance), by_fleet(chance, *self.fleet)
+            reactor,
+            configuration.discovery,
+            LIST_PATH,
+            self.counters,
+            self.listed,
+            Pauses(jitter),
+            by_fleet(jitter, *self.fleet_pacing),
         )
         self.platform = Platform(
             reactor,
-            told.platform,
-            facts.get("vote_wait", TENTHS) / TENTHS,
+            configuration.platform,
+            facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
             self.counters,
-            self.stood,
-            self.counted,
-            Pauses(chance),
+            self.on_rollout_state,
+            self.on_vote_answer,
+            Pauses(jitter),
         )
         self.peers = Peers(
-            told.peers,
-            told.everyone,
+            configuration.peers,
+            configuration.broadcast,
             self.counters,
-            self.heard,
+            self.on_peer_message,
             Flood(limits(len(self.facade.relay.judge.pooled.sums))),
             self.clock,
         )
         self.load_fields = facts.get("load_fields", [])
-        self.zones = {name: place for place, name in enumerate(facts.get("zones", []))}
-        self.serving: dict[int, Serving] = {}
-        self.ids: set[bytes] = set()  # of those that are being served
-        self.door: Any = None  # where clients come in
-        self.holding: Any = None  # the timer of a door that is held until the list has come
-        self.post: Any = None  # where notes come in
-        self.last_looks: LastLooks | None = None  # at who is left, once it ends
-        self.timer: Any = None
+        self.zone_indexes = {name: index for index, name in enumerate(facts.get("zones", []))}
+        self.serving: dict[int, ActiveInvocation] = {}  # by the invocation's number
+        self.open_ids: set[bytes] = set()  # the clients' ids of the invocations in `serving`
+        self.client_listener: Any = None
+        self.hold_timer: Any = None  # of a client listener that is held until the list has come
+        self.peer_listener: Any = None
+        self.drain_check: LastLooks | None = None  # whether clients remain, once the relay drains
+        self.timer: Any = None  # of the next tick
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
-        self.looking: Any = None  # the timer of the next look at the clocks
-        self.stopped: Deferred[None] | None = None
-        self.record: Any = None  # a tealsail.net.recording.Record, where the operator has one kept
+        self.clock_check_timer: Any = None
+        self.shutdown: Deferred[None] | None = None  # fires when a requested stop is complete
+        self.record: Any = None  # a tealsail.net.recording.Record if the operator's document asks for one
         if document and document.recording:
             from .recording import Record
 
             self.record = Record(self, document.recording)
 
     def start(self) -> None:
-        """Serve from what is known already; raises CannotListenError."""
-        if self.told.state:
-            self.stood(self.told.state)
-        self.listed(self.told.known, "old copy")
-        if self.told.peer_listen:
-            host, port = pair(self.told.peer_listen)
-            self.post = self.reactor.listenUDP(port, self.peers, host, maxPacketSize=2048)
-        host, port = pair(self.told.listen)
-        self.door = self.reactor.listenTCP(port, self.clients, 512, host)
-        self.watch()
-        if self.told.platform:
+        """Listen, and serve with the rollout state and list of the configuration; raises CannotListenError."""
+        if self.configuration.state:
+            self.on_rollout_state(self.configuration.state)
+        self.listed(self.configuration.known, "old copy")
+        if self.configuration.peer_listen:
+            host, port = pair(self.configuration.peer_listen)
+            self.peer_listener = self.reactor.listenUDP(port, self.peers, host, maxPacketSize=2048)
+        host, port = pair(self.configuration.listen)
+        self.client_listener = self.reactor.listenTCP(port, self.clients, CLIENT_BACKLOG, host)
+        self.start_discovery()
+        if self.configuration.platform:
             self.platform.start()
         logger.info(
-            "serving name={} listen={} units={}", self.told.name, self.told.listen, len(self.told.known.entries)
+            "serving name={} listen={} units={}",
+            self.configuration.name,
+            self.configuration.listen,
+            len(self.configuration.known.entries),
         )
-        self.looking = self.reactor.callLater(LOOK, self.look)
-        self.schedule()
-
-    def watch(self) -> None:
-        known = self.told.known
-        wait = first_question(
-            self.chance, *self.fleet, self.told.facts.get("list_mode") == "on_request", bool(known.entries)
+        self.clock_check_timer = self.reactor.callLater(CLOCK_CHECK_S, self.check_clocks)
+        self.schedule_tick()
+
+    def start_discovery(self) -> None:
+        """Ask for the list now or soon; clients may wait in the kernel until it has come (`door_held`)."""
+        known = self.configuration.known
+        delay = first_question(
+            self.jitter,
+            *self.fleet_pacing,
+            self.configuration.facts.get("list_mode") == "on_request",
+            bool(known.entries),
         )
-        held = door_held(wait)
-        if held is not None:
-            self.holding = self.reactor.callLater(held, self.open)
-            hold(self.door, True)
-        if wait is None:
+        hold_time = door_held(delay)
+        if hold_time is not None:
+            self.hold_timer = self.reactor.callLater(hold_time, self.accept_clients)
+            hold(self.client_listener, True)
+        if delay is None:
             self.discovery.start()
         else:
-            self.discovery.begin(known.version, wait)
+            self.discovery.start_later(known.version, delay)
 
-    def open(self) -> None:
-        """Clients may come in."""
-        if self.holding:
-            cancel(self.holding)
-            self.holding = None
-            hold(self.door, False)
+    def accept_clients(self) -> None:
+        """Accept clients from now on if they were held in the kernel."""
+        if self.hold_timer:
+            cancel(self.hold_timer)
+            self.hold_timer = None
+            hold(self.client_listener, False)
 
-    def look(self) -> None:
-        """Steps of the wall clock are told and move nothing."""
+    def check_clocks(self) -> None:
+        """Count and log a step of the wall clock, which moves no timer; call again after CLOCK_CHECK_S."""
         step = self.clock.look()
         if step:
             self.counters.add("clock.steps")
-            logger.warning("clock: the wall clock stepped by {:+.3f} s; timers and deadlines go on evenly", step)
-        self.say_duties()
-        self.looking = self.reactor.callLater(LOOK, self.look)
+            logger.warning("clock: the wall clock stepped by {:+.3f} s; timers and deadlines are not affected", step)
+        self.log_duties()
+        self.clock_check_timer = self.reactor.callLater(CLOCK_CHECK_S, self.check_clocks)
 
-    def say_duties(self) -> None:
-        """Who acts for the fleet as far as this relay knows, whenever that has changed."""
+    def log_duties(self) -> None:
+        """Log which relays act for the fleet, as far as this one knows, if that has changed."""
         relay = self.facade.relay
         duties = relay.guide.keeper(), *relay.judge.order[:JUDGES]
         if duties != self.duties:
             self.duties = duties
             logger.info("duties keeper={} judges={}", duties[0], ",".join(str(each) for each in duties[1:]))
 
-    def woke(self, gap: float) -> None:
-        """After a time in which nothing ran nothing older is trusted: evidence at once, then what others keep."""
+    def on_gap(self, gap: float) -> None:
+        """The process did not run for `gap` seconds: discard evidence from before, then refresh connections and
+        state."""
         self.counters.add("clock.gaps")
-        logger.warning("clock: nothing ran for {:.1f} s; list and platform are asked anew", gap)
+        logger.warning(
+            "clock: the process did not run for {:.1f} s; asking discovery and the platform for their state again", gap
+        )
         disregard(self.facade.relay, self.clock.last)
-        self.reactor.callLater(0, self.anew)
+        self.reactor.callLater(0, self.refresh)
 
-    def anew(self) -> None:
-        if not self.stopped:
+    def refresh(self) -> None:
+        """Drop idle connections to units, and ask for the whole list and the rollout state on new connections."""
+        if not self.shutdown:
             self.units.forget_idle()
             self.discovery.anew()
-            if self.told.platform:
+            if self.configuration.platform:
                 self.platform.anew()
 
-    def assign(self, told: Assignment) -> None:
-        """A new configuration: the settings, discovery and the platform.  Raises ValueError, and then changes
-        nothing."""
-        if told.own != self.told.own:
-            raise ValueError(f"of another relay: {' '.join(told.own)}")
+    def reconfigure(self, configuration: RelayConfiguration) -> None:
+        """Take new settings and new addresses of discovery and the platform.
+
+        Settings that need a restart are refused, and the addresses still count.  Raises ValueError if the
+        configuration is another relay's, fleet's or customer's, and passes on what the decision module raises for
+        settings that it can't be built with; nothing changes then.
+        """
+        if configuration.identity != self.configuration.identity:
+            raise ValueError(f"belongs to another relay: {' '.join(configuration.identity)}")
         try:
-            settings_now = ",".join(self.switch.change(told.facts)) or "as before"
-            self.load_fields = told.facts.get("load_fields", [])
-            self.platform.vote_wait = told.facts.get("vote_wait", TENTHS) / TENTHS
+            settings_now = ",".join(self.switch.change(configuration.facts)) or "as before"
+            self.load_fields = configuration.facts.get("load_fields", [])
+            self.platform.vote_wait = configuration.facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
             self.counters.add("configuration.taken")
-        except Fixed as needs:  # the addresses still count: those of before fall silent
+        except Fixed as needs:  # the addresses still count, since those of before stop answering
             if needs.foreign:
                 raise
             settings_now = f"kept ({needs})"
             self.counters.add("configuration.kept")
-        self.schedule()
-        self.discovery.move(told.discovery)
-        if told.platform:
-            self.platform.move(told.platform)
+        self.schedule_tick()
+        self.discovery.move(configuration.discovery)
+        if configuration.platform:
+            self.platform.move(configuration.platform)
         logger.info(
             "configuration discovery={} platform={} settings={}",
             self.discovery.address,
@@ -314,142 +352,155 @@
         )
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
+        """Begin an invocation that came at `at`; cancel the Deferred if the client leaves.  Raises Unclear."""
         if statement.workload not in self.facade.workloads:
             raise Unclear("no such workload")
-        if statement.id in self.ids:  # else units could not tell the two apart
+        if statement.id in self.open_ids:  # else units could not tell the two apart
             raise Unclear("the id of an open invocation")
-        answer = Serving(self, statement, at).answer
-        self.schedule()
+        answer = ActiveInvocation(self, statement, at).answer
+        self.schedule_tick()
         return answer
 
     def listed(self, news: News, kind: str = "") -> None:
+        """Take a list of units or its changes; `kind` is that of facade.Units, by default as `news` says."""
         kind = kind or ("whole" if news.whole else "changes")
         self.counters.add(f"discovery.list.{kind.replace(' ', '_')}")
         entries = [entry for entry in news.entries if entry.address or entry.state != "ready"]
         for entry in entries:
             if entry.state == "ready":
-                self.units.listed(number_of(entry.id), entry.address, entry.build, entry.started)
+                self.units.listed(unit_number(entry.id), entry.address, entry.build, entry.started_ms)
             else:
-                self.units.unlisted(number_of(entry.id))
+                self.units.unlisted(unit_number(entry.id))
         if kind != "changes":
-            here = {number_of(entry.id) for entry in entries}
-            self.stamps.keep(here)
+            numbers = {unit_number(entry.id) for entry in entries}
+            self.stamps.keep(numbers)
             for number in self.units.numbers():
-                if number not in here:
+                if number not in numbers:
                     self.units.unlisted(number)
         if self.record:
-            self.record.listed(entries)
-        self.facade.report(Listing(kind, [self.entry(entry) for entry in entries]))
+            self.record.units_listed(entries)
+        self.facade.report(Listing(kind, [self.listed_unit(entry) for entry in entries]))
         if kind != "old copy":
-            self.open()
-        self.schedule()
+            self.accept_clients()
+        self.schedule_tick()
 
-    def entry(self, entry: Entry) -> Listed:
-        number = number_of(entry.id)
+    def listed_unit(self, entry: Entry) -> Listed:
+        """The entry as the facade takes it."""
+        number = unit_number(entry.id)
         return Listed(
             number,
             entry.build,
-            OPEN.get(entry.state, entry.state),
-            self.zones.get(entry.zone, 0),
+            FACADE_STATES.get(entry.state, entry.state),
+            self.zone_indexes.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.of(number, settings.tenths(entry.started)),
+            self.stamps.of(number, settings.tenths(entry.started_ms)),
         )
 
-    def stood(self, state: State) -> None:
+    def on_rollout_state(self, state: RolloutState) -> None:
         if self.record:
-            self.record.stood(state)
+            self.record.rollout_changed(state)
         self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
-        self.schedule()
+        self.schedule_tick()
 
-    def counted(self, answer: str) -> None:
+    def on_vote_answer(self, answer: str) -> None:
         self.facade.report(Counted(answer))
-        self.schedule()
+        self.schedule_tick()
 
-    def heard(self, number: int, data: bytes) -> None:
+    def on_peer_message(self, number: int, data: bytes) -> None:
+        """`number`: the index of the relay that sent it."""
         self.facade.report(Heard(number, data))
-        self.schedule()
+        self.schedule_tick()
 
-    def schedule(self) -> None:
-        """The next tick, when the facade is due."""
+    def schedule_tick(self) -> None:
+        """Set the timer of the next tick for when the facade is due."""
         due, active = self.facade.due, self.timer is not None and self.timer.active()
-        if active and due >= self.due:
+        if active and due >= self.tick_at:
             return  # a tick too early does no harm
         if active:
             self.timer.cancel()
-        self.due = due
-        self.timer = self.reactor.callLater(min(max(0, due - self.clock()) / TENTHS, 1.0), self.ticked)
+        self.tick_at = due
+        self.timer = self.reactor.callLater(
+            min(max(0, due - self.clock()) / TENTHS_PER_SECOND, MAX_TICK_WAIT_S), self.on_tick
+        )
 
-    def ticked(self) -> None:
+    def on_tick(self) -> None:
+        """Carry out what the facade wants by itself."""
         wants = self.facade.tick()
         self.switch.settle()
         for line in wants.lines:
             logger.info("module: {}", line)
         for number, step in wants.steps:
             if number in self.serving:
-                self.serving[number].go_on(step)
-            elif isinstance(step, Shoot):  # its client left meanwhile
+                self.serving[number].execute_safely(step)
+            elif isinstance(step, Shoot):  # its client has left since
                 self.facade.report(Outcome(number, step.place, "moot"))
         for number, data in wants.notes:
             self.peers.tell(number, data)
         for vote in wants.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
             self.platform.vote(*vote)
-        for number, place in wants.calls_off:
+        for number, shot_number in wants.calls_off:
             if number in self.serving:
-                self.serving[number].call_off(place)
-        self.schedule()
+                self.serving[number].cancel_shot(shot_number)
+        self.schedule_tick()
 
-    def fault(self, reason: Failure) -> None:
-        """Network code went wrong with one invocation; the process goes on."""
+    def log_fault(self, reason: Failure) -> None:
+        """Count and log an exception in the network code of one invocation; the process goes on."""
         self.counters.add("faults")
         logger.error("fault: {}", reason.getTraceback())
 
-    def count_seats(self) -> None:
-        """What the seats of other choices counted, among the counters."""
+    def collect_choice_counts(self) -> None:
+        """Copy the counts of the stages of other choices (tealsail/choices/) into the counters."""
         for seat in self.facade.relay.seats:
             for name, count in seat.counts.items():
                 self.counters.counts[f"zones.{name}"] = count
 
     def stop(self) -> Deferred[None]:
-        """Clients still come for a moment; then no new ones, and the end once all is answered."""
-        if not self.stopped:
-            logger.info("stopping: {} invocations at hand", len(self.serving))
-            self.stopped = Deferred()
-            self.reactor.callLater(LINGER, self.leave)
-        return self.stopped
-
-    def leave(self) -> None:
-        """Idle connections end.  The door stays open until nobody is left, for those whose query crosses such an end
-        and who come again; nobody else does.  Notes still come, since those who are served may need another relay's
-        word."""
-        self.open()
+        """Serve as before for STOP_GRACE_S, then drain; the Deferred fires when all is answered and closed."""
+        if not self.shutdown:
+            logger.info("stopping: {} open invocations", len(self.serving))
+            self.shutdown = Deferred()
+            self.reactor.callLater(STOP_GRACE_S, self.start_drain)
+        return self.shutdown
+
+    def start_drain(self) -> None:
+        """End idle connections, and the others once they are answered.
+
+        The client listener stays open until no client is left, for clients whose query crossed the end of their
+        connection and who connect again; other clients don't come any more.  Messages of other relays are still taken,
+        since open invocations may need their answers.
+        """
+        self.accept_clients()
         self.clients.stop_sweeping()
         deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.last_looks = LastLooks(self.clock(), deadlines)
-        self.finish()
+        self.drain_check = LastLooks(self.clock(), deadlines)
+        self.check_drain()
+
+    def check_drain(self) -> None:
+        """Check for remaining clients every DRAIN_CHECK_S, and close everything after the last check.
 
-    def finish(self) -> None:
-        """A look at who is left, again and again until it is the last: what the kernel has let in is ours."""
+        Each check accepts the connections that the kernel has already completed, so that they are served.
+        """
         now = self.clock()
-        late = self.last_looks.late(now)
+        late = self.drain_check.late(now)
         if not late:
-            take_in(self.door, lambda: self.counters.counts["clients.connections"])
+            take_in(self.client_listener, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
-        over = self.last_looks.over(now, len(self.clients.connections))
-        if late:  # who does not read its answer, or comes again and again, would keep this
-            self.clients.cut()  # relay for ever
+        over = self.drain_check.over(now, len(self.clients.connections))
+        if late:  # clients that don't read their answers, or connect again and again, must not keep the relay for ever
+            self.clients.cut()
         if not over:
-            self.reactor.callLater(LAST, self.finish)
+            self.reactor.callLater(DRAIN_CHECK_S, self.check_drain)
             return
-        self.door.stopListening()
-        if self.post:
-            self.post.stopListening()
+        self.client_listener.stopListening()
+        if self.peer_listener:
+            self.peer_listener.stopListening()
         self.discovery.stop()
         self.platform.stop()
-        self.looking.cancel()
+        self.clock_check_timer.cancel()
         if self.record:
             self.record.close()
-        self.count_seats()
+        self.collect_choice_counts()
         logger.info("counters {}", self.counters.show())
-        self.stopped.callback(None)
+        self.shutdown.callback(None)
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -1,4 +1,4 @@
-"""What a relay is told at its start: variables of the environment and one file of JSON."""
+"""A relay's configuration: variables of the environment and one JSON file."""
 
 import json
 from collections.abc import Mapping
@@ -6,67 +6,74 @@
 
 from .. import settings
 from ..setup.facts import BadFacts, check
-from .discovery import News, Unreadable, address, read_news
-from .platform import State, Unreadable as UnreadableState, read_state
+from .discovery import News, Unreadable, checked_address, read_news
+from .platform import RolloutState, Unreadable as UnreadableState, read_state
 
 
-class BadStart(Exception):
-    """One plain line for whoever started it."""
+class ConfigurationError(Exception):
+    """The configuration can't be used; the text is one plain line for the operator."""
 
 
-class Assignment(NamedTuple):
+class RelayConfiguration(NamedTuple):
+    """What a relay is configured with; addresses are `host:port`, empty where there is none."""
+
     name: str
-    listen: str
+    listen: str  # for clients
     discovery: str
     seed: int
-    sockets: int
-    peer_listen: str
-    peers: list[str]
-    everyone: str
+    sockets: int  # file descriptors that the relay may use
+    peer_listen: str  # for other relays' datagrams
+    peers: list[str]  # addresses of all relays, by the relay's index
+    broadcast: str  # the address that reaches all relays
     platform: str
-    state: State | None
-    known: News
-    facts: dict[str, Any]
-    own: tuple[str, ...] = ()  # whose the file says it is: its name, where it listens
+    state: RolloutState | None  # of the newest build at the start
+    known: News  # the list of units as known at the start
+    facts: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
+    identity: tuple[str, ...] = ()  # name, listen and peer_listen as the file has them
 
 
-class Torn(BadStart):
-    """The file is not there or no JSON: it may be being written."""
+class UnreadableConfiguration(ConfigurationError):
+    """The file is missing or not valid JSON: it may be in the middle of being written."""
 
 
 def want(tree: Any, name: str, kind: type, default: Any = None) -> Any:
-    """A field of that type."""
+    """The field `name` of `tree`; raises ConfigurationError if it is missing or not of that type."""
     value = tree.get(name, default)
     if value is None:
-        raise BadStart(f"no {name} in the configuration")
+        raise ConfigurationError(f"no {name} in the configuration")
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise BadStart(f"{name} in the configuration is {type(value).__name__}, not {kind.__name__}")
+        raise ConfigurationError(f"{name} in the configuration is {type(value).__name__}, not {kind.__name__}")
     return value
 
 
-def reached(name: str, text: str) -> str:
+def address_field(name: str, text: str) -> str:
+    """`text` if it is empty or `host:port`; raises ConfigurationError that names the field."""
     try:
-        return address(text)
+        return checked_address(text)
     except ValueError as problem:
-        raise BadStart(f"{name}: {problem}") from None
+        raise ConfigurationError(f"{name}: {problem}") from None
 
 
-def read_again(environment: Mapping[str, str]) -> Assignment:
-    """The file as it is now.  It is newer than what the environment said of discovery at the start."""
+def reread(environment: Mapping[str, str]) -> RelayConfiguration:
+    """The file as it is now, for a relay that runs.  EDGE_DISCOVERY, which is as old as the process, is ignored."""
     return read({name: value for name, value in environment.items() if name != "EDGE_DISCOVERY"})
 
 
-def read(environment: Mapping[str, str]) -> Assignment:
+def read(environment: Mapping[str, str]) -> RelayConfiguration:
+    """The configuration from the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override it.
+
+    Raises UnreadableConfiguration if the file can't be opened or parsed, ConfigurationError if its content is wrong.
+    """
     path = environment.get("EDGE_CONFIG")
     if not path:
-        raise BadStart("EDGE_CONFIG is not set")
+        raise ConfigurationError("EDGE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             tree = json.load(file)
     except (OSError, ValueError) as problem:
-        raise Torn(f"{path}: {problem}") from None
+        raise UnreadableConfiguration(f"{path}: {problem}") from None
     if not isinstance(tree, dict):
-        raise BadStart(f"{path}: not an object")
+        raise ConfigurationError(f"{path}: not an object")
     rollouts = want(tree, "rollouts", dict, {})
     try:
         seed = int(want(tree, "seed", str), 16)
@@ -74,21 +81,21 @@
         known = read_news(want(tree, "known", dict, {"generation": 0, "instances": []}))
         facts = settings.facts(settings.nested(want(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
-        raise BadStart(f"{path}: {problem}") from None
+        raise ConfigurationError(f"{path}: {problem}") from None
     try:
         check(facts)
     except BadFacts as problem:
-        raise BadStart(f"{path}: settings: {problem}") from None
-    return Assignment(
+        raise ConfigurationError(f"{path}: settings: {problem}") from None
+    return RelayConfiguration(
         environment.get("EDGE_NAME") or want(tree, "name", str),
-        reached("EDGE_LISTEN", environment.get("EDGE_LISTEN") or want(tree, "listen", str)),
-        reached("EDGE_DISCOVERY", environment.get("EDGE_DISCOVERY") or want(tree, "discovery", str)),
+        address_field("EDGE_LISTEN", environment.get("EDGE_LISTEN") or want(tree, "listen", str)),
+        address_field("EDGE_DISCOVERY", environment.get("EDGE_DISCOVERY") or want(tree, "discovery", str)),
         seed,
         want(want(tree, "limits", dict, {}), "sockets", int, 1024),
-        reached("peer_listen", want(tree, "peer_listen", str, "")),
-        [reached("peers", each) for each in want(tree, "peers", list, [])],
-        reached("peers_all", want(tree, "peers_all", str, "")),
-        reached("rollouts.address", want(rollouts, "address", str, "")),
+        address_field("peer_listen", want(tree, "peer_listen", str, "")),
+        [address_field("peers", each) for each in want(tree, "peers", list, [])],
+        address_field("peers_all", want(tree, "peers_all", str, "")),
+        address_field("rollouts.address", want(rollouts, "address", str, "")),
         state,
         known,
         facts,
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -164,7 +164,7 @@
             check.begin()
         # whether a shot may have run is decided by whether its last byte was written
         self.finish(self.stopped or Came("reset" if self.written else "unreachable"))
-        self.counters.ended("unit", self.why(reason), self.pool.address)
+        self.counters.connection_ended("unit", self.why(reason), self.pool.address)
 
 
 class Shot:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,7 +10,7 @@
 from tealsail.net.relay import Relay
 
 from .fake import IDLE, ROW, Reactor, asking, field
-from .test_relay import DESK, LIST, UNIT, Story as RelayStory, config, listing, reply, told, unit
+from .test_relay import JSONRPC_PORT, LIST_PORT, UNIT_PORT, Story as RelayStory, config, listing, reply, told, unit
 
 SECOND, START = 10_000, 1_700_000_000.0
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
@@ -131,8 +131,8 @@
         wire.sent()
         wire.gets(ROW + IDLE)
         first.sent()
-        self.reactor.up(LIST).sent()
-        self.reactor.up(DESK).sent()
+        self.reactor.up(LIST_PORT).sent()
+        self.reactor.up(JSONRPC_PORT).sent()
         second = self.client(asking())
         wire.sent()
         relay = self.relay.facade.relay
@@ -146,15 +146,15 @@
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
-        whole = self.reactor.up(LIST)
+        whole = self.reactor.up(LIST_PORT)
         self.assertTrue(whole.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
         whole.gets(reply(listing(50, True, unit(7002, "s-2"))))
         self.assertEqual(len(relay.units), 1)
-        self.reactor.up(DESK)
+        self.reactor.up(JSONRPC_PORT)
 
     def test_a_listed_unit_does_not_start_anew_when_the_clock_steps(self) -> None:
         started = (self.reactor.seconds() - 100) * 1000
-        entry = unit(UNIT) | {"startedAtMs": started}
+        entry = unit(UNIT_PORT) | {"startedAtMs": started}
         self.discovery(listing(42, True, entry))
         known = next(iter(self.relay.facade.relay.units.values()))
         self.ahead = -7200.0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from tealsail.choices.pauses import UNTOLD
-from tealsail.net.relay import LAST, LINGER, Relay
+from tealsail.net.relay import DRAIN_CHECK_S, STOP_GRACE_S, Relay
 
 from .fake import GREETING, IDLE, OPENING, ROW, asking, field
 from .test_relay import config, listing, reply, told, unit
@@ -171,7 +171,7 @@
         """SIGTERM came, and the moment in which clients still come is over but for its last instant."""
         ended: list[None] = []
         self.relay.stop().addCallback(ended.append)
-        self.later(LINGER - 0.001)
+        self.later(STOP_GRACE_S - 0.001)
         return ended
 
 
@@ -187,7 +187,7 @@
         self.shot().sendall(ROW + IDLE)
         self.assertEqual(self.to_the_end(client), ROW + IDLE)
         client.close()
-        self.pass_time(3 * LAST)
+        self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
     def test_connections_that_the_kernel_took_in_before_the_door_closed_are_served(self) -> None:
@@ -229,10 +229,10 @@
         self.shot().sendall(ROW + IDLE)
         self.assertEqual(self.to_the_end(clients[0]), ROW + IDLE)
         clients[0].close()
-        self.pass_time(0.3 + LAST)
+        self.pass_time(0.3 + DRAIN_CHECK_S)
         self.assertEqual(self.to_the_end(clients[1]), b"")
         clients[1].close()
-        self.pass_time(3 * LAST)
+        self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
     def comes_and_is_served(self, ended: list[None], look: float = 0.0) -> None:
@@ -245,7 +245,7 @@
         self.shot().sendall(ROW + IDLE)
         self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
         client.close()
-        self.pass_time(4 * LAST)
+        self.pass_time(4 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
     def test_whose_query_crosses_the_end_of_its_connection_comes_again_and_is_served(self) -> None:
@@ -257,7 +257,7 @@
         client.sendall(asking(wait=3000))  # our end is on its way to it
         self.assertEqual(self.to_the_end(client), b"")
         client.close()
-        self.pass_time(LAST)
+        self.pass_time(DRAIN_CHECK_S)
         self.comes_and_is_served(ended)
 
     def test_who_comes_before_the_last_look_is_served(self) -> None:
@@ -265,7 +265,7 @@
         self.started()
         ended = self.leaving()
         self.later(0.002)
-        self.comes_and_is_served(ended, LAST)
+        self.comes_and_is_served(ended, DRAIN_CHECK_S)
 
     def test_a_front_that_asks_while_this_relay_ends_is_not_told_that_it_is_ready(self) -> None:
         """Guards against new clients for a relay whose door is open only for those who crossed its end."""
@@ -336,7 +336,7 @@
         client, answer, ended = self.slow_reader()
         self.assertEqual(self.to_the_end(client), answer)
         client.close()
-        self.pass_time(3 * LAST)
+        self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
     def test_a_client_that_never_reads_does_not_hold_the_end_up(self) -> None:
@@ -355,7 +355,7 @@
         self.leaving()
         self.later(0.002)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
-            other.sendto(b"note", self.relay.post.socket.getsockname())
+            other.sendto(b"note", self.relay.peer_listener.socket.getsockname())
             self.until(lambda: self.relay.counters.counts["peers.dropped"])
         inside.sendall(ROW + IDLE)
         self.assertEqual(self.to_the_end(client), ROW + IDLE)
@@ -690,7 +690,7 @@
         client = self.first_query()
         ended: list[None] = []
         self.relay.stop().addCallback(ended.append)
-        self.now += LINGER
+        self.now += STOP_GRACE_S
         self.turn()
         self.shot().sendall(ROW + IDLE)
         self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
@@ -698,7 +698,7 @@
 
 class NewSettings(Crossing):
     def changed(self, **more: object) -> None:
-        self.relay.assign(told(self.tree | more))
+        self.relay.reconfigure(told(self.tree | more))
 
     def test_a_file_of_another_relay_or_customer_moves_nothing(self) -> None:
         self.started()
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -25,12 +25,12 @@
 )
 from tealsail.choices.load_owner import LIFE, LISTENS, MOST_ROWS_KEPT, LoadOwner
 from tealsail.choices.rendezvous import REPLICAS, Rendezvous
-from tealsail.net.relay import number_of
+from tealsail.net.relay import unit_number
 from tealsail.parts import Chance
 
 settings.register_profile("ci", max_examples=60, derandomize=True, deadline=None)
 settings.load_profile("ci")
-UNITS = [number_of(f"unit-{each}") for each in range(12_000)]
+UNITS = [unit_number(f"unit-{each}") for each in range(12_000)]
 ROWS = st.builds(
     Row,
     st.integers(0, (1 << 56) - 1),
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -101,10 +101,10 @@
     HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
     def replies(self, stream: bytes, piece: int) -> list:
-        replies, seen = discovery.Replies(), []
+        replies, seen = discovery.ReplyParser(), []
         for first in range(0, len(stream), piece):
             seen += replies.feed(stream[first : first + piece])
-        return seen + replies.ended()
+        return seen + replies.at_end()
 
     def test_lengths_and_chunks_in_any_pieces(self) -> None:
         stream = (
@@ -163,13 +163,13 @@
     STATE = b'{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}'
 
     def test_answers_news_and_signs_of_life(self) -> None:
-        state = platform.State(42, 1, "on trial", 0.28, 310)
+        state = platform.RolloutState(42, 1, "on trial", 0.28, 310)
         for line, read in (
-            (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.Answer(11, state, "")),
-            (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.Answer(10, None, "")),
-            (b'{"id":9,"error":{"code":-32602,"message":"BUSY"}}', platform.Answer(9, None, "BUSY")),
-            (b'{"method":"stage","params":' + self.STATE + b"}", platform.Told(state)),
-            (b'{"method":"ping"}', platform.Told(None)),
+            (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.CallResult(11, state, "")),
+            (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.CallResult(10, None, "")),
+            (b'{"id":9,"error":{"code":-32602,"message":"BUSY"}}', platform.CallResult(9, None, "BUSY")),
+            (b'{"method":"stage","params":' + self.STATE + b"}", platform.Notification(state)),
+            (b'{"method":"ping"}', platform.Notification(None)),
         ):
             self.assertEqual(platform.read(line), read)
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -17,7 +17,7 @@
 from tealsail.setup import document
 
 from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure
-from .test_relay import UNIT, config, told
+from .test_relay import UNIT_PORT, config, told
 
 NET = Path(__file__).parent.parent / "tealsail" / "net"
 HEAD = Head(0, VERSION, "relay", "n0", 0, {})
@@ -97,7 +97,7 @@
         return wire
 
     def unit(self) -> Wire:
-        wire = self.reactor.up(UNIT)
+        wire = self.reactor.up(UNIT_PORT)
         wire.gets(GREETING)
         return wire
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,21 +15,21 @@
 
 from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure, field
 
-CLIENTS, UNIT, LIST, DESK = 5432, 7001, 8500, 6400
+CLIENT_PORT, UNIT_PORT, LIST_PORT, JSONRPC_PORT = 5432, 7001, 8500, 6400
 
 
 def config(**more: object) -> dict:
     return {
         "name": "n0",
-        "listen": f"127.0.0.1:{CLIENTS}",
-        "discovery": f"127.0.0.1:{LIST}",
+        "listen": f"127.0.0.1:{CLIENT_PORT}",
+        "discovery": f"127.0.0.1:{LIST_PORT}",
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "peer_listen": "127.0.0.1:7946",
         "peers": ["127.0.0.1:7946", "127.0.0.2:7946"],
         "peers_all": "127.0.0.9:7946",
-        "rollouts": {"address": f"127.0.0.1:{DESK}", "news": state()},
-        "known": listing(41, True, unit(UNIT)),
+        "rollouts": {"address": f"127.0.0.1:{JSONRPC_PORT}", "news": state()},
+        "known": listing(41, True, unit(UNIT_PORT)),
         "settings": {
             "fleetSize": 2,
             "index": 0,
@@ -70,7 +70,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def told(tree: object) -> relay_configuration.Assignment:
+def told(tree: object) -> relay_configuration.RelayConfiguration:
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(tree if isinstance(tree, str) else json.dumps(tree))
         file.flush()
@@ -91,7 +91,7 @@
         wire.gets(b"".join(data))
         return wire
 
-    def unit(self, port: int = UNIT) -> Wire:
+    def unit(self, port: int = UNIT_PORT) -> Wire:
         wire = self.reactor.up(port)
         wire.gets(GREETING)
         return wire
@@ -120,7 +120,7 @@
         wire.sent()
         wire.gets(failure("XX000") + IDLE)
         self.assertIn(b"C58000\0", client.sent())
-        self.discovery(listing(42, False, unit(UNIT, lifecycle="draining")))
+        self.discovery(listing(42, False, unit(UNIT_PORT, lifecycle="draining")))
         client.gets(asking(workload="order"))
         self.assertIn(b"C53300\0", client.sent())
 
@@ -142,13 +142,13 @@
         self.assertEqual(self.relay.serving, {})
 
     def discovery(self, news: dict) -> Wire:
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         wire.sent()
         wire.gets(reply(news))
         return wire
 
     def test_the_list_is_watched_without_a_pause(self) -> None:
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         self.assertTrue(wire.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
         wire.gets(reply(listing(42, True, unit(7002, "s-2"))), piece=9)
         self.assertIn(b"GET /catalog/members?after=42&wait_ms=20000 ", wire.sent())
@@ -163,53 +163,53 @@
         self.unit(7003)
 
     def test_silent_or_broken_discovery_stops_nothing_and_is_asked_again(self) -> None:
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         self.wait(4.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.reactor.refuse(LIST)
+        self.reactor.refuse(LIST_PORT)
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         wire.sent()
         wire.gets(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         self.assertTrue(wire.settle())
         self.wait(1.0)
-        wire = self.discovery(listing(42, True, unit(UNIT)))
+        wire = self.discovery(listing(42, True, unit(UNIT_PORT)))
         wire.sent()
         wire.gets(reply({"generation": "?"}))
         self.assertTrue(wire.settle())
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         self.assertNotIn(b"after", wire.sent())  # what an unreadable answer told is missed: all of it anew
-        wire.gets(reply(listing(42, True, unit(UNIT))))
+        wire.gets(reply(listing(42, True, unit(UNIT_PORT))))
         self.wait(22.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())  # what was known is not asked for again
+        self.assertIn(b"?after=42&", self.reactor.up(LIST_PORT).sent())  # what was known is not asked for again
         self.client(asking())
         self.unit()
 
     def test_a_fleet_too_many_for_the_list_asks_for_what_is_new_and_later(self) -> None:
         """Turned away, a relay asked for the whole list, and soon: more work for a keeper that had too much of it."""
-        wire = self.discovery(listing(42, True, unit(UNIT)))
+        wire = self.discovery(listing(42, True, unit(UNIT_PORT)))
         wire.gets(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 3\r\nConnection: close\r\n\r\n")
         self.assertTrue(wire.settle())
         self.wait(3.0)
-        self.assertFalse(self.reactor.dialled(LIST))
+        self.assertFalse(self.reactor.dialled(LIST_PORT))
         self.wait(2.1)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST).sent())
+        self.assertIn(b"?after=42&", self.reactor.up(LIST_PORT).sent())
 
     def test_where_lists_are_asked_for_the_first_question_is_for_what_is_new_and_not_at_once(self) -> None:
         self.reactor = Reactor()
         Relay(
             self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))
         ).start()
-        self.assertFalse(self.reactor.dialled(LIST))
+        self.assertFalse(self.reactor.dialled(LIST_PORT))
         self.wait(4.1)
-        self.assertIn(b"?after=41&", self.reactor.up(LIST).sent())
+        self.assertIn(b"?after=41&", self.reactor.up(LIST_PORT).sent())
 
     def desk(self) -> Wire:
-        wire = self.reactor.up(DESK)
+        wire = self.reactor.up(JSONRPC_PORT)
         self.assertEqual(json.loads(wire.sent())["method"], "subscribe")
         wire.gets(b'{"jsonrpc":"2.0","id":1,"result":true}\n')
         return wire
@@ -222,7 +222,7 @@
         wire, heard = self.desk(), []
         self.news(wire, build=42, stands="canary", cap=0.28)
         self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.told_cap), (42, 0.28))
-        self.relay.platform.counted = heard.append
+        self.relay.platform.on_vote_answer = heard.append
         for error, answer in (("BUSY", "full"), ("STALE", "moot"), ("FAILED", "error"), ("SYNTAX", "error")):
             self.relay.platform.vote(42, 0, "on")
             vote = json.loads(wire.sent())
@@ -239,7 +239,7 @@
 
     def test_a_vote_with_no_answer_may_count_and_one_that_was_not_written_does_not(self) -> None:
         heard: list[str] = []
-        self.relay.platform.counted = heard.append
+        self.relay.platform.on_vote_answer = heard.append
         self.relay.platform.vote(41, 0, "back")
         self.reactor.advance(0)
         wire = self.desk()
@@ -265,10 +265,10 @@
         self.desk()
 
     def test_a_new_configuration_moves_discovery_with_the_old_watch_at_work(self) -> None:
-        old = self.discovery(listing(42, True, unit(UNIT)))
+        old = self.discovery(listing(42, True, unit(UNIT_PORT)))
         old.sent()
-        self.relay.assign(told(config(discovery="127.0.0.1:8600")))
-        self.relay.assign(told(config(discovery="127.0.0.1:8700")))  # two in a row: the last counts
+        self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
+        self.relay.reconfigure(told(config(discovery="127.0.0.1:8700")))  # two in a row: the last counts
         old.gets(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
         passed = self.reactor.up(8600)
@@ -280,23 +280,23 @@
         self.assertIn(b"?after=7&", new.sent())
         self.assertEqual([pool.address for pool in self.relay.units.pools.values()], ["127.0.0.9:7003"])
         self.wait(1)
-        self.assertEqual((new.closing, self.reactor.dialled(LIST), self.reactor.dialled(8700)), (False, [], []))
+        self.assertEqual((new.closing, self.reactor.dialled(LIST_PORT), self.reactor.dialled(8700)), (False, [], []))
 
     def test_an_old_discovery_that_closes_first_is_not_dialled_again(self) -> None:
-        old = self.discovery(listing(42, True, unit(UNIT)))
-        self.relay.assign(told(config(discovery="127.0.0.1:8600")))
+        old = self.discovery(listing(42, True, unit(UNIT_PORT)))
+        self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
         old.drop()
         self.reactor.refuse(8600)  # not there yet
         self.wait(0.3)
-        self.assertEqual(self.reactor.dialled(LIST), [])
+        self.assertEqual(self.reactor.dialled(LIST_PORT), [])
         self.assertIn(b"GET /catalog/members HTTP", self.reactor.up(8600).sent())
 
     def test_a_move_of_the_platform_leaves_the_vote_that_is_out_its_answer(self) -> None:
         old, heard = self.desk(), []
-        self.relay.platform.counted = heard.append
+        self.relay.platform.on_vote_answer = heard.append
         self.relay.platform.vote(41, 0, "back")
         number = json.loads(old.sent())["id"]
-        self.relay.assign(told(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
+        self.relay.reconfigure(told(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
         new = self.reactor.up(6500)
         self.assertEqual(json.loads(new.sent())["method"], "subscribe")
         self.news(new, build=42, stands="canary", cap=0.28)
@@ -345,7 +345,7 @@
         wire = self.unit()
         wire.sent()
         wire.gets(ROW + IDLE)
-        self.assertEqual((first.sent(), self.relay.ids), (ROW + IDLE, set()))
+        self.assertEqual((first.sent(), self.relay.open_ids), (ROW + IDLE, set()))
         second.gets(asking())
         self.assertEqual(second.sent(), b"")
 
@@ -361,13 +361,13 @@
             self.assertEqual(len(self.relay.units.pools), 1)
             self.relay.discovery.pauses.reset()
             self.wait(0.2)
-        wire = self.reactor.up(LIST)
+        wire = self.reactor.up(LIST_PORT)
         wire.gets(b"[" * 9000)  # no head, and no end of it
         self.wait(1.1)
         self.assertTrue(wire.settle())  # a part alone is not waited for as for a watch
         self.wait(0.3)
-        wire = self.reactor.up(LIST)
-        wire.gets(reply(listing(51, True, unit(UNIT)))[:-4])
+        wire = self.reactor.up(LIST_PORT)
+        wire.gets(reply(listing(51, True, unit(UNIT_PORT)))[:-4])
         self.wait(1.1)
         self.assertTrue(wire.settle())
         for line in (
@@ -425,10 +425,10 @@
             (config(discovery=None), "discovery"),
             (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize"),
         ):
-            with self.assertRaisesRegex(relay_configuration.BadStart, said):
+            with self.assertRaisesRegex(relay_configuration.ConfigurationError, said):
                 told(tree)
         for environment in ({}, {"EDGE_CONFIG": "/nowhere/at/all"}):
-            self.assertRaises(relay_configuration.BadStart, relay_configuration.read, environment)
+            self.assertRaises(relay_configuration.ConfigurationError, relay_configuration.read, environment)
 
     def run_it(self, *words: str, **environment: str) -> subprocess.Popen:
         return subprocess.Popen(
@@ -457,7 +457,7 @@
             discovery="127.0.0.1:1",
             peer_listen="",
             rollouts={"address": "127.0.0.1:1", "news": state()},
-            known=listing(1, True, unit(UNIT) | here),
+            known=listing(1, True, unit(UNIT_PORT) | here),
         )
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(told, file)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from tealsail.net import messages, statements
 from tealsail.net.discovery import read_news
 from tealsail.net.platform import read_state
-from tealsail.net.relay import Relay, number_of
+from tealsail.net.relay import Relay, unit_number
 from tealsail.notes import answer_note, count_notes, verdict_note
 from tealsail.record.lines import Fault
 
@@ -84,7 +84,7 @@
         self.relay.listed(read_news(tree))
 
     def rollout(self, tree: dict) -> None:
-        self.relay.stood(read_state(tree))
+        self.relay.on_rollout_state(read_state(tree))
 
 
 class DrivenReal(Driven):
@@ -151,7 +151,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        names = {number_of(f"s-{place}"): f"s-{place}" for place in range(BACKENDS + 1)}
+        names = {unit_number(f"s-{place}"): f"s-{place}" for place in range(BACKENDS + 1)}
         outside = Outside(
             ScriptedBackends(self.waiting),
             names,
@@ -228,9 +228,9 @@
 
     def test_a_hollow_relay_that_passes_over_an_answer_of_the_tracker_is_found_out(self) -> None:
         class Deaf(HollowRelay):
-            def heard(self, number: int, data: bytes) -> None:
+            def on_peer_message(self, number: int, data: bytes) -> None:
                 if len(data) != 5:
-                    super().heard(number, data)
+                    super().on_peer_message(number, data)
 
         real, hollow_ones = self.compared(Deaf)
         self.assertNotEqual(real, hollow_ones)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -51,10 +51,15 @@
             ({"index": 2}, "index: 2 of 2 relays"),
             ({"requestClasses": []}, "no workloads"),
         ):
-            with self.subTest(more), self.assertRaisesRegex(relay_configuration.BadStart, f"settings: {said}"):
+            with (
+                self.subTest(more),
+                self.assertRaisesRegex(relay_configuration.ConfigurationError, f"settings: {said}"),
+            ):
                 told(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
-        with self.assertRaisesRegex(relay_configuration.BadStart, "requestClasses.0.aim: later than its deadline"):
+        with self.assertRaisesRegex(
+            relay_configuration.ConfigurationError, "requestClasses.0.aim: later than its deadline"
+        ):
             told(config(settings=settings(requestClasses=late)))
 
     def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
@@ -130,19 +135,19 @@
         client = self.client(asking(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
-        self.relay.assign(told(config(settings=self.moved())))  # two in a row
+        self.relay.reconfigure(told(config(settings=self.moved(limits__maxAttempts=1))))
+        self.relay.reconfigure(told(config(settings=self.moved())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
         wire.gets(ROW + IDLE)
         self.assertEqual((client.sent(), wire.sent()), (ROW + IDLE, b""))
-        self.relay.assign(told(config()))  # the way back is the same step
+        self.relay.reconfigure(told(config()))  # the way back is the same step
         self.wait(1)
         self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.fresh), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
     def test_a_query_that_fails_after_the_switch_is_not_sent_beyond_either_limit(self) -> None:
         client = self.client(asking(wait=3000))
-        self.relay.assign(told(config(settings=self.moved(limits__maxAttempts=1))))
+        self.relay.reconfigure(told(config(settings=self.moved(limits__maxAttempts=1))))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
         wire.gets(failure("XX000") + IDLE)
@@ -150,7 +155,7 @@
 
     def test_a_file_that_cannot_be_used_moves_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
-            self.assertRaises(Fixed, self.relay.assign, told(tree))
+            self.assertRaises(Fixed, self.relay.reconfigure, told(tree))
         self.assertEqual(self.reactor.dialled(8600), [])
 
 
