--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,8 +1,8 @@
-"""What crosses in the kernel: real sockets, and a loop that turns only when a story says so, on a clock that a story
-moves.
+"""Races between the two ends of a connection, with real sockets, an event loop that runs only when a test says so, and
+a clock that the test moves.
 
-Each story lays a query, an answer, an end or a list into the kernel's buffers first and lets the loop go on then, so
-that nothing is left to luck.  docs/design/crossings.md lists them.
+Each test first puts a query, an answer, a close or a list into the kernel's buffers and then runs the loop, so that the
+order of events is certain.  docs/design/crossings.md lists them.
 """
 
 import json
@@ -28,11 +28,13 @@
 from .fake import GREETING, IDLE, OPENING, ROW, asking, field
 from .test_relay import config, listing, reply, told, unit
 
-EMPTY, NOTHING = field(b"Q", b"\0"), field(b"I", b"") + IDLE
-PATIENCE = 20.0  # seconds of real time, for a machine that is busy with other things
+EMPTY = field(b"Q", b"\0")  # an empty query
+NOTHING = field(b"I", b"") + IDLE  # the answer to it
+REAL_TIME_LIMIT_S = 20.0  # for a machine that is busy with other things
 
 
 def row(value: bytes) -> bytes:
+    """A unit's answer with that value."""
     return (
         field(b"T", b"\0\1content\0" + bytes(16) + b"\0\1")
         + field(b"D", b"\0\1" + struct.pack(">I", len(value)) + value)
@@ -47,29 +49,31 @@
 
 
 class Crossing(unittest.TestCase):
+    """One relay between sockets of the test: `unit_side` listens as a unit, `agent_side` as the discovery agent."""
+
     def setUp(self) -> None:
         self.now = 1_700_000_000.0
         self.reactor = EPollReactor()
         self.reactor.seconds = lambda: self.now
-        self.unit_side = self.listening()
-        self.agent_side = self.listening()
+        self.unit_side = self.listener()
+        self.agent_side = self.listener()
         self.port = free_port()
 
-    def listening(self) -> socket.socket:
+    def listener(self) -> socket.socket:
         server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(server.close)
         return server
 
-    def started(self, *units: dict, held: bool = False, **more: object) -> Relay:
-        """`held`: in its first instant, when its list has not come yet; else with its door open."""
-        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
+    def start_relay(self, *units: dict, held: bool = False, **more: object) -> Relay:
+        """A relay that has started; with `held` it still holds its clients for the list that has not come."""
+        unit_address = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
         tree = (
             config(
                 listen=f"127.0.0.1:{self.port}",
                 peer_listen=f"127.0.0.1:{free_port()}",
                 discovery=f"127.0.0.1:{self.agent_side.getsockname()[1]}",
                 rollouts=config()["rollouts"] | {"address": "127.0.0.1:1"},
-                known=listing(41, True, *(units or (unit(1) | here,))),
+                known=listing(41, True, *(units or (unit(1) | unit_address,))),
             )
             | more
         )
@@ -77,214 +81,219 @@
         self.relay = Relay(self.reactor, told(tree))
         self.relay.start()
         self.addCleanup(self.reactor.removeAll)
-        self.addCleanup(self.everything_closed)
+        self.addCleanup(self.close_sockets)
         if not held:
-            self.later(UNTOLD)
+            self.advance(UNTOLD)
         return self.relay
 
-    def everything_closed(self) -> None:
+    def close_sockets(self) -> None:
         for reader in self.reactor.removeAll():
             getattr(reader, "socket", self.unit_side).close()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
+        """Run the loop once."""
         self.reactor.runUntilCurrent()
         self.reactor.doIteration(0.01)
 
-    def until(self, what: Callable[[], object]) -> None:
-        """The loop goes on, and time stands, until that is so."""
-        end = time.monotonic() + PATIENCE
-        while not what():
-            self.assertLess(time.monotonic(), end, "it did not come")
-            self.turn()
+    def run_until(self, condition: Callable[[], object]) -> None:
+        """Run the loop until the condition holds, while the relay's clock stands still."""
+        end = time.monotonic() + REAL_TIME_LIMIT_S
+        while not condition():
+            self.assertLess(time.monotonic(), end, "the condition did not come true in time")
+            self.run_once()
 
-    def later(self, seconds: float) -> None:
-        """Only the timers: nothing that came is read."""
+    def advance(self, seconds: float) -> None:
+        """Advance the clock and run timers; nothing that came is read."""
         self.now += seconds
         self.reactor.runUntilCurrent()
 
     def pass_time(self, seconds: float) -> None:
+        """Advance the clock in steps of 50 ms and run the loop once in each."""
         for _ in range(round(seconds * 20)):
             self.now += 0.05
-            self.turn()
+            self.run_once()
 
-    def connect(self, turn: bool = True, rcvbuf: int = 0) -> socket.socket:
+    def connect(self, answered: bool = True, rcvbuf: int = 0) -> socket.socket:
+        """A new client that has sent its opening and an empty query; with `answered` it has its answer, too."""
         client = socket.socket()
         self.addCleanup(client.close)
         if rcvbuf:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, rcvbuf)
         client.connect(("127.0.0.1", self.port))
         client.sendall(OPENING + EMPTY)
-        if turn:
-            self.assertTrue(self.got(client, NOTHING).endswith(NOTHING))
+        if answered:
+            self.assertTrue(self.receive_until(client, NOTHING).endswith(NOTHING))
         return client
 
     def accept(self, server: socket.socket) -> socket.socket:
-        self.until(lambda: select.select([server], [], [], 0)[0])
-        inside = server.accept()[0]
-        self.addCleanup(inside.close)
-        return inside
-
-    def shot(self) -> socket.socket:
-        """The unit's end of a new connection with a query on it."""
-        inside = self.accept(self.unit_side)
-        inside.sendall(GREETING)
-        self.got(inside, b"*/\0")
-        return inside
-
-    def got(self, sock: socket.socket, last: bytes) -> bytes:
-        """All up to these bytes, or up to the end."""
+        self.run_until(lambda: select.select([server], [], [], 0)[0])
+        unit_end = server.accept()[0]
+        self.addCleanup(unit_end.close)
+        return unit_end
+
+    def accept_query(self) -> socket.socket:
+        """The unit's end of a new connection, after a query has come over it."""
+        unit_end = self.accept(self.unit_side)
+        unit_end.sendall(GREETING)
+        self.receive_until(unit_end, b"*/\0")
+        return unit_end
+
+    def receive_until(self, sock: socket.socket, last: bytes) -> bytes:
+        """Receive up to these bytes, or up to the close."""
         seen = b""
         while not seen.endswith(last):
-            self.until(lambda: select.select([sock], [], [], 0)[0])
+            self.run_until(lambda: select.select([sock], [], [], 0)[0])
             data = sock.recv(1 << 16)
             if not data:
                 break
             seen += data
         return seen
 
-    def to_the_end(self, sock: socket.socket, seen: bytearray | None = None) -> bytes:
-        """Raises ConnectionResetError where the end is none in order; what came before it is in `seen`."""
+    def receive_to_close(self, sock: socket.socket, seen: bytearray | None = None) -> bytes:
+        """Receive up to the close; raises ConnectionResetError for a reset, and `seen` has what came before it."""
         seen = bytearray() if seen is None else seen
         while True:
-            self.until(lambda: select.select([sock], [], [], 0)[0])
+            self.run_until(lambda: select.select([sock], [], [], 0)[0])
             data = sock.recv(1 << 16)
             if not data:
                 return bytes(seen)
             seen += data
 
-    def ended(self, sock: socket.socket) -> bytes:
-        """All up to the end, in order or not."""
+    def receive_all(self, sock: socket.socket) -> bytes:
+        """Receive up to the close or the reset."""
         seen = bytearray()
         try:
-            return self.to_the_end(sock, seen)
+            return self.receive_to_close(sock, seen)
         except ConnectionResetError:
             return bytes(seen)
 
-    def in_kernel(self, client: socket.socket) -> None:
-        """What that client wrote waits at the relay's end, unread."""
-        here = next(
+    def wait_until_unread(self, client: socket.socket) -> None:
+        """Wait until what the client wrote lies unread at the relay's end."""
+        connection = next(
             each for each in self.relay.clients.connections if each.transport.getPeer().port == client.getsockname()[1]
         )
-        self.assertTrue(select.select([here.transport.socket], [], [], PATIENCE)[0])
+        self.assertTrue(select.select([connection.transport.socket], [], [], REAL_TIME_LIMIT_S)[0])
 
-    def leaving(self) -> list[None]:
-        """SIGTERM came, and the moment in which clients still come is over but for its last instant."""
+    def begin_stop(self) -> list[None]:
+        """Stop the relay, and pass all but the last millisecond of the time in which it still serves as before."""
         ended: list[None] = []
         self.relay.stop().addCallback(ended.append)
-        self.later(STOP_GRACE_S - 0.001)
+        self.advance(STOP_GRACE_S - 0.001)
         return ended
 
 
 class AtTheEnd(Crossing):
-    def test_a_query_in_the_kernel_when_idle_connections_end_is_served(self) -> None:
-        """Guards against an end over a query that is taken already: its client gets a reset for an answer."""
-        self.started()
+    """What crosses the end of a relay."""
+
+    def test_query_in_the_kernel_when_idle_connections_end_is_served(self) -> None:
+        """Guards against closing a connection with a query unread: its client gets a reset for an answer."""
+        self.start_relay()
         client = self.connect()
-        ended = self.leaving()
+        ended = self.begin_stop()
         client.sendall(asking(wait=3000))
-        self.in_kernel(client)
-        self.later(0.002)
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
+        self.wait_until_unread(client)
+        self.advance(0.002)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(client), ROW + IDLE)
         client.close()
         self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
-    def test_connections_that_the_kernel_took_in_before_the_door_closed_are_served(self) -> None:
-        """Guards against a port that closes over its backlog: all in it are reset."""
-        self.started()
-        self.leaving()
-        clients = [self.connect(turn=False) for _ in range(150)]
+    def test_connections_in_the_backlog_are_served_before_the_listener_closes(self) -> None:
+        """Guards against a listener that closes with connections in its backlog: all of them are reset."""
+        self.start_relay()
+        self.begin_stop()
+        clients = [self.connect(answered=False) for _ in range(150)]
         clients[-1].sendall(asking(wait=3000))
-        self.later(0.002)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(clients[-1]).endswith(NOTHING + ROW + IDLE))
+        self.advance(0.002)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertTrue(self.receive_to_close(clients[-1]).endswith(NOTHING + ROW + IDLE))
         for client in clients[:-1]:
-            self.assertTrue(self.to_the_end(client).endswith(NOTHING))
+            self.assertTrue(self.receive_to_close(client).endswith(NOTHING))
 
-    def test_who_was_welcomed_at_the_last_moment_still_asks(self) -> None:
-        self.started()
-        self.leaving()
+    def test_client_welcomed_as_the_drain_begins_is_served(self) -> None:
+        self.start_relay()
+        self.begin_stop()
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
         client.sendall(OPENING)
-        self.later(0.002)
-        self.got(client, IDLE)
+        self.advance(0.002)
+        self.receive_until(client, IDLE)
         client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
-
-    def test_who_was_welcomed_just_before_the_door_closes_still_asks(self) -> None:
-        """Guards against an end between the welcome and a query that is on its way: there is no door left for it to
-        come again. One that says nothing for longer is ended."""
-        self.started()
-        ended = self.leaving()
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(client), ROW + IDLE)
+
+    def test_client_welcomed_just_before_the_drain_is_served_and_a_silent_one_ended(self) -> None:
+        """Guards against closing a connection between the welcome and a query on its way, when the client has nowhere
+        left to connect again.  A client that stays silent is ended."""
+        self.start_relay()
+        ended = self.begin_stop()
         clients = [socket.create_connection(("127.0.0.1", self.port)) for _ in range(2)]
         for client in clients:
             self.addCleanup(client.close)
             client.sendall(OPENING)
-            self.got(client, IDLE)
-        self.later(0.002)
+            self.receive_until(client, IDLE)
+        self.advance(0.002)
         clients[0].sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(clients[0]), ROW + IDLE)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(clients[0]), ROW + IDLE)
         clients[0].close()
         self.pass_time(0.3 + DRAIN_CHECK_S)
-        self.assertEqual(self.to_the_end(clients[1]), b"")
+        self.assertEqual(self.receive_to_close(clients[1]), b"")
         clients[1].close()
         self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
-    def comes_and_is_served(self, ended: list[None], look: float = 0.0) -> None:
-        """A new client whose query waits in the kernel while the timers of that long run; it is served, and the relay
-        ends."""
+    def new_client_is_served(self, ended: list[None], seconds: float = 0.0) -> None:
+        """A new client whose query waits in the kernel while timers run for `seconds` is served; the relay ends."""
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
         client.sendall(OPENING + asking(wait=3000))
-        self.later(look)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
+        self.advance(seconds)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertTrue(self.receive_to_close(client).endswith(ROW + IDLE))
         client.close()
         self.pass_time(4 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
-    def test_whose_query_crosses_the_end_of_its_connection_comes_again_and_is_served(self) -> None:
-        """Guards against a door that closes before the connections do: the query that crossed has nowhere to go."""
-        self.started()
+    def test_client_whose_query_crossed_the_end_reconnects_and_is_served(self) -> None:
+        """Guards against a listener that closes before the connections do: the query that crossed has nowhere to go."""
+        self.start_relay()
         client = self.connect()
-        ended = self.leaving()
-        self.later(0.002)
-        client.sendall(asking(wait=3000))  # our end is on its way to it
-        self.assertEqual(self.to_the_end(client), b"")
+        ended = self.begin_stop()
+        self.advance(0.002)
+        client.sendall(asking(wait=3000))  # while the relay's close is on its way
+        self.assertEqual(self.receive_to_close(client), b"")
         client.close()
         self.pass_time(DRAIN_CHECK_S)
-        self.comes_and_is_served(ended)
-
-    def test_who_comes_before_the_last_look_is_served(self) -> None:
-        """Guards against an end over a connection that the kernel took in since the loop last asked."""
-        self.started()
-        ended = self.leaving()
-        self.later(0.002)
-        self.comes_and_is_served(ended, DRAIN_CHECK_S)
-
-    def test_a_front_that_asks_while_this_relay_ends_is_not_told_that_it_is_ready(self) -> None:
-        """Guards against new clients for a relay whose door is open only for those who crossed its end."""
-        self.started()
+        self.new_client_is_served(ended)
+
+    def test_client_that_connects_before_the_last_drain_check_is_served(self) -> None:
+        """Guards against the end of a relay with a connection in the backlog since the loop last accepted."""
+        self.start_relay()
+        ended = self.begin_stop()
+        self.advance(0.002)
+        self.new_client_is_served(ended, DRAIN_CHECK_S)
+
+    def test_readiness_query_gets_no_answer_from_a_draining_relay(self) -> None:
+        """Guards against a front end that sends new clients to a draining relay, which listens only for clients whose
+        query crossed the end of their connection."""
+        self.start_relay()
         busy = self.connect()
         busy.sendall(asking(wait=3000))
-        inside = self.shot()
-        self.leaving()
-        self.later(0.002)
-        front = socket.create_connection(("127.0.0.1", self.port))
-        self.addCleanup(front.close)
-        front.sendall(OPENING + EMPTY)
-        self.assertNotIn(field(b"I", b""), self.to_the_end(front))
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(busy), ROW + IDLE)
-
-    def test_who_comes_again_and_again_does_not_hold_the_end_up(self) -> None:
-        self.started()
-        ended = self.leaving()
+        unit_end = self.accept_query()
+        self.begin_stop()
+        self.advance(0.002)
+        front_end = socket.create_connection(("127.0.0.1", self.port))
+        self.addCleanup(front_end.close)
+        front_end.sendall(OPENING + EMPTY)
+        self.assertNotIn(field(b"I", b""), self.receive_to_close(front_end))
+        unit_end.sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(busy), ROW + IDLE)
+
+    def test_repeated_connections_do_not_delay_the_end_of_the_drain(self) -> None:
+        self.start_relay()
+        ended = self.begin_stop()
         for _ in range(50):
             if not ended:
                 client = socket.socket()
@@ -294,363 +303,368 @@
             self.pass_time(0.1)
         self.assertEqual(len(ended), 1)
 
-    def test_half_a_query_is_waited_for_but_not_for_ever(self) -> None:
-        self.started()
+    def test_drain_waits_for_half_a_query_but_not_for_ever(self) -> None:
+        self.start_relay()
         kept, lost = self.connect(), self.connect()
         for client in (kept, lost):
             client.sendall(asking(wait=3000)[:20])
-            self.in_kernel(client)
-            self.turn()
-        ended = self.leaving()
-        self.later(0.002)
-        self.turn()
+            self.wait_until_unread(client)
+            self.run_once()
+        ended = self.begin_stop()
+        self.advance(0.002)
+        self.run_once()
         kept.sendall(asking(wait=3000)[20:])
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(kept), ROW + IDLE)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(kept), ROW + IDLE)
         kept.close()
         self.pass_time(2.2)
-        self.assertEqual(self.to_the_end(lost), b"")
+        self.assertEqual(self.receive_to_close(lost), b"")
         self.pass_time(0.3)
         self.assertEqual(len(ended), 1)
 
     def slow_reader(self) -> tuple[socket.socket, bytes, list[None]]:
-        """A client whose long answer waits in the relay while that ends; the answer, and whether the relay has
-        ended."""
-        self.started()
+        """A client whose long answer waits in the draining relay; the answer; and a list that is filled when the relay
+        has ended."""
+        self.start_relay()
         client = self.connect(rcvbuf=4096)
-        here = next(iter(self.relay.clients.connections))
-        here.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        connection = next(iter(self.relay.clients.connections))
+        connection.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sendall(asking(wait=3000))
-        inside, ended = self.shot(), self.leaving()
-        self.later(0.002)
-        inside.setblocking(False)
+        unit_end, ended = self.accept_query(), self.begin_stop()
+        self.advance(0.002)
+        unit_end.setblocking(False)
         answer, sent = row(bytes(200_000)) + IDLE, 0
         while sent < len(answer):
-            sent += inside.send(answer[sent:])
-            self.turn()
-        self.until(lambda: here.clogged)
+            sent += unit_end.send(answer[sent:])
+            self.run_once()
+        self.run_until(lambda: connection.clogged)
         return client, answer, ended
 
-    def test_a_client_that_reads_late_gets_all_and_then_the_end(self) -> None:
-        """Guards against a transport that asks a paused producer for more and forgets that it was to end."""
+    def test_slow_reader_gets_its_whole_answer_and_then_the_end(self) -> None:
+        """Guards against a transport that asks a paused producer for more and forgets that it was to close."""
         client, answer, ended = self.slow_reader()
-        self.assertEqual(self.to_the_end(client), answer)
+        self.assertEqual(self.receive_to_close(client), answer)
         client.close()
         self.pass_time(3 * DRAIN_CHECK_S)
         self.assertEqual(len(ended), 1)
 
-    def test_a_client_that_never_reads_does_not_hold_the_end_up(self) -> None:
+    def test_client_that_never_reads_does_not_delay_the_end_of_the_drain(self) -> None:
         ended = self.slow_reader()[2]
         self.pass_time(2.5)
         self.assertEqual(ended, [])
         self.pass_time(0.8)
         self.assertEqual((len(ended), self.relay.counters.counts["client.ended.closing"]), (1, 1))
 
-    def test_notes_come_as_long_as_somebody_is_served(self) -> None:
-        """Guards against a relay that asks another which unit to take and does not hear the answer."""
-        self.started()
+    def test_peer_messages_are_taken_until_the_last_answer(self) -> None:
+        """Guards against a relay that asks another which unit to take and does not receive the answer."""
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.shot()
-        self.leaving()
-        self.later(0.002)
+        unit_end = self.accept_query()
+        self.begin_stop()
+        self.advance(0.002)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.sendto(b"note", self.relay.peer_listener.socket.getsockname())
-            self.until(lambda: self.relay.counters.counts["peers.dropped"])
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.to_the_end(client), ROW + IDLE)
+            self.run_until(lambda: self.relay.counters.counts["peers.dropped"])
+        unit_end.sendall(ROW + IDLE)
+        self.assertEqual(self.receive_to_close(client), ROW + IDLE)
 
 
 class AtTheClients(Crossing):
-    def ended_over(self, code: str) -> None:
-        """A query is in the kernel in the turn in which its idle connection would end with that code."""
-        clients = self.started().clients
+    """What crosses the end of an idle client connection."""
+
+    def query_in_kernel(self, code: str) -> None:
+        """A query lies in the kernel when its idle connection would end with that code."""
+        clients = self.start_relay().clients
         client = self.connect()
-        here = next(iter(clients.connections))
-        here.asked, here.idle_since = code != "mute", clients.clock() - 25_000
+        connection = next(iter(clients.connections))
+        connection.asked, connection.idle_since = code != "mute", clients.clock() - 25_000
         client.sendall(asking(wait=3000))
-        self.in_kernel(client)
+        self.wait_until_unread(client)
         clients.most = 16 if code == "mute" else 1
         if code == "no_room":
-            self.assertFalse(clients.enter(type(here)(clients)))
+            self.assertFalse(clients.enter(type(connection)(clients)))
         else:
             clients.sweep()
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
 
-    def test_a_query_in_the_kernel_is_not_crowded_out(self) -> None:
-        """Guards, as the next two, against the end of a connection that only looks idle: what it asked would be
-        reset."""
-        self.ended_over("crowded")
+    def test_query_in_the_kernel_is_served_though_connections_are_many(self) -> None:
+        """Guards, as the next two, against closing a connection that only looks idle: its query would be reset."""
+        self.query_in_kernel("crowded")
 
-    def test_a_query_in_the_kernel_is_not_mute(self) -> None:
-        self.ended_over("mute")
+    def test_query_in_the_kernel_is_served_though_the_connection_looks_mute(self) -> None:
+        self.query_in_kernel("mute")
 
-    def test_a_query_in_the_kernel_makes_no_room(self) -> None:
-        self.ended_over("no_room")
+    def test_query_in_the_kernel_keeps_its_connection_from_making_room(self) -> None:
+        self.query_in_kernel("no_room")
 
-    def behind_the_look(self, code: str) -> None:
-        """A query right behind the look at its idle connection, before the loop turns again: its client, in order, asks
-        where no end shows, and on a new connection else."""
-        clients = self.started().clients
+    def query_after_check(self, code: str) -> None:
+        """A query comes right after the check of its idle connection, before the loop runs again.  The client sends it
+        on that connection if no close shows, else on a new one."""
+        clients = self.start_relay().clients
         client = self.connect()
-        here = next(iter(clients.connections))
-        here.asked, here.idle_since = code != "mute", clients.clock() - 25_000
+        connection = next(iter(clients.connections))
+        connection.asked, connection.idle_since = code != "mute", clients.clock() - 25_000
         if code == "closing":
-            self.leaving()
-            self.later(0.002)
+            self.begin_stop()
+            self.advance(0.002)
         elif code == "no_room":
             clients.most = 1
-            clients.enter(type(here)(clients))
+            clients.enter(type(connection)(clients))
         else:
             clients.most = 16 if code == "mute" else 1
             clients.sweep()
         clients.most = 16
         if select.select([client], [], [], 0)[0]:
-            self.assertEqual(client.recv(1, socket.MSG_DONTWAIT), b"", "an end in order")
+            self.assertEqual(client.recv(1, socket.MSG_DONTWAIT), b"", "a close and no data")
             client.close()
             client = socket.create_connection(("127.0.0.1", self.port))
             self.addCleanup(client.close)
             client.sendall(OPENING)
         client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertTrue(self.receive_until(client, ROW + IDLE).endswith(ROW + IDLE))
         self.assertEqual(clients.counters.counts[f"client.ended.{code}"], 1)
 
-    def test_a_query_behind_the_look_when_idle_connections_end_is_served(self) -> None:
-        """Guards, as the next three, against an end that comes a turn of the loop behind the look at the connection:
-        what was asked meanwhile, on a connection that looked open, was dropped or reset."""
-        self.behind_the_look("closing")
+    def test_query_right_after_the_check_when_idle_connections_end_is_served(self) -> None:
+        """Guards, as the next three, against a close one iteration of the loop after the check of the connection: a
+        query sent between the two, on a connection that looked open, was dropped or reset."""
+        self.query_after_check("closing")
 
-    def test_a_query_behind_the_look_is_not_crowded_out(self) -> None:
-        self.behind_the_look("crowded")
+    def test_query_right_after_the_check_for_crowding_is_served(self) -> None:
+        self.query_after_check("crowded")
 
-    def test_a_query_behind_the_look_at_a_mute_connection_is_served(self) -> None:
-        self.behind_the_look("mute")
+    def test_query_right_after_the_check_for_mute_connections_is_served(self) -> None:
+        self.query_after_check("mute")
 
-    def test_a_query_behind_the_look_for_room_is_served(self) -> None:
-        self.behind_the_look("no_room")
+    def test_query_right_after_the_check_for_room_is_served(self) -> None:
+        self.query_after_check("no_room")
 
-    def test_a_last_word_is_not_overtaken_by_a_reset(self) -> None:
-        """Guards against an end with something unread, which is a reset and may destroy what was written before it."""
-        self.started()
+    def test_last_error_is_not_overtaken_by_a_reset(self) -> None:
+        """Guards against a close with something unread, which is a reset and may destroy what was written before it."""
+        self.start_relay()
         client = self.connect()
         client.sendall(field(b"!", b""))
-        self.in_kernel(client)
+        self.wait_until_unread(client)
         client.sendall(bytes(300_000))
-        said = self.to_the_end(client)
-        self.assertEqual((said.count(b"C08P01\0"), said[:1]), (1, b"E"))
-        client.sendall(bytes(1000))  # still no reset: it is read and dropped
-        self.turn()
+        received = self.receive_to_close(client)
+        self.assertEqual((received.count(b"C08P01\0"), received[:1]), (1, b"E"))
+        client.sendall(bytes(1000))  # no reset either: it is read and dropped
+        self.run_once()
         client.close()
-        self.until(lambda: not self.relay.clients.connections)
+        self.run_until(lambda: not self.relay.clients.connections)
 
-    def test_who_does_not_end_its_half_is_left(self) -> None:
-        self.started()
+    def test_connection_is_cut_if_the_client_does_not_close_its_half(self) -> None:
+        self.start_relay()
         client = self.connect()
         client.sendall(field(b"!", b""))
-        self.to_the_end(client)
+        self.receive_to_close(client)
         self.pass_time(0.6)
         self.assertEqual(len(self.relay.clients.connections), 0)
         self.assertEqual(self.relay.clients.reading_out, 0)
 
 
 class AtTheUnits(Crossing):
-    def test_a_second_answer_some_ms_late_is_not_the_next_querys(self) -> None:
-        """Guards against a row that no unit made for the query: a second answer to the one before, behind the empty
-        query's."""
-        self.started()
+    """What crosses on connections to units."""
+
+    def test_late_second_answer_is_not_taken_for_the_next_querys(self) -> None:
+        """Guards against a wrong row: a unit's second answer to the query before, after its answer to the empty query
+        that checks the connection, is taken for the next query's."""
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.shot()
-        inside.sendall(row(b"first") + IDLE)
-        self.assertEqual(self.got(client, IDLE), row(b"first") + IDLE)
+        unit_end = self.accept_query()
+        unit_end.sendall(row(b"first") + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), row(b"first") + IDLE)
         self.now += 0.002
         client.sendall(asking(wait=3000, name="other"))
-        self.until(lambda: select.select([inside, self.unit_side], [], [], 0)[0])
-        if select.select([inside], [], [], 0)[0]:
-            inside.sendall(NOTHING)  # whether it is still there; and then the query
-            self.got(inside, b"*/\0")
-        other = self.shot() if select.select([self.unit_side], [], [], 0)[0] else inside
-        inside.sendall(row(b"first") + IDLE)
+        self.run_until(lambda: select.select([unit_end, self.unit_side], [], [], 0)[0])
+        if select.select([unit_end], [], [], 0)[0]:
+            unit_end.sendall(NOTHING)  # the answer to the check; then the query comes
+            self.receive_until(unit_end, b"*/\0")
+        other = self.accept_query() if select.select([self.unit_side], [], [], 0)[0] else unit_end
+        unit_end.sendall(row(b"first") + IDLE)
         other.sendall(row(b"other") + IDLE)
-        self.assertEqual(self.got(client, IDLE), row(b"other") + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), row(b"other") + IDLE)
 
-    def there(self, server: socket.socket, build: int = 41, lifecycle: str = "ready") -> dict:
+    def unit_at(self, server: socket.socket, build: int = 41, lifecycle: str = "ready") -> dict:
         return unit(1, build=build, lifecycle=lifecycle) | {"hostPort": f"127.0.0.1:{server.getsockname()[1]}"}
 
-    def told(self, *entries: dict) -> None:
-        """A change of the list, read before anything else."""
+    def change_list(self, *entries: dict) -> None:
+        """Send a change of the list, which the relay reads before anything else."""
         agent = self.accept(self.agent_side)
-        self.got(agent, b"\r\n\r\n")
+        self.receive_until(agent, b"\r\n\r\n")
         agent.sendall(reply(listing(42, False, *entries)))
-        self.until(lambda: self.relay.counters.counts["discovery.list.changes"])
+        self.run_until(lambda: self.relay.counters.counts["discovery.list.changes"])
 
-    def test_a_unit_that_moves_while_a_connection_comes_up_is_asked_where_it_is_now(self) -> None:
-        """Guards against a shot at an address that is listed no longer, under a number that is."""
-        self.started()
-        elsewhere = self.listening()
+    def test_unit_that_moves_during_connection_setup_is_asked_at_its_new_address(self) -> None:
+        """Guards against a shot at a former address of a unit that is still listed."""
+        self.start_relay()
+        elsewhere = self.listener()
         client = self.connect()
         client.sendall(asking(wait=3000))
         former = self.accept(self.unit_side)
-        self.told(self.there(elsewhere))
+        self.change_list(self.unit_at(elsewhere))
         former.sendall(GREETING)
-        inside = self.accept(elsewhere)
-        inside.sendall(GREETING)
-        self.got(inside, b"*/\0")
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
-        self.assertNotIn(b"SELECT", self.ended(former))
-
-    def test_a_unit_that_ends_idle_connections_soon_gets_no_query_on_one_that_it_is_about_to_end(self) -> None:
-        """Guards against one look a second at connections that the unit's machine ends after a third of one."""
+        unit_end = self.accept(elsewhere)
+        unit_end.sendall(GREETING)
+        self.receive_until(unit_end, b"*/\0")
+        unit_end.sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
+        self.assertNotIn(b"SELECT", self.receive_all(former))
+
+    def test_connection_near_the_units_idle_limit_gets_no_query(self) -> None:
+        """Guards against a check every second of connections that the unit's machine closes after 0.3 s."""
         settings = config()["settings"]
-        self.started(settings=settings | {"limits": settings["limits"] | {"connIdle": 300}})
+        self.start_relay(settings=settings | {"limits": settings["limits"] | {"connIdle": 300}})
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.shot()
-        inside.sendall(ROW + IDLE)
-        self.got(client, IDLE)
+        unit_end = self.accept_query()
+        unit_end.sendall(ROW + IDLE)
+        self.receive_until(client, IDLE)
         for _ in range(29):
-            self.later(0.01)
+            self.advance(0.01)
         client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
-        self.assertNotIn(b"Q", self.ended(inside))
-
-    def test_a_unit_gone_and_back_in_one_answer_is_the_one_that_came_last(self) -> None:
-        self.started()
-        elsewhere = self.listening()
-        self.told(self.there(self.unit_side, lifecycle="gone"), self.there(elsewhere, build=42))
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
+        self.assertNotIn(b"Q", self.receive_all(unit_end))
+
+    def test_last_entry_counts_for_a_unit_gone_and_back_in_one_answer(self) -> None:
+        self.start_relay()
+        elsewhere = self.listener()
+        self.change_list(self.unit_at(self.unit_side, lifecycle="gone"), self.unit_at(elsewhere, build=42))
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.accept(elsewhere)
-        inside.sendall(GREETING)
-        self.got(inside, b"*/\0")
-        inside.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        unit_end = self.accept(elsewhere)
+        unit_end.sendall(GREETING)
+        self.receive_until(unit_end, b"*/\0")
+        unit_end.sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
         self.assertEqual(select.select([self.unit_side], [], [], 0)[0], [])
 
-    def test_a_connection_that_comes_up_when_its_shot_is_over_carries_nothing(self) -> None:
-        self.started()
+    def test_connection_that_is_ready_after_its_shot_ended_carries_nothing(self) -> None:
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.accept(self.unit_side)
+        unit_end = self.accept(self.unit_side)
         client.close()
-        self.until(lambda: self.relay.counters.counts["clients.left"])
-        inside.sendall(GREETING)
-        self.until(lambda: any(pool.idle for pool in self.relay.units.pools.values()))
+        self.run_until(lambda: self.relay.counters.counts["clients.left"])
+        unit_end.sendall(GREETING)
+        self.run_until(lambda: any(pool.idle for pool in self.relay.units.pools.values()))
         self.relay.units.forget_idle()
-        self.assertNotIn(b"SELECT", self.ended(inside))
+        self.assertNotIn(b"SELECT", self.receive_all(unit_end))
 
-    def test_a_client_that_leaves_in_the_turn_of_its_answer_costs_nobody_else_anything(self) -> None:
-        """The answer and the client's reset wait in the kernel together; the next client is served as ever."""
-        self.started()
+    def test_client_reset_together_with_its_answer_affects_nobody_else(self) -> None:
+        """The answer and the client's reset wait in the kernel together; the next client is served as usual."""
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000))
-        inside = self.shot()
-        inside.sendall(ROW + IDLE)
+        unit_end = self.accept_query()
+        unit_end.sendall(ROW + IDLE)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
-        self.until(lambda: self.relay.counters.counts["clients.connections"] and not self.relay.clients.connections)
+        self.run_until(lambda: self.relay.counters.counts["clients.connections"] and not self.relay.clients.connections)
         self.pass_time(0.1)
         client = self.connect()
         client.sendall(asking(wait=3000))
-        other = inside if self.relay.units.held() else self.accept(self.unit_side)
-        if other is not inside:
+        other = unit_end if self.relay.units.held() else self.accept(self.unit_side)
+        if other is not unit_end:
             other.sendall(GREETING)
-        self.answer_checks(other)
+        self.receive_query(other)
         other.sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
         self.assertEqual(self.relay.counters.counts["faults"], 0)
 
-    def answer_checks(self, inside: socket.socket) -> None:
-        """All up to the query; a check before it is answered."""
+    def receive_query(self, unit_end: socket.socket) -> None:
+        """Receive up to the query, and answer the check that comes before it."""
         seen = b""
         while not seen.endswith(b"*/\0"):
-            self.until(lambda: select.select([inside], [], [], 0)[0])
-            seen += inside.recv(1 << 16)
+            self.run_until(lambda: select.select([unit_end], [], [], 0)[0])
+            seen += unit_end.recv(1 << 16)
             if seen.endswith(EMPTY):
-                inside.sendall(NOTHING)
+                unit_end.sendall(NOTHING)
 
-    def test_spoilt_answers_lists_and_notes_end_nothing_but_themselves(self) -> None:
-        self.started()
+    def test_malformed_answers_lists_and_datagrams_have_no_further_effect(self) -> None:
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000, workload="order"))
-        self.shot().sendall(field(b"T", b"\xff\xff"))
-        self.assertIn(b"C58000\0", self.got(client, IDLE))
+        self.accept_query().sendall(field(b"T", b"\xff\xff"))
+        self.assertIn(b"C58000\0", self.receive_until(client, IDLE))
         agent = self.accept(self.agent_side)
-        self.got(agent, b"\r\n\r\n")
+        self.receive_until(agent, b"\r\n\r\n")
         agent.sendall(reply({"generation": "x", "instances": [7]}))
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as post:
-            for spoilt in (b"", b"\0", bytes(300), b"\xff" * 256):
-                post.sendto(spoilt, ("127.0.0.1", int(self.tree["peer_listen"].split(":")[1])))
-        self.until(lambda: self.relay.counters.counts["discovery.unreadable"])
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+            for malformed in (b"", b"\0", bytes(300), b"\xff" * 256):
+                sender.sendto(malformed, ("127.0.0.1", int(self.tree["peer_listen"].split(":")[1])))
+        self.run_until(lambda: self.relay.counters.counts["discovery.unreadable"])
         self.pass_time(0.3)
         client.sendall(asking(wait=3000))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
         counts = self.relay.counters.counts
         self.assertEqual((counts["faults"], self.relay.facade.faults, counts["units.unreadable"]), (0, 0, 1))
 
-    def reset_under(self, size: int) -> bytes:
-        """What a client is told whose one-shot query of so many bytes is on its way when the unit's side is reset."""
-        self.started()
+    def answer_to_reset_query(self, size: int) -> bytes:
+        """What a client receives if the unit resets the connection while a one-shot query is sent, its value of `size` bytes."""
+        self.start_relay()
         client = self.connect()
         text = (
             b"INSERT INTO kv (name, content) VALUES ('k', '\\x%s') RETURNING content /* id=1,c=order,t=acme,d=3000 */"
         )
         client.sendall(field(b"Q", text % (b"00" * size) + b"\0"))
-        inside = self.accept(self.unit_side)
-        self.unit_side.close()  # nothing else to send it to
+        unit_end = self.accept(self.unit_side)
+        self.unit_side.close()  # no other connection can be made
         pool = next(iter(self.relay.units.pools.values()))
         next(iter(pool.all)).transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        inside.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        inside.sendall(GREETING)
+        unit_end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unit_end.sendall(GREETING)
         seen = b""
         while b"INSERT" not in seen:
-            self.until(lambda: select.select([inside], [], [], 0)[0])
-            seen += inside.recv(4096)
-        inside.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        inside.close()
-        return self.got(client, IDLE)
+            self.run_until(lambda: select.select([unit_end], [], [], 0)[0])
+            seen += unit_end.recv(4096)
+        unit_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        unit_end.close()
+        return self.receive_until(client, IDLE)
 
-    def test_a_reset_before_the_last_byte_is_no_shot(self) -> None:
-        """And so a rejection, harmless to repeat; with the next one guards against a one-shot that is sent twice or
-        lost."""
-        self.assertIn(b"C53300\0", self.reset_under(60_000))
+    def test_reset_before_the_last_byte_is_a_rejection(self) -> None:
+        """A rejection, since nothing was run and a repeat is harmless.  With the next test guards against a one-shot
+        query that is sent twice or lost."""
+        self.assertIn(b"C53300\0", self.answer_to_reset_query(60_000))
 
-    def test_a_reset_behind_the_last_byte_may_have_run(self) -> None:
-        self.assertIn(b"C58000\0", self.reset_under(1))
+    def test_reset_after_the_last_byte_is_forfeited(self) -> None:
+        self.assertIn(b"C58000\0", self.answer_to_reset_query(1))
 
 
 class AtTheList(Crossing):
+    """What crosses a request for the list."""
+
     def agent(self) -> socket.socket:
         agent = self.accept(self.agent_side)
-        self.got(agent, b"\r\n\r\n")
+        self.receive_until(agent, b"\r\n\r\n")
         return agent
 
-    def test_a_watch_that_falls_silent_is_replaced_before_what_it_misses_counts_as_told(self) -> None:
-        """Guards against shots at a unit whose end was told on a watch that never answers: it counts 2 s after its
-        wait."""
-        self.started()
+    def test_silent_watch_is_replaced_before_missed_changes_count_as_known(self) -> None:
+        """Guards against shots at a unit whose drain is missed by a watch that never answers: it counts as known 2 s
+        after the watch's wait."""
+        self.start_relay()
         agent = self.agent()
-        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
-        agent.sendall(reply(listing(42, True, unit(1) | here)))
-        self.got(agent, b"\r\n\r\n")
+        unit_address = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
+        agent.sendall(reply(listing(42, True, unit(1) | unit_address)))
+        self.receive_until(agent, b"\r\n\r\n")
         self.pass_time(20.9)
         self.assertEqual(select.select([self.agent_side], [], [], 0)[0], [])
         self.pass_time(0.5)
         new = self.agent()
-        new.sendall(reply(listing(43, False, unit(1, lifecycle="draining") | here)))
-        self.got(new, b"\r\n\r\n")
+        new.sendall(reply(listing(43, False, unit(1, lifecycle="draining") | unit_address)))
+        self.receive_until(new, b"\r\n\r\n")
         client = self.connect()
         client.sendall(asking(wait=3000))
-        self.assertIn(b"C53300\0", self.got(client, IDLE))
+        self.assertIn(b"C53300\0", self.receive_until(client, IDLE))
 
-    def test_a_reply_that_comes_in_drops_is_given_up(self) -> None:
-        """Guards against an agent that never ends what it began: each piece would give it another second."""
-        self.started()
+    def test_reply_in_slow_pieces_is_given_up(self) -> None:
+        """Guards against an agent that never completes a reply: each piece would give it another second."""
+        self.start_relay()
         agent = self.agent()
         whole = reply(listing(42, True))
         for place in range(0, 5):
@@ -662,46 +676,48 @@
         self.agent()
 
     def first_query(self) -> socket.socket:
-        """A query that waits in the kernel of a relay which has just begun, and the loop has gone round many times."""
-        self.started(held=True)
+        """A query that waits in the kernel of a relay which has just started; the loop has run 20 times since."""
+        self.start_relay(held=True)
         client = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(client.close)
         client.sendall(OPENING + asking(wait=3000))
         for _ in range(20):
-            self.turn()
+            self.run_once()
         return client
 
-    def test_the_first_query_of_a_new_process_waits_for_the_list_that_counts_already(self) -> None:
+    def test_first_query_of_a_new_process_waits_for_the_list(self) -> None:
         """Guards against a shot at a unit that was drained while this relay was down: what its agent has counts as
-        told."""
+        known to the relay."""
         client = self.first_query()
-        here = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
-        self.agent().sendall(reply(listing(42, True, unit(1, lifecycle="draining") | here)))
-        self.assertIn(b"C53300\0", self.got(client, IDLE))
+        unit_address = {"hostPort": f"127.0.0.1:{self.unit_side.getsockname()[1]}"}
+        self.agent().sendall(reply(listing(42, True, unit(1, lifecycle="draining") | unit_address)))
+        self.assertIn(b"C53300\0", self.receive_until(client, IDLE))
         self.assertEqual(select.select([self.unit_side], [], [], 0)[0], [])
 
-    def test_a_list_that_says_nothing_holds_the_door_for_a_moment_only(self) -> None:
+    def test_silent_discovery_holds_clients_only_for_a_moment(self) -> None:
         client = self.first_query()
-        self.later(UNTOLD)
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.got(client, ROW + IDLE).endswith(ROW + IDLE))
+        self.advance(UNTOLD)
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertTrue(self.receive_until(client, ROW + IDLE).endswith(ROW + IDLE))
 
-    def test_a_relay_that_ends_before_its_list_came_serves_who_waits(self) -> None:
+    def test_relay_stopped_before_its_first_list_serves_waiting_clients(self) -> None:
         client = self.first_query()
         ended: list[None] = []
         self.relay.stop().addCallback(ended.append)
         self.now += STOP_GRACE_S
-        self.turn()
-        self.shot().sendall(ROW + IDLE)
-        self.assertTrue(self.to_the_end(client).endswith(ROW + IDLE))
+        self.run_once()
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertTrue(self.receive_to_close(client).endswith(ROW + IDLE))
 
 
 class NewSettings(Crossing):
-    def changed(self, **more: object) -> None:
+    """A new configuration of a running relay."""
+
+    def change(self, **more: object) -> None:
         self.relay.reconfigure(told(self.tree | more))
 
-    def test_a_file_of_another_relay_or_customer_moves_nothing(self) -> None:
-        self.started()
+    def test_configuration_of_another_relay_or_customer_changes_nothing(self) -> None:
+        self.start_relay()
         settings, elsewhere = self.tree["settings"], {"discovery": "127.0.0.1:7"}
         others = [
             {"name": "n7"},
@@ -715,40 +731,39 @@
         for other in others:
             before = dict(self.relay.facade.relay.facts)
             with self.subTest(list(other)), self.assertRaises(ValueError):
-                self.changed(**elsewhere, **other, rollouts=self.tree["rollouts"])
+                self.change(**elsewhere, **other, rollouts=self.tree["rollouts"])
             self.assertEqual(self.relay.facade.relay.facts, before)
             self.assertEqual(self.relay.discovery.address, self.tree["discovery"])
 
-    def test_what_needs_a_restart_is_kept_and_the_addresses_count(self) -> None:
-        """Guards against a relay that stays with a list which nobody keeps up, for the sake of a time that it can't
-        take."""
-        self.started()
+    def test_settings_that_need_a_restart_are_kept_and_the_addresses_change(self) -> None:
+        """Guards against a relay that stays at a former discovery, whose list is no longer kept up, because one setting
+        needs a restart."""
+        self.start_relay()
         settings = self.tree["settings"]
         before = dict(self.relay.facade.relay.facts)
-        there = self.listening()
-        self.changed(
-            discovery=f"127.0.0.1:{there.getsockname()[1]}",
+        new_agent = self.listener()
+        self.change(
+            discovery=f"127.0.0.1:{new_agent.getsockname()[1]}",
             settings=settings | {"limits": settings["limits"] | {"dialTimeout": 400, "maxAttempts": 1}},
         )
         self.assertEqual(self.relay.facade.relay.facts, before)
         self.assertEqual(self.relay.counters.counts["configuration.kept"], 1)
-        self.got(self.accept(there), b"\r\n\r\n")
+        self.receive_until(self.accept(new_agent), b"\r\n\r\n")
 
-    def test_a_customer_that_the_settings_do_not_name_is_on_nobodys_account(self) -> None:
-        """Guards against a stranger that uses up the share of whoever is listed first."""
-        self.started()
+    def test_unlisted_customer_is_not_counted_as_the_first_listed_one(self) -> None:
+        """Guards against an unlisted customer that uses up the share of the first listed one."""
+        self.start_relay()
         client = self.connect()
         client.sendall(asking(wait=3000).replace(b"t=acme", b"t=evil"))
-        self.shot().sendall(ROW + IDLE)
-        self.assertEqual(self.got(client, IDLE), ROW + IDLE)
-        listed, strange = self.relay.facade.relay.admission.by_customer
+        self.accept_query().sendall(ROW + IDLE)
+        self.assertEqual(self.receive_until(client, IDLE), ROW + IDLE)
+        listed, unlisted = self.relay.facade.relay.admission.by_customer
         now = self.relay.facade.relay.now
-        self.assertEqual((listed.total(now), strange.total(now)), (0, 1))
+        self.assertEqual((listed.total(now), unlisted.total(now)), (0, 1))
 
 
 class Signals(unittest.TestCase):
-    """The whole program as a process; what it reads at its start comes through a pipe that a story fills when it
-    likes."""
+    """The whole program as a process, and signals to it."""
 
     def setUp(self) -> None:
         self.folder = tempfile.TemporaryDirectory()
@@ -774,7 +789,7 @@
         process = subprocess.Popen(
             ["/bin/sh", "-c", line], text=True, stderr=subprocess.PIPE, env=os.environ | {"EDGE_CONFIG": self.path}
         )
-        limit = threading.Timer(3 * PATIENCE, process.kill)  # then what is waited for ends, and fails
+        limit = threading.Timer(3 * REAL_TIME_LIMIT_S, process.kill)  # what is waited for ends then, and the test fails
         limit.start()
         self.addCleanup(limit.cancel)
         self.addCleanup(process.stderr.close)
@@ -782,60 +797,61 @@
         self.addCleanup(process.kill)
         return process
 
-    def said(self, process: subprocess.Popen, text: str) -> str:
+    def logged(self, process: subprocess.Popen, text: str) -> str:
+        """The next line of the log with that text."""
         while text not in (line := process.stderr.readline()):
-            self.assertTrue(line, f"it ended without {text!r}")
+            self.assertTrue(line, f"the log ended without {text!r}")
         return line
 
-    def test_a_hangup_before_anything_is_read_is_kept_and_acted_on(self) -> None:
-        """Guards against a new configuration that comes while a relay starts, and ends it."""
+    def test_sighup_during_start_is_kept_and_acted_on(self) -> None:
+        """Guards against a SIGHUP during the start, before it has a handler, that ends the relay."""
         os.mkfifo(self.path)
         process = self.process()
-        with open(self.path, "w") as file:  # opens once it wants to read: it stands there until this is closed
+        with open(self.path, "w") as file:  # opens once the process opens it, which then waits until this is closed
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGUSR1)
-            self.write(self.tree | {"discovery": "127.0.0.1:2"})  # the hangup has this one read
+            self.write(self.tree | {"discovery": "127.0.0.1:2"})  # the file that is read for SIGHUP
             file.write(json.dumps(self.tree))
-        self.said(process, "configuration discovery=127.0.0.1:2 ")
+        self.logged(process, "configuration discovery=127.0.0.1:2 ")
         process.send_signal(signal.SIGTERM)
-        self.said(process, "counters ")
-        self.assertEqual(process.wait(PATIENCE), 0)
+        self.logged(process, "counters ")
+        self.assertEqual(process.wait(REAL_TIME_LIMIT_S), 0)
 
-    def test_every_signal_again_while_it_ends_changes_nothing(self) -> None:
-        """Guards against an end that is asked for twice and fails for that."""
+    def test_repeated_signals_during_the_end_change_nothing(self) -> None:
+        """Guards against a failure when the end is requested twice."""
         self.write(self.tree)
         process = self.process()
-        self.said(process, "serving")
+        self.logged(process, "serving")
         process.send_signal(signal.SIGTERM)
-        self.said(process, "stopping")
+        self.logged(process, "stopping")
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             process.send_signal(number)
         rest = process.stderr.read()
-        self.assertEqual(process.wait(PATIENCE), 0)
+        self.assertEqual(process.wait(REAL_TIME_LIMIT_S), 0)
         self.assertNotIn("network:", rest)
         self.assertNotIn("Traceback", rest)
         self.assertIn("configuration discovery=", rest)
 
-    def test_a_file_that_is_half_written_when_it_is_told_of_is_read_once_it_is_whole(self) -> None:
+    def test_half_written_configuration_is_read_once_it_is_whole(self) -> None:
         self.write(self.tree)
         process = self.process()
-        self.said(process, "serving")
+        self.logged(process, "serving")
         self.write(json.dumps(self.tree)[:40])
         process.send_signal(signal.SIGHUP)
-        self.assertIn("read again in", self.said(process, "configuration not taken"))
+        self.assertIn("read again in", self.logged(process, "configuration not taken"))
         self.write(self.tree | {"discovery": "127.0.0.1:2"})
-        self.said(process, "configuration discovery=127.0.0.1:2 ")
+        self.logged(process, "configuration discovery=127.0.0.1:2 ")
         process.send_signal(signal.SIGTERM)
         process.stderr.read()
-        self.assertEqual(process.wait(PATIENCE), 0)
+        self.assertEqual(process.wait(REAL_TIME_LIMIT_S), 0)
 
     def client(self, data: bytes) -> socket.socket:
-        client = socket.create_connection(("127.0.0.1", self.port), PATIENCE)
+        client = socket.create_connection(("127.0.0.1", self.port), REAL_TIME_LIMIT_S)
         self.addCleanup(client.close)
         client.sendall(data)
         return client
 
-    def seen(self, sock: socket.socket, last: bytes) -> bytes:
+    def receive_until(self, sock: socket.socket, last: bytes) -> bytes:
         seen = b""
         while not seen.endswith(last):
             data = sock.recv(1 << 16)
@@ -843,57 +859,57 @@
             seen += data
         return seen
 
-    def answer(self, server: socket.socket, queries: int) -> None:
-        """A unit that answers so many."""
-        inside: dict[socket.socket, bytes] = {}
+    def answer_queries(self, server: socket.socket, queries: int) -> None:
+        """Answer so many queries as a unit, and the checks before them."""
+        received: dict[socket.socket, bytes] = {}
         while queries:
-            ready = select.select([server, *inside], [], [], PATIENCE)[0]
+            ready = select.select([server, *received], [], [], REAL_TIME_LIMIT_S)[0]
             self.assertTrue(ready, f"{queries} queries did not come")
             for sock in ready:
                 if sock is server:
                     new = server.accept()[0]
                     self.addCleanup(new.close)
                     new.sendall(GREETING)
-                    inside[new] = b""
+                    received[new] = b""
                 elif not (data := sock.recv(1 << 16)):
-                    del inside[sock]
+                    del received[sock]
                 else:
-                    inside[sock] += data
-                    if inside[sock].endswith(b"*/\0"):
-                        inside[sock], queries = b"", queries - 1
+                    received[sock] += data
+                    if received[sock].endswith(b"*/\0"):
+                        received[sock], queries = b"", queries - 1
                         sock.sendall(ROW + IDLE)
-                    elif inside[sock].endswith(EMPTY):
+                    elif received[sock].endswith(EMPTY):
                         sock.sendall(NOTHING)
 
-    def test_what_crosses_a_stopped_process_and_its_end_is_all_answered(self) -> None:
-        """An answer, a query on an idle connection, one on a new connection and SIGTERM all wait in the kernel; it
-        goes on then."""
+    def test_everything_that_waits_for_a_stopped_process_is_answered_after_sigterm(self) -> None:
+        """An answer, a query on an idle connection, a query on a new connection and SIGTERM all wait in the kernel when
+        the process continues."""
         server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(server.close)
         self.write(
             self.tree | {"known": listing(41, True, unit(1) | {"hostPort": f"127.0.0.1:{server.getsockname()[1]}"})}
         )
         process = self.process()
-        self.said(process, "serving")
+        self.logged(process, "serving")
         busy, idle = self.client(OPENING + asking(wait=20000)), self.client(OPENING + EMPTY)
-        self.seen(idle, NOTHING)
-        inside = server.accept()[0]
-        self.addCleanup(inside.close)
-        inside.sendall(GREETING)
-        self.seen(inside, b"*/\0")
+        self.receive_until(idle, NOTHING)
+        unit_end = server.accept()[0]
+        self.addCleanup(unit_end.close)
+        unit_end.sendall(GREETING)
+        self.receive_until(unit_end, b"*/\0")
         process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
-        inside.sendall(ROW + IDLE)
+        unit_end.sendall(ROW + IDLE)
         idle.sendall(asking(wait=20000, number="9b2f"))
         late = self.client(OPENING + asking(wait=20000, number="9b3f"))
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGCONT)
-        self.answer(server, 2)
+        self.answer_queries(server, 2)
         for client in (busy, idle, late):
-            self.assertTrue(self.seen(client, ROW + IDLE).endswith(ROW + IDLE))
+            self.assertTrue(self.receive_until(client, ROW + IDLE).endswith(ROW + IDLE))
             client.close()
         rest = process.stderr.read()
-        self.assertEqual(process.wait(PATIENCE), 0)
+        self.assertEqual(process.wait(REAL_TIME_LIMIT_S), 0)
         self.assertIn("clients.value=3", rest)
         for word in ("Traceback", "network:", "fault"):
             self.assertNotIn(word, rest)
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""The operator's document, and the record that a relay writes of itself without being in its own way."""
+"""The operator's document, and the record that a relay writes of its traffic without being delayed by it."""
 
 import ast
 import subprocess
@@ -24,28 +24,28 @@
 
 
 class Documents(unittest.TestCase):
-    def test_absent_wrong_and_as_a_map(self) -> None:
+    def test_absent_document_is_empty_and_errors_name_the_field(self) -> None:
         self.assertEqual(document.read("/nowhere/tealsail.toml"), document.Document())
-        for tree, why in (
+        for tree, expected in (
             ({"recording": {}}, r"recording: .*missing required field `file`"),
             ({"recording": {"file": "a", "most_mb": 0}}, r"recording\.most_mb: expected `int` >= 1"),
             ({"recording": {"file": "a", "keys": "some"}}, r"recording\.keys: invalid enum"),
             ({"what": 1}, "unknown field `what`"),
         ):
-            with self.assertRaisesRegex(document.BadDocument, why) as caught:
+            with self.assertRaisesRegex(document.BadDocument, expected) as caught:
                 document.convert(tree, "t.toml")
             self.assertNotIn("\n", str(caught.exception))
         self.assertEqual(document.convert({"recording": {"file": "a"}}).recording.keys, "hashed")
 
-    def test_a_file_that_is_no_toml_is_one_line(self) -> None:
+    def test_file_that_is_not_toml_gives_one_line(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("[recording\n")
             file.flush()
             with self.assertRaisesRegex(document.BadDocument, r"\.toml: "):
                 document.read(file.name)
 
-    def test_a_relay_without_a_document_brings_in_nothing_of_it(self) -> None:
-        said = subprocess.run(
+    def test_relay_without_a_document_imports_none_of_its_libraries(self) -> None:
+        process = subprocess.run(
             [
                 sys.executable,
                 "-B",
@@ -58,18 +58,18 @@
             text=True,
             timeout=60,
         )
-        self.assertEqual(said.stdout.strip(), "[]", said.stderr)
+        self.assertEqual(process.stdout.strip(), "[]", process.stderr)
 
 
 class Imports(unittest.TestCase):
     def imported(self, path: Path) -> set[str]:
-        """Modules of its own package that a module names, also inside functions and for type hints alone."""
+        """Modules of its package that a module imports, also inside functions or for type hints only."""
         nodes = [node for node in ast.walk(ast.parse(path.read_text())) if isinstance(node, ast.ImportFrom)]
         return {
             name for node in nodes if node.level == 1 for name in [node.module, *(each.name for each in node.names)]
         }
 
-    def test_no_two_modules_of_the_network_import_each_other(self) -> None:
+    def test_modules_of_the_network_have_no_import_cycle(self) -> None:
         modules = {path.stem: path for path in NET.glob("*.py")}
         graph = {name: self.imported(path) & modules.keys() for name, path in modules.items()}
         self.assertIn("recording", graph["relay"])
@@ -77,6 +77,8 @@
 
 
 class Records(unittest.TestCase):
+    """The record of a relay, and a recorder by itself."""
+
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -84,8 +86,8 @@
 
     def relay(self, **recording) -> Relay:
         self.reactor = Reactor()
-        wanted = document.convert({"recording": {"file": str(self.path)} | recording})
-        relay = Relay(self.reactor, told(config()), document=wanted)
+        converted = document.convert({"recording": {"file": str(self.path)} | recording})
+        relay = Relay(self.reactor, told(config()), document=converted)
         relay.start()
         return relay
 
@@ -104,7 +106,7 @@
     def lines(self, kind: type) -> list:
         return [line for line in files.read(self.path) if type(line) is kind]
 
-    def test_what_a_relay_took_sent_and_answered(self) -> None:
+    def test_record_holds_invocations_shots_outcomes_and_answers(self) -> None:
         relay = self.relay()
         client = self.client(asking())
         wire = self.unit()
@@ -114,7 +116,7 @@
         self.assertEqual(client.sent(), ROW + IDLE)
         client.gets(asking(workload="order", more=",r=1"))
         wire.sent()
-        wire.gets(IDLE)  # the empty query's answer is owed first
+        wire.gets(IDLE)  # for the empty query that checks the connection first
         self.reactor.advance(0.6)
         wire.settle()
         relay.record.close()
@@ -132,7 +134,7 @@
         self.assertEqual(self.lines(Head)[0].facts["workloads"][0]["name"], "basket")
         self.assertEqual(self.lines(Close)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
 
-    def test_a_client_that_leaves_and_a_failed_shot(self) -> None:
+    def test_client_that_leaves_and_failed_shot_are_recorded(self) -> None:
         relay = self.relay(keys="none")
         client = self.client(asking(workload="order"))
         wire = self.unit()
@@ -148,12 +150,12 @@
         self.counters = Counters()
         return Recorder(path, HEAD, most_bytes, most_waiting, "plain", self.counters.add)
 
-    def test_a_full_queue_drops_and_counts_and_never_waits(self) -> None:
+    def test_full_queue_drops_and_counts_lines_and_never_waits(self) -> None:
         recorder = self.recorder(self.path, most_waiting=100)
         gate, write = threading.Event(), recorder.writer
 
-        class Still(files.Writer):
-            """On a disk that stands still."""
+        class StalledWriter(files.Writer):
+            """On a disk that does not write until the gate opens."""
 
             lines = 0
 
@@ -164,7 +166,7 @@
                 gate.wait()
                 write(line)
 
-        recorder.writer = Still()
+        recorder.writer = StalledWriter()
         for number in range(500):
             recorder.note(End(number, 0, number, "served"))
         dropped = self.counters.counts["record.dropped"]
@@ -175,7 +177,7 @@
         write.close()
         self.assertEqual(len(self.lines(End)), 500 - dropped)
 
-    def test_a_file_at_its_limit_ends_the_record_whole(self) -> None:
+    def test_file_at_its_limit_ends_the_record_with_its_last_line(self) -> None:
         path = self.path.with_name("n0.record")
         recorder = self.recorder(path, most_bytes=50_000, most_waiting=100_000)
         for number in range(20_000):
@@ -186,14 +188,14 @@
         recorder.note(End(1, 0, 1, "served"))
         self.assertGreater(self.counters.counts["record.dropped"], 0)
 
-    def test_a_disk_that_takes_nothing_ends_the_record_and_not_the_relay(self) -> None:
+    def test_full_disk_ends_the_record_and_not_the_relay(self) -> None:
         recorder = self.recorder("/dev/full", most_waiting=100_000)
         for number in range(50_000):
             recorder.note(End(number, 0, number, "served"))
         recorder.close()
         self.assertIn("No space left", recorder.problem)
 
-    def test_a_record_that_can_not_be_opened_is_told_at_the_start(self) -> None:
+    def test_record_that_can_not_be_opened_raises_at_the_start(self) -> None:
         with self.assertRaises(OSError):
             Relay(Reactor(), told(config()), document=document.convert({"recording": {"file": "/nowhere/at/all"}}))
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The whole relay on a network in memory, its start, and one real process on loopback."""
+"""The whole relay on a network in memory, its configuration, and one real process on loopback."""
 
 import json
 import os
@@ -15,10 +15,14 @@
 
 from .fake import GREETING, IDLE, OPENING, ROW, Reactor, Wire, asking, failure, field
 
-CLIENT_PORT, UNIT_PORT, LIST_PORT, JSONRPC_PORT = 5432, 7001, 8500, 6400
+CLIENT_PORT = 5432
+UNIT_PORT = 7001
+LIST_PORT = 8500  # of discovery
+JSONRPC_PORT = 6400  # of the platform
 
 
 def config(**more: object) -> dict:
+    """The JSON of a relay's configuration; `more` replaces fields."""
     return {
         "name": "n0",
         "listen": f"127.0.0.1:{CLIENT_PORT}",
@@ -53,8 +57,8 @@
     } | more
 
 
-def state(build: int = 41, wave: int = 0, stands: str = "stable", cap: float = 1.0) -> dict:
-    return {"Revision": build, "Wave": wave, "State": stands, "MaxShare": cap, "AgeMs": 9000}
+def state(build: int = 41, wave: int = 0, phase: str = "stable", cap: float = 1.0) -> dict:
+    return {"Revision": build, "Wave": wave, "State": phase, "MaxShare": cap, "AgeMs": 9000}
 
 
 def unit(port: int, name: str = "s-1", lifecycle: str = "ready", build: int = 41) -> dict:
@@ -71,6 +75,7 @@
 
 
 def told(tree: object) -> relay_configuration.RelayConfiguration:
+    """The configuration read from a file with that JSON, or with that text."""
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(tree if isinstance(tree, str) else json.dumps(tree))
         file.flush()
@@ -78,6 +83,8 @@
 
 
 class Story(unittest.TestCase):
+    """One relay; a test plays its clients, units, discovery and platform."""
+
     def setUp(self) -> None:
         self.reactor = Reactor()
         self.relay = Relay(self.reactor, told(config()))
@@ -100,7 +107,7 @@
         for _ in range(round(seconds * 10)):
             self.reactor.advance(0.1)
 
-    def test_an_invocation_from_known_units_and_news_alone(self) -> None:
+    def test_invocation_is_served_from_the_configured_list_and_rollout_state(self) -> None:
         client = self.client(asking(more=",k=77"))
         wire = self.unit()
         self.assertIn(b"id=9b1f,c=basket,t=acme,d=480,k=77", wire.sent())
@@ -109,12 +116,12 @@
         client.gets(asking(workload="nothing"))
         self.assertIn(b"C42601\0", client.sent())
 
-    def test_the_unit_is_told_what_is_left_of_the_time(self) -> None:
+    def test_unit_is_sent_the_remaining_time(self) -> None:
         self.client(asking())
         self.reactor.advance(0.1)
         self.assertIn(b"d=380 */", self.unit().sent())
 
-    def test_nothing_to_send_to_is_a_rejection_and_what_may_have_run_never_is(self) -> None:
+    def test_no_unit_is_a_rejection_and_what_may_have_run_is_never_one(self) -> None:
         client = self.client(asking(workload="order"))
         wire = self.unit()
         wire.sent()
@@ -124,7 +131,7 @@
         client.gets(asking(workload="order"))
         self.assertIn(b"C53300\0", client.sent())
 
-    def test_a_silent_unit_gets_no_longer_than_the_client_waits(self) -> None:
+    def test_silent_unit_times_out_when_the_client_stops_waiting(self) -> None:
         client = self.client(asking(workload="order"))
         wire = self.unit()
         wire.sent()
@@ -132,7 +139,7 @@
         wire.settle()
         self.assertIn(b"C58000\0", client.sent())
 
-    def test_a_client_that_leaves_calls_its_shot_off(self) -> None:
+    def test_shot_is_cancelled_when_its_client_leaves(self) -> None:
         client = self.client(asking())
         wire = self.unit()
         wire.sent()
@@ -147,7 +154,7 @@
         wire.gets(reply(news))
         return wire
 
-    def test_the_list_is_watched_without_a_pause(self) -> None:
+    def test_list_is_watched_again_at_once_after_each_answer(self) -> None:
         wire = self.reactor.up(LIST_PORT)
         self.assertTrue(wire.sent().startswith(b"GET /catalog/members HTTP/1.1\r\n"))
         wire.gets(reply(listing(42, True, unit(7002, "s-2"))), piece=9)
@@ -158,11 +165,11 @@
         first.gets(ROW + IDLE)
         wire.gets(reply(listing(43, False, unit(7002, "s-2", "gone"), unit(7003, "s-3"))))
         self.assertIn(b"?after=43&", wire.sent())
-        self.assertTrue(first.settle())  # idle connections to what has left the list end
+        self.assertTrue(first.settle())  # idle connections to units that left the list end
         self.client(asking())
         self.unit(7003)
 
-    def test_silent_or_broken_discovery_stops_nothing_and_is_asked_again(self) -> None:
+    def test_silent_or_broken_discovery_is_asked_again_and_stops_nothing(self) -> None:
         wire = self.reactor.up(LIST_PORT)
         self.wait(4.1)
         self.assertTrue(wire.settle())
@@ -180,17 +187,17 @@
         self.assertTrue(wire.settle())
         self.wait(0.3)
         wire = self.reactor.up(LIST_PORT)
-        self.assertNotIn(b"after", wire.sent())  # what an unreadable answer told is missed: all of it anew
+        self.assertNotIn(b"after", wire.sent())  # changes in the unreadable answer are lost: the whole list
         wire.gets(reply(listing(42, True, unit(UNIT_PORT))))
         self.wait(22.1)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        self.assertIn(b"?after=42&", self.reactor.up(LIST_PORT).sent())  # what was known is not asked for again
+        self.assertIn(b"?after=42&", self.reactor.up(LIST_PORT).sent())  # the known version still counts
         self.client(asking())
         self.unit()
 
-    def test_a_fleet_too_many_for_the_list_asks_for_what_is_new_and_later(self) -> None:
-        """Turned away, a relay asked for the whole list, and soon: more work for a keeper that had too much of it."""
+    def test_refused_watch_is_retried_later_and_for_changes_only(self) -> None:
+        """Guards against a request for the whole list soon after a refusal: it adds to an agent's overload."""
         wire = self.discovery(listing(42, True, unit(UNIT_PORT)))
         wire.gets(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 3\r\nConnection: close\r\n\r\n")
         self.assertTrue(wire.settle())
@@ -199,7 +206,7 @@
         self.wait(2.1)
         self.assertIn(b"?after=42&", self.reactor.up(LIST_PORT).sent())
 
-    def test_where_lists_are_asked_for_the_first_question_is_for_what_is_new_and_not_at_once(self) -> None:
+    def test_list_on_request_is_first_asked_for_changes_and_after_a_delay(self) -> None:
         self.reactor = Reactor()
         Relay(
             self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))
@@ -208,53 +215,53 @@
         self.wait(4.1)
         self.assertIn(b"?after=41&", self.reactor.up(LIST_PORT).sent())
 
-    def desk(self) -> Wire:
+    def platform(self) -> Wire:
         wire = self.reactor.up(JSONRPC_PORT)
         self.assertEqual(json.loads(wire.sent())["method"], "subscribe")
         wire.gets(b'{"jsonrpc":"2.0","id":1,"result":true}\n')
         return wire
 
-    def news(self, wire: Wire, **stands: object) -> None:
-        line = {"jsonrpc": "2.0", "method": "stage", "params": state(**stands)}
+    def send_state(self, wire: Wire, **fields: object) -> None:
+        line = {"jsonrpc": "2.0", "method": "stage", "params": state(**fields)}
         wire.gets(json.dumps(line).encode() + b"\n", piece=11)
 
-    def test_news_between_answers_and_every_answer_of_a_vote(self) -> None:
-        wire, heard = self.desk(), []
-        self.news(wire, build=42, stands="canary", cap=0.28)
+    def test_rollout_states_between_answers_and_each_answer_to_a_vote(self) -> None:
+        wire, answers = self.platform(), []
+        self.send_state(wire, build=42, phase="canary", cap=0.28)
         self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.told_cap), (42, 0.28))
-        self.relay.platform.on_vote_answer = heard.append
+        self.relay.platform.on_vote_answer = answers.append
         for error, answer in (("BUSY", "full"), ("STALE", "moot"), ("FAILED", "error"), ("SYNTAX", "error")):
             self.relay.platform.vote(42, 0, "on")
             vote = json.loads(wire.sent())
             self.assertEqual(vote["params"], {"Revision": 42, "Wave": 0, "Decision": "go"})
-            self.news(wire, build=42, stands="canary")
-            wire.gets(b'{"id":1,"error":{"message":"FAILED"}}\n')  # late, of another call
-            said = {"id": vote["id"], "error": {"code": -32602, "message": error}}
-            wire.gets(json.dumps(said).encode() + b"\n")
-            self.assertEqual(heard.pop(), answer)
+            self.send_state(wire, build=42, phase="canary")
+            wire.gets(b'{"id":1,"error":{"message":"FAILED"}}\n')  # late, and the answer to another call
+            response = {"id": vote["id"], "error": {"code": -32602, "message": error}}
+            wire.gets(json.dumps(response).encode() + b"\n")
+            self.assertEqual(answers.pop(), answer)
         self.relay.platform.vote(42, 0, "back")
         number = json.loads(wire.sent())["id"]
         wire.gets(json.dumps({"id": number, "result": state(42, 0, "reverting", 0.0)}).encode() + b"\n")
-        self.assertEqual((heard.pop(), self.relay.facade.relay.phase), ("ok", 1))
+        self.assertEqual((answers.pop(), self.relay.facade.relay.phase), ("ok", 1))
 
-    def test_a_vote_with_no_answer_may_count_and_one_that_was_not_written_does_not(self) -> None:
-        heard: list[str] = []
-        self.relay.platform.on_vote_answer = heard.append
+    def test_unanswered_vote_is_a_timeout_and_unwritten_vote_an_error(self) -> None:
+        answers: list[str] = []
+        self.relay.platform.on_vote_answer = answers.append
         self.relay.platform.vote(41, 0, "back")
         self.reactor.advance(0)
-        wire = self.desk()
+        wire = self.platform()
         for ending in (lambda: self.wait(1.3), wire.drop):
             self.relay.platform.vote(41, 0, "back")
             wire.sent()
             ending()
-        self.assertEqual(heard, ["error", "timeout", "timeout"])
+        self.assertEqual(answers, ["error", "timeout", "timeout"])
 
-    def test_a_silent_or_unreadable_platform_is_left_and_subscribed_anew(self) -> None:
-        wire = self.desk()
+    def test_silent_or_unreadable_platform_gets_a_new_connection_and_subscription(self) -> None:
+        wire = self.platform()
         self.wait(3.6)
         self.assertTrue(wire.settle())
         self.wait(0.2)
-        wire = self.desk()
+        wire = self.platform()
         for _ in range(5):
             self.wait(1)
             wire.gets(b'{"jsonrpc":"2.0","method":"ping"}\n')
@@ -262,53 +269,53 @@
         wire.gets(b"x" * 9000)
         self.assertTrue(wire.settle())
         self.wait(0.5)
-        self.desk()
+        self.platform()
 
-    def test_a_new_configuration_moves_discovery_with_the_old_watch_at_work(self) -> None:
+    def test_new_address_of_discovery_takes_over_from_a_pending_watch(self) -> None:
         old = self.discovery(listing(42, True, unit(UNIT_PORT)))
         old.sent()
         self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
-        self.relay.reconfigure(told(config(discovery="127.0.0.1:8700")))  # two in a row: the last counts
+        self.relay.reconfigure(told(config(discovery="127.0.0.1:8700")))  # the last of two in a row counts
         old.gets(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
-        passed = self.reactor.up(8600)
-        self.assertTrue(passed.settle())
+        superseded = self.reactor.up(8600)
+        self.assertTrue(superseded.settle())
         new = self.reactor.up(8700)
         self.assertTrue(old.settle())
-        self.assertIn(b"GET /catalog/members HTTP", new.sent())  # the whole list, from another agent
+        self.assertIn(b"GET /catalog/members HTTP", new.sent())  # versions are an agent's own: the whole list
         new.gets(reply(listing(7, True, unit(7003, "s-3"))))
         self.assertIn(b"?after=7&", new.sent())
         self.assertEqual([pool.address for pool in self.relay.units.pools.values()], ["127.0.0.9:7003"])
         self.wait(1)
         self.assertEqual((new.closing, self.reactor.dialled(LIST_PORT), self.reactor.dialled(8700)), (False, [], []))
 
-    def test_an_old_discovery_that_closes_first_is_not_dialled_again(self) -> None:
+    def test_former_discovery_that_closes_first_is_not_connected_again(self) -> None:
         old = self.discovery(listing(42, True, unit(UNIT_PORT)))
         self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
         old.drop()
-        self.reactor.refuse(8600)  # not there yet
+        self.reactor.refuse(8600)  # the new agent does not listen yet
         self.wait(0.3)
         self.assertEqual(self.reactor.dialled(LIST_PORT), [])
         self.assertIn(b"GET /catalog/members HTTP", self.reactor.up(8600).sent())
 
-    def test_a_move_of_the_platform_leaves_the_vote_that_is_out_its_answer(self) -> None:
-        old, heard = self.desk(), []
-        self.relay.platform.on_vote_answer = heard.append
+    def test_pending_vote_gets_its_answer_from_the_former_platform_connection(self) -> None:
+        old, answers = self.platform(), []
+        self.relay.platform.on_vote_answer = answers.append
         self.relay.platform.vote(41, 0, "back")
         number = json.loads(old.sent())["id"]
         self.relay.reconfigure(told(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
         new = self.reactor.up(6500)
         self.assertEqual(json.loads(new.sent())["method"], "subscribe")
-        self.news(new, build=42, stands="canary", cap=0.28)
-        self.news(old, build=40)  # what counts comes over the new one
+        self.send_state(new, build=42, phase="canary", cap=0.28)
+        self.send_state(old, build=40)  # states over the former connection are ignored
         self.assertEqual((self.relay.facade.relay.build, old.closing), (42, False))
         old.gets(json.dumps({"id": number, "result": state(42, 0, "canary", 0.28)}).encode() + b"\n")
-        self.assertEqual((heard, old.settle(), new.closing), (["ok"], True, False))
+        self.assertEqual((answers, old.settle(), new.closing), (["ok"], True, False))
         self.relay.platform.vote(42, 0, "on")
         self.assertEqual(json.loads(new.sent())["method"], "release.vote")
 
-    def test_notes_go_to_peers_and_count_only_from_them(self) -> None:
-        self.news(self.desk(), build=42, stands="canary", cap=0.28)
+    def test_peer_messages_go_to_listed_peers_and_are_taken_only_from_them(self) -> None:
+        self.send_state(self.platform(), build=42, phase="canary", cap=0.28)
         self.wait(3)
         self.assertEqual({to for _, to in self.reactor.datagrams}, {("127.0.0.2", 7946)})
         self.relay.peers.tell(-1, b"all")
@@ -320,15 +327,15 @@
         self.assertEqual(self.relay.facade.relay.judge.heard, {})
         self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(list(self.relay.facade.relay.judge.heard), [1])
-        for _ in range(1000):  # a relay gone mad
+        for _ in range(1000):  # a flood
             self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 900)
         self.assertEqual(self.relay.counters.counts["peers.dropped"], 2)
 
-    def test_a_relay_at_the_limit_of_one_core_is_heard_and_one_gone_mad_is_bounded(self) -> None:
-        """Guards against a bound that an honest relay meets: its questions were shed, its keeper counted as silent,
-        and it chose without one when it had most to do."""
-        attempts = 900  # a second; what was measured on a whole core is under 700
+    def test_messages_of_a_fully_loaded_relay_are_taken_and_a_flood_is_bounded(self) -> None:
+        """Guards against a limit that a relay under full load exceeds: its messages were shed, so it took its keeper
+        for silent and chose without one when it was busiest."""
+        attempts = 900  # a second; a relay on a whole core makes fewer than 700
         for number in range(attempts):
             beginning = state_note(2 * number, 7, 1, 0)
             end = state_note(2 * number + 1, 7, 0, 16)
@@ -339,7 +346,7 @@
             self.reactor.udp.datagramReceived(state_note(number, 7, 1, 0), ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 6_500)
 
-    def test_the_id_of_an_open_invocation_is_an_error_until_that_is_answered(self) -> None:
+    def test_id_of_an_open_invocation_is_an_error_until_its_answer(self) -> None:
         first, second = self.client(asking()), self.client(asking())
         self.assertIn(b"C42601\0", second.sent())
         wire = self.unit()
@@ -349,22 +356,22 @@
         second.gets(asking())
         self.assertEqual(second.sent(), b"")
 
-    def test_spoilt_words_of_discovery_and_the_platform_change_nothing_and_are_asked_for_anew(self) -> None:
-        for spoilt in (
+    def test_malformed_data_of_discovery_and_platform_changes_nothing_and_is_asked_for_again(self) -> None:
+        for malformed in (
             unit(7002, "s-2") | {"lifecycle": "r#ady"},
             unit(7002, "s-2") | {"weight": float("nan")},
             unit(7002, "s-2") | {"build": 1e999},
             unit(7002, "s-2") | {"startedAtMs": -5},
         ):
-            wire = self.discovery(listing(50, True, spoilt))
+            wire = self.discovery(listing(50, True, malformed))
             self.assertTrue(wire.settle())
             self.assertEqual(len(self.relay.units.pools), 1)
             self.relay.discovery.pauses.reset()
             self.wait(0.2)
         wire = self.reactor.up(LIST_PORT)
-        wire.gets(b"[" * 9000)  # no head, and no end of it
+        wire.gets(b"[" * 9000)  # the beginning of a head that never ends
         self.wait(1.1)
-        self.assertTrue(wire.settle())  # a part alone is not waited for as for a watch
+        self.assertTrue(wire.settle())  # a reply that has begun has less time than a watch
         self.wait(0.3)
         wire = self.reactor.up(LIST_PORT)
         wire.gets(reply(listing(51, True, unit(UNIT_PORT)))[:-4])
@@ -378,22 +385,22 @@
             b'{"method":"pi',
         ):
             self.relay.platform.pauses.reset()
-            wire = self.desk()
+            wire = self.platform()
             wire.gets(line)
             self.wait(0.6)
             self.assertTrue(wire.settle(), line)
             self.wait(0.2)
         self.assertEqual(self.relay.facade.relay.build, 41)
 
-    def test_a_fault_costs_that_invocation_alone(self) -> None:
-        self.relay.units.shoot = lambda *what: 1 / 0
+    def test_exception_fails_only_its_own_invocation(self) -> None:
+        self.relay.units.shoot = lambda *arguments: 1 / 0
         client = self.client(asking())
         self.assertIn(b"C58000\0", client.sent())
         del self.relay.units.shoot
         client.gets(asking())
         self.unit()
 
-    def test_a_planned_end_takes_what_still_comes_and_finishes_what_was_taken(self) -> None:
+    def test_stop_serves_late_clients_and_finishes_open_invocations(self) -> None:
         ended: list[None] = []
         idle = self.client()
         self.relay.stop().addCallback(ended.append)
@@ -409,9 +416,9 @@
         self.assertEqual(len(ended), 1)
 
 
-class Start(unittest.TestCase):
-    def test_one_plain_line_for_each_thing_wrong(self) -> None:
-        for tree, said in (
+class ConfigurationAndProcess(unittest.TestCase):
+    def test_each_configuration_error_is_one_line_with_the_field(self) -> None:
+        for tree, expected in (
             ("{", "Expecting"),
             ("[]", "not an object"),
             (config(listen=7), "listen"),
@@ -425,44 +432,44 @@
             (config(discovery=None), "discovery"),
             (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize"),
         ):
-            with self.assertRaisesRegex(relay_configuration.ConfigurationError, said):
+            with self.assertRaisesRegex(relay_configuration.ConfigurationError, expected):
                 told(tree)
         for environment in ({}, {"EDGE_CONFIG": "/nowhere/at/all"}):
             self.assertRaises(relay_configuration.ConfigurationError, relay_configuration.read, environment)
 
-    def run_it(self, *words: str, **environment: str) -> subprocess.Popen:
+    def run_command(self, *arguments: str, **environment: str) -> subprocess.Popen:
         return subprocess.Popen(
-            [sys.executable, "-B", "-m", "tealsail", *words],
+            [sys.executable, "-B", "-m", "tealsail", *arguments],
             text=True,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env=os.environ | environment,
         )
 
-    def test_the_command_line_and_a_bad_start_of_the_process(self) -> None:
-        process = self.run_it("version")
+    def test_version_command_and_exit_code_2_without_a_configuration(self) -> None:
+        process = self.run_command("version")
         self.assertIn("tealsail ", process.communicate(timeout=60)[0])
-        process = self.run_it("serve", EDGE_CONFIG="/nowhere/at/all")
-        said = process.communicate(timeout=60)[1]
-        self.assertEqual((process.returncode, said.count("\n"), said[:9]), (2, 1, "tealsail:"))
+        process = self.run_command("serve", EDGE_CONFIG="/nowhere/at/all")
+        printed = process.communicate(timeout=60)[1]
+        self.assertEqual((process.returncode, printed.count("\n"), printed[:9]), (2, 1, "tealsail:"))
 
-    def test_a_process_on_loopback_serves_and_ends_with_0(self) -> None:
+    def test_process_on_loopback_serves_and_exits_with_0(self) -> None:
         unit_side = socket.create_server(("127.0.0.1", 0))
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        here = {"hostPort": f"127.0.0.1:{unit_side.getsockname()[1]}"}
-        told = config(
+        unit_address = {"hostPort": f"127.0.0.1:{unit_side.getsockname()[1]}"}
+        tree = config(
             listen=f"127.0.0.1:{port}",
             discovery="127.0.0.1:1",
             peer_listen="",
             rollouts={"address": "127.0.0.1:1", "news": state()},
-            known=listing(1, True, unit(UNIT_PORT) | here),
+            known=listing(1, True, unit(UNIT_PORT) | unit_address),
         )
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-            json.dump(told, file)
+            json.dump(tree, file)
             file.flush()
-            process = self.run_it("serve", EDGE_CONFIG=file.name)
+            process = self.run_command("serve", EDGE_CONFIG=file.name)
             while "serving" not in process.stderr.readline():
                 self.assertIsNone(process.poll())
             process.send_signal(signal.SIGHUP)
