--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -37,8 +37,8 @@
     Raises OSError if the file can't be opened.
     """
 
-    def __init__(self, relay: RecordedRelay, wanted: Any) -> None:
-        """`wanted` is the `recording` table of the operator's document (tealsail/setup/document.py)."""
+    def __init__(self, relay: RecordedRelay, recording: Any) -> None:
+        """`recording` is the `recording` table of the operator's document (tealsail/setup/document.py)."""
         facts = relay.configuration.facts
         self.relay, self.zero = relay, relay.clock()
         self.index = int(facts.get("index", 0))
@@ -53,7 +53,7 @@
             {"zero_unix_ms": self.zero // 10, "tealsail": __version__},
         )
         self.recorder = Recorder(
-            wanted.file, head, wanted.most_mb * BYTES_PER_MB, wanted.queue, wanted.keys, relay.counters.add
+            recording.file, head, recording.most_mb * BYTES_PER_MB, recording.queue, recording.keys, relay.counters.add
         )
 
     def now(self) -> int:
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -49,7 +49,7 @@
 DRAIN_CHECK_S = 0.05  # between checks for remaining clients
 TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
 CLOCK_CHECK_S = 1.0  # between checks for steps of the wall clock
-MAX_TICK_WAIT_S = 1.0
+MAX_TICK_WAIT_S = 1.0  # a tick comes at least this often, due or not
 
 
 class ActiveInvocation:
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -36,7 +36,7 @@
     """The file is missing or not valid JSON: it may be in the middle of being written."""
 
 
-def want(tree: Any, name: str, kind: type, default: Any = None) -> Any:
+def typed_field(tree: Any, name: str, kind: type, default: Any = None) -> Any:
     """The field `name` of `tree`; raises ConfigurationError if it is missing or not of that type."""
     value = tree.get(name, default)
     if value is None:
@@ -74,12 +74,12 @@
         raise UnreadableConfiguration(f"{path}: {problem}") from None
     if not isinstance(tree, dict):
         raise ConfigurationError(f"{path}: not an object")
-    rollouts = want(tree, "rollouts", dict, {})
+    rollouts = typed_field(tree, "rollouts", dict, {})
     try:
-        seed = int(want(tree, "seed", str), 16)
+        seed = int(typed_field(tree, "seed", str), 16)
         state = read_state(rollouts["news"]) if rollouts.get("news") else None
-        known = read_news(want(tree, "known", dict, {"generation": 0, "instances": []}))
-        facts = settings.facts(settings.nested(want(tree, "settings", dict)))
+        known = read_news(typed_field(tree, "known", dict, {"generation": 0, "instances": []}))
+        facts = settings.facts(settings.nested(typed_field(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise ConfigurationError(f"{path}: {problem}") from None
     try:
@@ -87,15 +87,15 @@
     except BadFacts as problem:
         raise ConfigurationError(f"{path}: settings: {problem}") from None
     return RelayConfiguration(
-        environment.get("EDGE_NAME") or want(tree, "name", str),
-        address_field("EDGE_LISTEN", environment.get("EDGE_LISTEN") or want(tree, "listen", str)),
-        address_field("EDGE_DISCOVERY", environment.get("EDGE_DISCOVERY") or want(tree, "discovery", str)),
+        environment.get("EDGE_NAME") or typed_field(tree, "name", str),
+        address_field("EDGE_LISTEN", environment.get("EDGE_LISTEN") or typed_field(tree, "listen", str)),
+        address_field("EDGE_DISCOVERY", environment.get("EDGE_DISCOVERY") or typed_field(tree, "discovery", str)),
         seed,
-        want(want(tree, "limits", dict, {}), "sockets", int, 1024),
-        address_field("peer_listen", want(tree, "peer_listen", str, "")),
-        [address_field("peers", each) for each in want(tree, "peers", list, [])],
-        address_field("peers_all", want(tree, "peers_all", str, "")),
-        address_field("rollouts.address", want(rollouts, "address", str, "")),
+        typed_field(typed_field(tree, "limits", dict, {}), "sockets", int, 1024),
+        address_field("peer_listen", typed_field(tree, "peer_listen", str, "")),
+        [address_field("peers", each) for each in typed_field(tree, "peers", list, [])],
+        address_field("peers_all", typed_field(tree, "peers_all", str, "")),
+        address_field("rollouts.address", typed_field(rollouts, "address", str, "")),
         state,
         known,
         facts,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -606,7 +606,7 @@
         self.assertEqual((counts["faults"], self.relay.facade.faults, counts["units.unreadable"]), (0, 0, 1))
 
     def answer_to_reset_query(self, size: int) -> bytes:
-        """What a client receives if the unit resets the connection while a one-shot query is sent, its value of `size` bytes."""
+        """What a client receives if the unit resets the connection while a one-shot query of `size` bytes is sent."""
         self.start_relay()
         client = self.connect()
         text = (
