--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -51,10 +51,15 @@
             ({"index": 2}, "index: 2 of 2 relays"),
             ({"requestClasses": []}, "no workloads"),
         ):
-            with self.subTest(more), self.assertRaisesRegex(start.ConfigurationError, f"settings: {said}"):
+            with (
+                self.subTest(more),
+                self.assertRaisesRegex(relay_configuration.ConfigurationError, f"settings: {said}"),
+            ):
                 told(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
-        with self.assertRaisesRegex(start.ConfigurationError, "requestClasses.0.aim: later than its deadline"):
+        with self.assertRaisesRegex(
+            relay_configuration.ConfigurationError, "requestClasses.0.aim: later than its deadline"
+        ):
             told(config(settings=settings(requestClasses=late)))
 
     def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
