--- a/tealsail/choices/rate_limits.py
+++ b/tealsail/choices/rate_limits.py
@@ -37,8 +37,8 @@
     """Decides for each message whether it is accepted.  `counts` (sender -> messages accepted) is emptied each second,
     so it holds at most one entry for each known sender."""
 
-    def __init__(self, limits: MessageLimits) -> None:
-        self.limits = limits
+    def __init__(self, count_message_limits: MessageLimits) -> None:
+        self.count_message_limits = count_message_limits
         self.second, self.accepted = -1, 0
         self.counts: dict[int, int] = {}
 
@@ -49,8 +49,14 @@
             self.second, self.accepted, self.counts = second, 0, {}
         count = self.counts.get(sender, 0)
         # Past half of the limit on all, a sender may have an equal part of it; past the whole, only a first message.
-        crowded = 2 * self.accepted >= self.limits.all and count > self.limits.all // (2 * max(1, len(self.counts)))
-        if count >= self.limits.each or crowded or (self.accepted >= self.limits.all and count):
+        crowded = 2 * self.accepted >= self.count_message_limits.all and count > self.count_message_limits.all // (
+            2 * max(1, len(self.counts))
+        )
+        if (
+            count >= self.count_message_limits.each
+            or crowded
+            or (self.accepted >= self.count_message_limits.all and count)
+        ):
             return False
         self.counts[sender] = count + 1
         self.accepted += 1
