--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -124,7 +124,7 @@
 
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.live_settings", "Switch.change")
+SWITCH = Place("choices.live_settings", "LiveSettings.change")
 ASKING = Place("policy", "Guide.keeps")
 TELLING = Place("policy", "Guide.tell")
 HEARING = Place("policy", "Guide.hear")
@@ -132,10 +132,10 @@
 CUSTOMERS = Place("policy", "Admission.part")
 POOLING = Place("notes", "Pool.add")
 JUDGING = Place("policy", "Judge.judge")
-NEWS = Place("net.platform", "Platform.came")
-WATCHING = Place("net.discovery", "Discovery.came")
+NEWS = Place("net.platform", "Platform.on_message")
+WATCHING = Place("net.discovery", "Discovery.on_reply")
 RELOADS = Place("command.serve", "Reloads.read")
-SHEDDING = Place("choices.rate_limits", "Flood.allows")
+SHEDDING = Place("choices.rate_limits", "RateLimiter.allows")
 ARRANGING = Place("policy", "Relay.arrange")
 JUDGES_TOLD = Place("policy", "Judge.tell")
 STARTING = Place("net.relay", "Relay.start")
@@ -387,7 +387,7 @@
             None,
             "not measured",
             "half of the descriptors, one a connection",
-            Place("net.relay", "Serving.forget"),
+            Place("net.relay", "ActiveInvocation.remove_if_done"),
         ),
         State(
             Role.RELAY,
