--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -3,8 +3,8 @@
 import unittest
 
 from hypothesis import given, strategies as st
-from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 
+from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import PAST, STARTS, Pool, count_notes, read
 from tealsail.parts import beyond
