--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -14,7 +14,7 @@
 from ...net import statements
 from ...net.clients import Rejected
 from ...net.discovery import Entry as Known, News
-from ...net.platform import RolloutState
+from ...net.platform import PlatformState
 from ...net.relay import unit_number
 from ...net.relay_configuration import RelayConfiguration
 from ...net.units import Value
@@ -172,7 +172,7 @@
     def assignment(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
         age = max(0, self.setup.now() - rollout.since) / 10
-        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
+        state = PlatformState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
         seed = mix(self.cast.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.listing.whole()
@@ -282,7 +282,7 @@
         for relay, one in list(self.relays.items()):
             self.tell_rollout(relay)
             age = max(0, self.setup.now() - word.since) / 10
-            one.on_rollout_state(RolloutState(word.build, word.stage, word.phase, word.cap, age))
+            one.on_rollout_state(PlatformState(word.build, word.stage, word.phase, word.cap, age))
 
     def count_traffic(self, second: int) -> None:
         meters = [one.meter for one in self.relays.values()]
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from ..facade import Facade
     from .counters import Counters
-    from .platform import RolloutState
+    from .platform import PlatformState
     from .relay_configuration import RelayConfiguration
     from .statements import Statement
 
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -35,7 +35,7 @@
 from .discovery import Discovery, Entry, News, unit_number
 from .kernel import accept_pending, set_accepting_paused
 from .peers import Peers, parse_address
-from .platform import Platform, RolloutState
+from .platform import Platform, PlatformState
 from .relay_configuration import RelayConfiguration
 from .statements import Statement, StatementError, text_for_unit
 from .units import Shot, ShotResult, Units
@@ -397,7 +397,7 @@
             self.stamps.start_time(number, settings.tenths(entry.started_ms)),
         )
 
-    def on_rollout_state(self, state: RolloutState) -> None:
+    def on_rollout_state(self, state: PlatformState) -> None:
         if self.record:
             self.record.rollout_changed(state)
         self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -7,7 +7,7 @@
 from .. import settings
 from ..setup.validation import InvalidSettings, check_settings
 from .discovery import News, Unreadable, checked_address, read_news
-from .platform import RolloutState, Unreadable as UnreadableState, read_state
+from .platform import PlatformState, Unreadable as UnreadableState, read_state
 
 
 class ConfigurationError(Exception):
@@ -26,7 +26,7 @@
     peers: list[str]  # addresses of all relays, by the relay's index
     broadcast: str  # the address that reaches all relays
     platform: str
-    state: RolloutState | None  # of the newest build at the start
+    state: PlatformState | None  # of the newest build at the start
     known: News  # the list of units as known at the start
     facts: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
     identity: tuple[str, ...] = ()  # name, listen and peer_listen as the file has them
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -168,7 +168,7 @@
     STATE = b'{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}'
 
     def test_answers_notifications_and_pings(self) -> None:
-        state = platform.RolloutState(42, 1, "on trial", 0.28, 310)
+        state = platform.PlatformState(42, 1, "on trial", 0.28, 310)
         for line, read in (
             (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.CallResult(11, state, "")),
             (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.CallResult(10, None, "")),
