--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -45,14 +45,14 @@
 
 BEAT = Cause("parts", "warm_and_cold_capacity", "for unit in row")
 LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
-READING = Cause("net.relay", "number_of", "blake2b(")
+READING = Cause("net.relay", "unit_number", "blake2b(")
 CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
 POOL = Cause("notes", "CountPool.add", "for cell, count in zip")
 SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
-SERVING = Cause("net.relay", "Serving.shoot", "relay.units.shoot(")
+SERVING = Cause("net.relay", "ActiveInvocation.shoot", "relay.units.shoot(")
 TELLING = Cause("policy", "LoadTracking.report_shot", "self.send(tracker_index")
-HEARING = Cause("net.relay", "Relay.heard", "self.schedule()")
+HEARING = Cause("net.relay", "Relay.on_peer_message", "self.schedule_tick()")
 LOADS = Cause("policy", "Relay.on_wake", "self.load_tracking.loads = drop_stale_senders(")
 UNITS = Cause("parts", "Unit.__init__", "self.number = number")
 
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -6,8 +6,8 @@
 import unittest
 
 from hypothesis import given, strategies as st
-from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 
+from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
 from tealsail.parts import excess_in_deviations
