--- a/tealsail/choices/digest_messages.py
+++ b/tealsail/choices/digest_messages.py
@@ -1,9 +1,9 @@
 """Encoding of load reports and load digests.
 
 A message is a head of 12 bytes and up to 20 rows of 12 bytes.  Its length is a multiple of four and at least 12, which
-no other message between relays has (tealsail/notes.py, zone_reports.py), so a relay that does not know the kind ignores
-it.  A row names its unit by all 56 bits of the number, so that no two of 12,000 units are confused.  The checksum
-covers head and rows.
+no other message between relays has (tealsail/peer_messages.py, zone_reports.py), so a relay that does not know the kind
+ignores it.  A row names its unit by all 56 bits of the number, so that no two of 12,000 units are confused.  The
+checksum covers head and rows.
 """
 
 import struct
--- a/tealsail/choices/rate_limits.py
+++ b/tealsail/choices/rate_limits.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 SECOND = 10_000  # tenths of a ms; messages are counted by whole seconds
-CELLS_PER_MESSAGE = 30  # a full message of counts holds at least so many cells (tealsail/notes.py)
+CELLS_PER_MESSAGE = 30  # a full message of counts holds at least so many cells (tealsail/peer_messages.py)
 
 
 class MessageLimits(NamedTuple):
--- a/tealsail/choices/zone_reports.py
+++ b/tealsail/choices/zone_reports.py
@@ -3,7 +3,7 @@
 A relay reports only what it saw itself over the last span, and only while a zone is in trouble for it or for a relay
 that reported so to it.  Each beat it sends to a few other relays, drawn again, so its traffic does not grow with the
 fleet.  Reports are not passed on.  A report is three bytes and four for each zone, never as long as a verdict or counts
-(tealsail/notes.py), whose readers ignore it.
+(tealsail/peer_messages.py), whose readers ignore it.
 """
 
 import struct
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ... import notes
+from ... import peer_messages
 from ...choices.live_settings import LiveSettings
 from ...facade import Facade, NoteReceived, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
 from ...parts import stable_hash
@@ -74,7 +74,7 @@
         number, step = self.facade.pick(f"w{self.sent % self.setup.classes}", name, "k", self.now + WAITS)
         if step is None:
             self.facade.report(
-                NoteReceived(self.facade.relay.load_tracking.tracker_index(), notes.answer_note(number, 0))
+                NoteReceived(self.facade.relay.load_tracking.tracker_index(), peer_messages.answer_note(number, 0))
             )
             steps = [each for at, each in self.facade.tick().steps if at == number]
             step = steps[0] if steps else None
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -11,7 +11,9 @@
 from .slopes import Slope, Slopes
 
 MESSAGES_OF_A_REQUEST = 3  # to the load tracker: began, which is best, ended (policy.py, Guide)
-MESSAGES_OF_COUNTS = 2  # all cells of three request classes (notes.py, count_notes), the most that a second brings
+MESSAGES_OF_COUNTS = (
+    2  # all cells of three request classes (peer_messages.py, count_notes), the most that a second brings
+)
 
 
 class Role(StrEnum):
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ...choices.rate_limits import SHOT_MESSAGE_LIMITS
-from ...notes import UINT16_MAX
+from ...peer_messages import UINT16_MAX
 from .causes import Place
 from .points import Axis, Cost, Name, Side
 from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, foretell, more, tellings
@@ -130,7 +130,7 @@
 HEARING = Place("policy", "LoadTracking.receive")
 SERVING = Place("net.relay", "Relay.take")
 CUSTOMERS = Place("policy", "Admission.limit_share")
-POOLING = Place("notes", "CountPool.add")
+POOLING = Place("peer_messages", "CountPool.add")
 JUDGING = Place("policy", "Judge.update_verdict")
 NEWS = Place("net.platform", "Platform.on_message")
 WATCHING = Place("net.discovery", "Discovery.on_reply")
@@ -285,7 +285,7 @@
     marks = UINT16_MAX + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
-    where = Place("notes", "load_note")
+    where = Place("peer_messages", "load_note")
     yield Need(Role.TRACKER, "units that share their 16 bits", alike, 0.0, "", None, source, where, "0 are wanted")
 
 
--- a/tealsail/lab/capacity/stand_ins.py
+++ b/tealsail/lab/capacity/stand_ins.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from ... import notes
+from ... import peer_messages
 from ...net import messages
 from .events import BUILD, entry
 from .points import Cost, Side
@@ -256,7 +256,7 @@
         self.meter.datagram_sent(data)
         if len(data) >= 9 and len(data) % 2:
             number = int.from_bytes(data[:4], "little")
-            self.tell(notes.answer_note(number, 0))
+            self.tell(peer_messages.answer_note(number, 0))
 
     def tell(self, data: bytes) -> None:
         self.meter.datagram_received(data)
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -12,8 +12,8 @@
 
 from ..choices.rate_limits import RateLimiter, count_message_limits
 from ..facade import Facade, NoteReceived, RolloutState, UnitEntry, Units
-from ..notes import count_notes
 from ..parts import stable_hash
+from ..peer_messages import count_notes
 from ..policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES, MAX_EXTRA_TURNS, RELAYS_PER_TURN
 from .costs import scenario
 
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -5,7 +5,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ..choices.rate_limits import SHOT_MESSAGE_LIMITS, RateLimiter
-from ..notes import is_tracker_note
+from ..peer_messages import is_tracker_note
 from .counters import Counters
 
 MAX_DATAGRAM_BYTES = 256
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -311,7 +311,7 @@
         self.error_rate = 0.0
 
     def update(self, sender: int, count: int, open_shots: int, came: int, now: int) -> None:
-        """Takes a load note in (fields: `load_note` in tealsail/notes.py).
+        """Takes a load note in (fields: `load_note` in tealsail/peer_messages.py).
 
         Notes may overtake each other.  The newer of two has the higher count, of 16 bits that wrap round.
         """
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -24,7 +24,7 @@
 from math import log, sqrt
 from typing import Any
 
-from . import notes
+from . import peer_messages
 from .host import Host
 from .parts import (
     ChainStage,
@@ -532,7 +532,7 @@
         relay.host.wake(
             min(relay.now + self.ANSWER_TIMEOUT, invocation.give_up), relay.WAKE_TRACKER_TIMEOUT + invocation.number
         )
-        self.send(tracker_index, notes.ask_note(invocation.number, [unit.number for unit in near]))
+        self.send(tracker_index, peer_messages.ask_note(invocation.number, [unit.number for unit in near]))
         return True
 
     def send(self, tracker_index: int, data: bytes) -> None:
@@ -559,7 +559,7 @@
         """
         if (tracker_index := self.tracker_index()) >= 0:
             self.notes_sent, came = self.notes_sent + 1, 255 if outcome == "error" else min(254, int(16 * times))
-            self.send(tracker_index, notes.load_note(self.notes_sent, unit.number, unit.open_shots, came))
+            self.send(tracker_index, peer_messages.load_note(self.notes_sent, unit.number, unit.open_shots, came))
 
     def least_loaded(self, sender: int, keys: tuple[int, ...]) -> int:
         """As the tracker: the place of the unit with the lowest cost among `keys`, or NO_ROOM where all are full."""
@@ -584,7 +584,7 @@
 
     def receive(self, sender: int, data: bytes) -> None:
         """Handles a note of another relay: a report or a question as the tracker, an answer as the one who asked."""
-        figures = notes.read_tracker_note(data)
+        figures = peer_messages.read_tracker_note(data)
         if len(data) == 6:
             self.first_report_at = self.first_report_at if self.completions.total(self.relay.now) else self.relay.now
             self.loads[figures[1]].update(sender, figures[0], *figures[2:], self.relay.now)
@@ -592,7 +592,7 @@
         elif len(data) == 5 and sender in self.order:
             self.resume(*figures)
         elif len(data) > 5 and figures:
-            self.send(sender, notes.answer_note(figures[0], self.least_loaded(sender, figures[2:])))
+            self.send(sender, peer_messages.answer_note(figures[0], self.least_loaded(sender, figures[2:])))
 
 
 class Gate(ChainStage):
@@ -751,7 +751,7 @@
             [group * size + first + column for first in range(0, size, CELLS_PER_WORKLOAD) for column in columns]
             for group, columns in SENDER_SUMS
         ]
-        self.pooled = notes.CountPool(len(GROUPS) * size, kinds)  # what the other relays counted
+        self.pooled = peer_messages.CountPool(len(GROUPS) * size, kinds)  # what the other relays counted
         self.heard: dict[int, int] = {}  # relay -> when it last sent counts
         self.windows = GrowthWindows(BRIEF_WINDOW)
         self.build_since = self.relay.now
@@ -796,13 +796,13 @@
         if trial.build < 0 or not self.facts["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
             return
         if self.verdict and self.voters > JUDGES and self.is_judging():
-            send(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # again, in case it was lost
+            send(-1, peer_messages.verdict_note(relay.build, relay.stage, self.verdict))  # again, in case it was lost
         sends_all = (self.beat // 2 + relay.index) % 4 == 0
         cells, self.counts_sent = (
-            notes.changed_cells(counts, [] if sends_all else self.counts_sent, CELLS_PER_WORKLOAD),
+            peer_messages.changed_cells(counts, [] if sends_all else self.counts_sent, CELLS_PER_WORKLOAD),
             counts,
         )
-        for data in notes.count_notes(trial.build, self.counting_since, cells, len(counts)):
+        for data in peer_messages.count_notes(trial.build, self.counting_since, cells, len(counts)):
             for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
                 if index != relay.index:
                     send(index, data)
@@ -815,7 +815,7 @@
 
     def receive(self, sender: int, data: bytes) -> None:
         """Handles a note of another relay: its counts, or a judge's verdict."""
-        relay, figures = self.relay, notes.read(data)
+        relay, figures = self.relay, peer_messages.read(data)
         if not figures or figures[0] != relay.build:
             return
         if len(figures) > 3:
@@ -942,7 +942,7 @@
             self.verdict = BACK if self.is_worse(*pooled) else ON * is_known
         if self.verdict != before:
             if self.voters > JUDGES:  # at once: until the next beat the build would wait for its voters
-                relay.host.send_note(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))
+                relay.host.send_note(-1, peer_messages.verdict_note(relay.build, relay.stage, self.verdict))
             relay.host.log(
                 f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:"
                 + "".join(
@@ -1161,8 +1161,8 @@
             self.intake.on_overdue(self.known[token - self.WAKE_OVERDUE])
 
     def on_note(self, sender: int, data: bytes) -> None:
-        """Takes a note of another relay (tealsail/notes.py)."""
-        (self.load_tracking if notes.is_tracker_note(data) else self.judge).receive(sender, data)
+        """Takes a note of another relay (tealsail/peer_messages.py)."""
+        (self.load_tracking if peer_messages.is_tracker_note(data) else self.judge).receive(sender, data)
 
     def on_stage(self, build: int, stage: int, phase: int, cap: float, age: int) -> None:
         """Takes the platform's state of the newest build: stage, phase, cap on its exposure, and since how long."""
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -17,7 +17,7 @@
     decode,
     encode,
 )
-from tealsail.notes import read as read_note
+from tealsail.peer_messages import read as read_note
 
 SECOND = 10_000
 RULES = Zoning({})
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -16,7 +16,7 @@
     Units,
     WrongAnswer,
 )
-from tealsail.notes import answer_note, read_tracker_note
+from tealsail.peer_messages import answer_note, read_tracker_note
 
 from .fake import HARMLESS, ONE_SHOT, SECOND
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,7 +5,8 @@
 from math import erfc, sqrt
 
 from tealsail import policy
-from tealsail.notes import (
+from tealsail.parts import rank_test, stable_hash
+from tealsail.peer_messages import (
     CountPool,
     answer_note,
     ask_note,
@@ -15,7 +16,6 @@
     read_tracker_note,
     verdict_note,
 )
-from tealsail.parts import rank_test, stable_hash
 from tests.fake import ONE_SHOT, SECOND, Story
 
 BACK, ON = [policy.BACK], [policy.ON]
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from tealsail import notes
+from tealsail import peer_messages
 from tealsail.choices import zone_reports
 from tealsail.choices.digest_messages import DIGEST, QUIET_REPORT, REPORT, Message, Row, decode, encode
 from tealsail.choices.load_digests import (
@@ -108,8 +108,8 @@
     @given(st.lists(ROWS, min_size=1, max_size=5))
     def test_a_relay_that_does_not_know_the_messages_ignores_them(self, rows):
         data = encode(Message(REPORT, 0, 1, 7, tuple(rows)))
-        self.assertFalse(notes.is_tracker_note(data))
-        self.assertEqual(notes.read(data), ())
+        self.assertFalse(peer_messages.is_tracker_note(data))
+        self.assertEqual(peer_messages.read(data), ())
         self.assertIsNone(zone_reports.decode(data))
 
     def test_no_two_of_12_000_units_are_confused(self):
--- a/tests/test_notes.py
+++ b/tests/test_peer_messages.py
@@ -9,8 +9,8 @@
 
 from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 from tealsail.lab.judging import Fleet, heard, mixed
-from tealsail.notes import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
 from tealsail.parts import excess_in_deviations
+from tealsail.peer_messages import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
 from tealsail.policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES
 
 from .fake import Story
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 from tealsail.net import relay_configuration
 from tealsail.net.relay import Relay
-from tealsail.notes import ask_note, load_note
+from tealsail.peer_messages import ask_note, load_note
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response, message
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from tealsail.net.discovery import read_news
 from tealsail.net.platform import read_state
 from tealsail.net.relay import Relay, unit_number
-from tealsail.notes import answer_note, count_notes, verdict_note
+from tealsail.peer_messages import answer_note, count_notes, verdict_note
 from tealsail.record.lines import Fault
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
