--- a/tealsail/adapter/protocol.py
+++ b/tealsail/adapter/protocol.py
@@ -40,7 +40,7 @@
     def vote(self, build: int, stage: int, verdict: int) -> None:
         self.output.append(f"BALLOT relay={self.relay_id} ring={stage} buildNo={build} how={verdict}")
 
-    def send_note(self, relay: int, data: bytes) -> None:
+    def send_message(self, relay: int, data: bytes) -> None:
         self.output.append(f"TELL relay={self.relay_id} neighbourId={relay} payload={data.hex() or '-'}")
 
     def wake(self, at: int, token: int) -> None:
@@ -74,7 +74,7 @@
             "HEADERS": lambda relay, fields: relay.on_started(int(fields["requestId"]), int(fields["try"])),
             "ABANDONED": lambda relay, fields: relay.on_abandoned(int(fields["requestId"])),
             "TIMER": lambda relay, fields: relay.on_wake(int(fields["ctx"])),
-            "HEARD": lambda relay, fields: relay.on_note(int(fields["originPeer"]), unhex(fields["payload"])),
+            "HEARD": lambda relay, fields: relay.on_peer_message(int(fields["originPeer"]), unhex(fields["payload"])),
             "STAGE": self.stage,
             "RETURNED": lambda relay, fields: relay.on_wrong_answer(
                 int(fields["unit"]), int(fields["grade"]), translation.tenths(fields["old"])
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -309,7 +309,7 @@
         return rows
 
     def await_digest(self, owner: int, now: int) -> None:
-        """Notes that a digest is expected, and mutes an owner that has not sent the last ones."""
+        """Records that a digest is expected, and mutes an owner that has not sent the last ones."""
         state = self.owner_states.setdefault(owner, OwnerState())
         state.unanswered += 1
         if state.unanswered > MAX_UNANSWERED:
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -70,7 +70,7 @@
         self.counts = {"kept": 0, "spilled": 0, "refused": 0, "probes": 0, "matched": 0, "doubted": 0, "told": 0}
         relay.tier = self.tier
         self.reports, self.own_zone = ReceivedReports(2 * zoning.span), own_zone
-        self.receive_other, relay.on_note = relay.on_note, self.receive
+        self.receive_other, relay.on_peer_message = relay.on_peer_message, self.receive
 
     def tier(self, unit: Unit) -> int:
         """How far a unit is, 0 for the nearest tier that has units."""
@@ -159,7 +159,7 @@
         for _ in range(min(RECEIVERS, others)):
             to = int(self.random.share() * others)
             self.counts["told"] += 1
-            relay.host.send_note(to + (to >= relay.index), data)
+            relay.host.send_message(to + (to >= relay.index), data)
 
     def update_shares(self) -> None:
         """Works out what each zone can do, which are lost or back, and from that the tiers' shares."""
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -2,7 +2,7 @@
 
 `Facade.pick` takes an invocation and returns what to do with it.  `Facade.report` takes an event and returns what to do
 next with the invocation that it is about, if anything.  `Facade.tick` returns what the module asks for by itself:
-votes, notes, shots to cancel, log lines, and steps that had to wait.  It is to be called once `Facade.due` has come.
+votes, messages, shots to cancel, log lines, and steps that had to wait.  It is to be called once `Facade.due` has come.
 Nothing is decided here.  Times are whole tenths of a millisecond of the clock handed in.
 """
 
@@ -95,8 +95,8 @@
     answer: str
 
 
-class NoteReceived(NamedTuple):
-    """A note from another relay."""
+class PeerMessageReceived(NamedTuple):
+    """A message from another relay."""
 
     relay: int
     data: bytes
@@ -110,7 +110,7 @@
     age: int
 
 
-Event = Outcome | ClientLeft | Units | RolloutState | VoteAnswered | NoteReceived | WrongAnswer
+Event = Outcome | ClientLeft | Units | RolloutState | VoteAnswered | PeerMessageReceived | WrongAnswer
 
 
 class Vote(NamedTuple):
@@ -121,7 +121,7 @@
     verdict: str
 
 
-class Note(NamedTuple):
+class PeerMessage(NamedTuple):
     """A message to the relay of that number, or to all of them (-1)."""
 
     relay: int
@@ -143,7 +143,7 @@
     """
 
     votes: list[Vote]
-    notes: list[Note]
+    messages: list[PeerMessage]
     cancellations: list[CancelShot]
     lines: list[str]
     steps: list[tuple[int, Step]]
@@ -221,8 +221,8 @@
                 return self.call_module(None, relay.on_stage, build, stage, PHASES.index(phase), cap, age)
             case VoteAnswered(answer):
                 return self.call_module(None, relay.on_vote_answer, answer)
-            case NoteReceived(sender, data):
-                return self.call_module(None, relay.on_note, sender, data)
+            case PeerMessageReceived(sender, data):
+                return self.call_module(None, relay.on_peer_message, sender, data)
             case WrongAnswer(unit, workload, age):
                 return self.call_module(None, relay.on_wrong_answer, unit, workload, age)
 
@@ -289,8 +289,8 @@
     def vote(self, build: int, stage: int, verdict: int) -> None:
         self.actions.votes.append(Vote(build, stage, VERDICTS[verdict]))
 
-    def send_note(self, relay: int, data: bytes) -> None:
-        self.actions.notes.append(Note(relay, data))
+    def send_message(self, relay: int, data: bytes) -> None:
+        self.actions.messages.append(PeerMessage(relay, data))
 
     def wake(self, at: int, token: int) -> None:
         self.wake_count += 1
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -26,8 +26,8 @@
     def vote(self, build: int, stage: int, verdict: int) -> None:
         """Cast this relay's one vote: 1 on, 2 hold, 3 back, 0 none."""
 
-    def send_note(self, relay: int, data: bytes) -> None:
-        """Send a note of at most 256 bytes to another relay, or to all of them (-1); it may be lost."""
+    def send_message(self, relay: int, data: bytes) -> None:
+        """Send a message of at most 256 bytes to another relay, or to all of them (-1); it may be lost."""
 
     def wake(self, at: int, token: int) -> None:
         """Call `Relay.on_wake(token)` at that time or soon after."""
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -13,7 +13,7 @@
 
 from ... import peer_messages
 from ...choices.live_settings import LiveSettings
-from ...facade import Facade, NoteReceived, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
+from ...facade import Facade, Outcome, PeerMessageReceived, Reject, RolloutState, SendShot, UnitEntry, Units
 from ...parts import stable_hash
 from ...settings import facts, nested_leaves
 from .events import BUILD, EARLIER, PAGE, Setup, judges, of_request, plain, settings, told, trackers
@@ -74,7 +74,9 @@
         number, step = self.facade.pick(f"w{self.sent % self.setup.classes}", name, "k", self.now + WAITS)
         if step is None:
             self.facade.report(
-                NoteReceived(self.facade.relay.load_tracking.tracker_index(), peer_messages.answer_note(number, 0))
+                PeerMessageReceived(
+                    self.facade.relay.load_tracking.tracker_index(), peer_messages.answer_message(number, 0)
+                )
             )
             steps = [each for at, each in self.facade.tick().steps if at == number]
             step = steps[0] if steps else None
@@ -85,7 +87,7 @@
         self.facade.tick()
 
     def hear(self, sender: int, data: bytes) -> None:
-        self.facade.report(NoteReceived(sender, data))
+        self.facade.report(PeerMessageReceived(sender, data))
 
 
 def took(act: Callable[[int], Any], many: int) -> list[float]:
--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -105,7 +105,7 @@
 def told(sender: int, count: int, classes: int) -> list[bytes]:
     """All cells of a relay's counts, as messages."""
     cells = 30 * classes
-    return peer_messages.count_notes(BUILD, sender, [(cell, 1 + count % 60_000) for cell in range(cells)], cells)
+    return peer_messages.count_messages(BUILD, sender, [(cell, 1 + count % 60_000) for cell in range(cells)], cells)
 
 
 def of_request(number: int, units: Sequence[int] = range(1200)) -> bytes:
@@ -113,5 +113,7 @@
     request, place = divmod(number, 3)
     unit = units[request * 7919 % len(units)]
     if place == 1:
-        return peer_messages.ask_note(request, [units[(request * 7919 + 13 * each) % len(units)] for each in range(8)])
-    return peer_messages.load_note(number, unit, int(place == 0), 16 * (place == 2))
+        return peer_messages.question_message(
+            request, [units[(request * 7919 + 13 * each) % len(units)] for each in range(8)]
+        )
+    return peer_messages.load_message(number, unit, int(place == 0), 16 * (place == 2))
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -12,7 +12,7 @@
 
 MESSAGES_OF_A_REQUEST = 3  # to the load tracker: began, which is best, ended (policy.py, Guide)
 MESSAGES_OF_COUNTS = (
-    2  # all cells of three request classes (peer_messages.py, count_notes), the most that a second brings
+    2  # all cells of three request classes (peer_messages.py, count_messages), the most that a second brings
 )
 
 
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -285,7 +285,7 @@
     marks = UINT16_MAX + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
-    where = Place("peer_messages", "load_note")
+    where = Place("peer_messages", "load_message")
     yield Need(Role.TRACKER, "units that share their 16 bits", alike, 0.0, "", None, source, where, "0 are wanted")
 
 
--- a/tealsail/lab/capacity/stand_ins.py
+++ b/tealsail/lab/capacity/stand_ins.py
@@ -256,7 +256,7 @@
         self.meter.datagram_sent(data)
         if len(data) >= 9 and len(data) % 2:
             number = int.from_bytes(data[:4], "little")
-            self.tell(peer_messages.answer_note(number, 0))
+            self.tell(peer_messages.answer_message(number, 0))
 
     def tell(self, data: bytes) -> None:
         self.meter.datagram_received(data)
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -11,9 +11,9 @@
 import numpy
 
 from ..choices.rate_limits import RateLimiter, count_message_limits
-from ..facade import Facade, NoteReceived, RolloutState, UnitEntry, Units
+from ..facade import Facade, PeerMessageReceived, RolloutState, UnitEntry, Units
 from ..parts import stable_hash
-from ..peer_messages import count_notes
+from ..peer_messages import count_messages
 from ..policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES, MAX_EXTRA_TURNS, RELAYS_PER_TURN
 from .costs import scenario
 
@@ -75,7 +75,7 @@
         )
         cells = [(int(cell), int(counts[cell])) for cell in numpy.flatnonzero(counts * (changed | whole))]
         self.told[relay] = counts
-        return count_notes(2, START, cells, len(counts)) if cells else []
+        return count_messages(2, START, cells, len(counts)) if cells else []
 
 
 def judge_of(relays: int) -> int:
@@ -157,7 +157,7 @@
             mail += [
                 (relay, data)
                 for lie in range(lies // 2)
-                for data in count_notes(
+                for data in count_messages(
                     2, stable_hash(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
                 )
             ]
@@ -171,7 +171,7 @@
             relay, data = mail[place]
             if not guarded or flood.allows(relay, now):
                 taken += 1
-                facade.report(NoteReceived(relay, data))
+                facade.report(PeerMessageReceived(relay, data))
         spent += time.process_time() - before
         come += len(mail)
         for unit in facade.relay.units.values() if lasting else ():
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -13,8 +13,8 @@
     CancelShot,
     Facade,
     Forfeit,
-    NoteReceived,
     Outcome,
+    PeerMessageReceived,
     Reject,
     RolloutState,
     SendShot,
@@ -82,7 +82,7 @@
         self.model, self.index = model, index
         facts = model.scenario.facts(index)
         self.rate, self.since, self.zero = 1.0, model.now, model.now  # its clock: how fast, and what it showed when
-        self.stopped, self.notes = -1, 0  # since when its process does not run; notes that wait for it
+        self.stopped, self.messages = -1, 0  # since when its process does not run; notes that wait for it
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.duties = ""  # who acts for the fleet, as it last logged
         self.facade = Facade(
@@ -118,7 +118,7 @@
 
     def stop(self) -> None:
         if self.stopped < 0:
-            self.stopped, self.notes = self.model.now, 0
+            self.stopped, self.messages = self.model.now, 0
             self.model.tell(RelayEvent(self.model.now, self.index, "stopped"))
 
     def go_on(self) -> None:
@@ -266,7 +266,7 @@
         if self.stopped >= 0:
             return  # it looks when it runs again
         actions = facade.actions
-        if actions.votes or actions.notes or actions.cancellations or actions.lines or actions.steps:
+        if actions.votes or actions.messages or actions.cancellations or actions.lines or actions.steps:
             return self.ticked()
         due = facade.wake_ups[0][0] if facade.wake_ups else NEVER
         if due < self.timer:
@@ -292,7 +292,7 @@
                 self.follow(self.serving[number], step)
             elif type(step) is SendShot:
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for to, data in actions.notes:
+        for to, data in actions.messages:
             for other in range(len(model.doors)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
                     model.later(model.now + wait, model.note, other, self.index, data)
@@ -486,11 +486,11 @@
     def note(self, to: int, sender: int, data: bytes) -> None:
         door = self.doors[to]
         if door and door.stopped >= 0:
-            door.notes += 1
-            if door.notes <= BUFFER:
+            door.messages += 1
+            if door.messages <= BUFFER:
                 door.waits(1, self.note, to, sender, data)
         elif door:
-            door.facade.report(NoteReceived(sender, data))
+            door.facade.report(PeerMessageReceived(sender, data))
             door.schedule()
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -1,11 +1,11 @@
-"""Notes to and from the other relays, as UDP datagrams."""
+"""Messages to and from the other relays, as UDP datagrams."""
 
 from collections.abc import Callable
 
 from twisted.internet.protocol import DatagramProtocol
 
 from ..choices.rate_limits import SHOT_MESSAGE_LIMITS, RateLimiter
-from ..peer_messages import is_tracker_note
+from ..peer_messages import is_tracker_message
 from .counters import Counters
 
 MAX_DATAGRAM_BYTES = 256
@@ -18,7 +18,7 @@
 
 
 class Peers(DatagramProtocol):
-    """Sends notes to the other relays and receives theirs.
+    """Sends messages to the other relays and receives theirs.
 
     A relay's number is its position in `addresses`; datagrams from other addresses are dropped.
     """
@@ -30,33 +30,33 @@
         addresses: list[str],
         broadcast_address: str,
         counters: Counters,
-        on_note: Callable[[int, bytes], None],
+        on_peer_message: Callable[[int, bytes], None],
         count_limit: RateLimiter,
         clock: Callable[[], int],
     ) -> None:
-        """`on_note` gets a relay's number and its note.
+        """`on_peer_message` gets a relay's number and its message.
 
-        `count_limit` bounds the notes of counts; notes of shots, far more and small, have a bound of their own.
+        `count_limit` bounds the messages of counts; messages of shots, far more and small, have a bound of their own.
         `broadcast_address` is that of all relays together, or empty; `clock` gives tenths of a millisecond.
         """
         self.addresses = [parse_address(address) for address in addresses]
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.broadcast_address = parse_address(broadcast_address) if broadcast_address else None
-        self.counters, self.on_note = counters, on_note
+        self.counters, self.on_peer_message = counters, on_peer_message
         self.count_limit, self.shot_limit, self.clock = count_limit, RateLimiter(SHOT_MESSAGE_LIMITS), clock
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         number = self.numbers.get(address)
         if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.dropped")
-        elif not (self.shot_limit if is_tracker_note(data) else self.count_limit).allows(number, self.clock()):
+        elif not (self.shot_limit if is_tracker_message(data) else self.count_limit).allows(number, self.clock()):
             self.counters.add("peers.shed")
         else:
             self.counters.add("peers.heard")
-            self.on_note(number, data)
+            self.on_peer_message(number, data)
 
     def send(self, number: int, data: bytes) -> None:
-        """Send a note to the relay of that number, or to all relays (-1)."""
+        """Send a message to the relay of that number, or to all relays (-1)."""
         to = self.broadcast_address if number < 0 else self.addresses[number] if number < len(self.addresses) else None
         if not to or not self.transport or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.unsent")
@@ -64,5 +64,5 @@
         try:
             self.transport.write(data, to)
             self.counters.add("peers.told")
-        except OSError:  # a full buffer or a refused port: notes may be lost
+        except OSError:  # a full buffer or a refused port: messages may be lost
             self.counters.add("peers.unsent")
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -17,8 +17,8 @@
     ClientLeft,
     Facade,
     Forfeit,
-    NoteReceived,
     Outcome,
+    PeerMessageReceived,
     Reject,
     RolloutState,
     SendShot,
@@ -409,7 +409,7 @@
 
     def on_peer_message(self, number: int, data: bytes) -> None:
         """`number`: the index of the relay that sent it."""
-        self.facade.report(NoteReceived(number, data))
+        self.facade.report(PeerMessageReceived(number, data))
         self.schedule_tick()
 
     def schedule_tick(self) -> None:
@@ -435,7 +435,7 @@
                 self.serving[number].execute_safely(step)
             elif isinstance(step, SendShot):  # its client has left since
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for number, data in actions.notes:
+        for number, data in actions.messages:
             self.peers.send(number, data)
         for vote in actions.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -304,16 +304,16 @@
     """What relays have reported of their shots at one unit, as the load tracker keeps it."""
 
     def __init__(self) -> None:
-        self.by_sender: dict[int, tuple[int, int, int]] = {}  # relay -> count of its note, its shots there, when
+        self.by_sender: dict[int, tuple[int, int, int]] = {}  # relay -> count of its message, its shots there, when
         self.open_shots = 0  # of all relays
         self.assigned: list[tuple[int, int]] = []  # relay that was given this unit (-1: and reported the shot), when
         self.latency_ratio = 1.0  # both as in Unit
         self.error_rate = 0.0
 
     def update(self, sender: int, count: int, open_shots: int, came: int, now: int) -> None:
-        """Takes a load note in (fields: `load_note` in tealsail/peer_messages.py).
+        """Takes a load message in (fields: `load_message` in tealsail/peer_messages.py).
 
-        Notes may overtake each other.  The newer of two has the higher count, of 16 bits that wrap round.
+        Messages may overtake each other.  The newer of two has the higher count, of 16 bits that wrap round.
         """
         before = self.by_sender.get(sender)
         if before is None or (count - before[0]) & 0xFFFF < 0x8000:
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -489,9 +489,10 @@
 class LoadTracking:
     """Makes up for load reports of units that are missing, late or false.
 
-    A relay of the fleet, the load tracker, is told of each shot of all relays, and is asked which of a few units has
-    the fewest shots.  It is drawn by hash, so that all relays agree on it.  One that does not answer is left out for a
-    while, and the next one takes its place.  Every relay has this object both to ask the tracker and to be it.
+    A relay of the fleet, the load tracker, receives a report of each shot of all relays, and is asked which of a few
+    units has the fewest shots.  It is drawn by hash, so that all relays agree on it.  One that does not answer is left
+    out for a while, and the next one takes its place.  Every relay has this object both to ask the tracker and to be
+    it.
     """
 
     TRACKERS = 3  # relays drawn, of which the first that answers is the tracker
@@ -509,7 +510,7 @@
         self.muted_until = dict.fromkeys(self.order, 0)
         self.pending: dict[int, Invocation] = {}  # held until the tracker's answer or the end of the wait
         self.unanswered = 0  # questions in a row
-        self.notes_sent = 0
+        self.load_messages_sent = 0
         self.first_report_at = 0  # as the tracker: when reports began, or began again after a span without completions
         self.completions = SlidingSum(2 * SECOND, WINDOW_BUCKETS)  # as the tracker: shots that ended
         self.loads: defaultdict[int, UnitLoad] = defaultdict(UnitLoad)  # as the tracker: what all relays have at a unit
@@ -532,12 +533,12 @@
         relay.host.wake(
             min(relay.now + self.ANSWER_TIMEOUT, invocation.give_up), relay.WAKE_TRACKER_TIMEOUT + invocation.number
         )
-        self.send(tracker_index, peer_messages.ask_note(invocation.number, [unit.number for unit in near]))
+        self.send(tracker_index, peer_messages.question_message(invocation.number, [unit.number for unit in near]))
         return True
 
     def send(self, tracker_index: int, data: bytes) -> None:
-        """Sends a note to a relay, or handles it here if it is this one."""
-        (self.receive if tracker_index == self.relay.index else self.relay.host.send_note)(tracker_index, data)
+        """Sends a message to a relay, or handles it here if it is this one."""
+        (self.receive if tracker_index == self.relay.index else self.relay.host.send_message)(tracker_index, data)
 
     def resume(self, number: int, place: int = -1) -> None:
         """Goes on with an invocation that waits: `place` is the tracker's choice among the candidates, -1 for no
@@ -558,8 +559,13 @@
         `times` is its latency over the usual one.
         """
         if (tracker_index := self.tracker_index()) >= 0:
-            self.notes_sent, came = self.notes_sent + 1, 255 if outcome == "error" else min(254, int(16 * times))
-            self.send(tracker_index, peer_messages.load_note(self.notes_sent, unit.number, unit.open_shots, came))
+            self.load_messages_sent, came = (
+                self.load_messages_sent + 1,
+                255 if outcome == "error" else min(254, int(16 * times)),
+            )
+            self.send(
+                tracker_index, peer_messages.load_message(self.load_messages_sent, unit.number, unit.open_shots, came)
+            )
 
     def least_loaded(self, sender: int, keys: tuple[int, ...]) -> int:
         """As the tracker: the place of the unit with the lowest cost among `keys`, or NO_ROOM where all are full."""
@@ -583,8 +589,8 @@
         return place
 
     def receive(self, sender: int, data: bytes) -> None:
-        """Handles a note of another relay: a report or a question as the tracker, an answer as the one who asked."""
-        figures = peer_messages.read_tracker_note(data)
+        """Handles a message of another relay: a report or a question as the tracker, an answer as the one who asked."""
+        figures = peer_messages.read_tracker_message(data)
         if len(data) == 6:
             self.first_report_at = self.first_report_at if self.completions.total(self.relay.now) else self.relay.now
             self.loads[figures[1]].update(sender, figures[0], *figures[2:], self.relay.now)
@@ -592,7 +598,7 @@
         elif len(data) == 5 and sender in self.order:
             self.resume(*figures)
         elif len(data) > 5 and figures:
-            self.send(sender, peer_messages.answer_note(figures[0], self.least_loaded(sender, figures[2:])))
+            self.send(sender, peer_messages.answer_message(figures[0], self.least_loaded(sender, figures[2:])))
 
 
 class Gate(ChainStage):
@@ -716,7 +722,7 @@
         return part * (self.facts["free_shots"] + self.relay.cap(build) * invocations) - shots
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
-        """Notes that the shot has ended, and whether it is proved that it did not run."""
+        """Records that the shot has ended, and whether it is proved that it did not run."""
         shot.ended, shot.never_ran = True, outcome in OUTCOMES_NOT_RUN
         self.answer_rate += 0.05 * ((outcome != "error") - self.answer_rate)
         super().backward(shot, outcome, latency)
@@ -725,9 +731,9 @@
 class Judge:
     """Pools the counts of all relays and votes on the build on trial.
 
-    Three judges are drawn by hash for a build, and stay for all its stages: newly drawn ones would hear of failures
-    first.  Departure: where more votes are needed than there are judges, the relays next in the order cast the verdict
-    that any judge sends them.
+    Three judges are drawn by hash for a build, and stay for all its stages: newly drawn ones would receive the counts
+    with failures first.  Departure: where more votes are needed than there are judges, the relays next in the order
+    cast the verdict that any judge sends them.
 
     A beat is half a second.
     """
@@ -752,7 +758,7 @@
             for group, columns in SENDER_SUMS
         ]
         self.pooled = peer_messages.CountPool(len(GROUPS) * size, kinds)  # what the other relays counted
-        self.heard: dict[int, int] = {}  # relay -> when it last sent counts
+        self.last_counts_at: dict[int, int] = {}  # relay -> when it last sent counts
         self.windows = GrowthWindows(BRIEF_WINDOW)
         self.build_since = self.relay.now
         self.counting_since = self.relay.started_at  # marks a series of this relay's counts that only grow
@@ -774,7 +780,7 @@
         alive = [
             index
             for index in self.order[: JUDGES + 1]
-            if index == relay.index or relay.now - self.heard.get(index, relay.stage_since) < JUDGE_TIMEOUT
+            if index == relay.index or relay.now - self.last_counts_at.get(index, relay.stage_since) < JUDGE_TIMEOUT
         ]
         return relay.index in alive[:JUDGES] or (self.place < self.voters and not self.facts["may_tell"])
 
@@ -783,10 +789,10 @@
 
         Each second what has changed is sent, and every fourth time everything.  New failures are sent each half
         second, since a build that turns bad late must go back before the next one is due.  The baseline's failures are
-        sent as soon as the canary's: else a judge of many relays would hear first of those whose canary failed, and
-        send a good build back.
+        sent as soon as the canary's: else a judge of many relays would first receive those of relays whose canary
+        failed, and send a good build back.
         """
-        relay, trial, send = self.relay, self.relay.trial, self.relay.host.send_note
+        relay, trial, send = self.relay, self.relay.trial, self.relay.host.send_message
         counts = [count for name in GROUPS for count in trial.groups[name]]  # the canary's first
         counts = [count - base for count, base in zip(counts, self.count_base)]
         matched = 2 * len(trial.recent_counts)  # cells of canary and baseline
@@ -796,13 +802,14 @@
         if trial.build < 0 or not self.facts["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
             return
         if self.verdict and self.voters > JUDGES and self.is_judging():
-            send(-1, peer_messages.verdict_note(relay.build, relay.stage, self.verdict))  # again, in case it was lost
+            # Sent again, in case it was lost.
+            send(-1, peer_messages.verdict_message(relay.build, relay.stage, self.verdict))
         sends_all = (self.beat // 2 + relay.index) % 4 == 0
         cells, self.counts_sent = (
             peer_messages.changed_cells(counts, [] if sends_all else self.counts_sent, CELLS_PER_WORKLOAD),
             counts,
         )
-        for data in peer_messages.count_notes(trial.build, self.counting_since, cells, len(counts)):
+        for data in peer_messages.count_messages(trial.build, self.counting_since, cells, len(counts)):
             for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
                 if index != relay.index:
                     send(index, data)
@@ -814,12 +821,12 @@
             self.counts_sent = [0] * len(counts)
 
     def receive(self, sender: int, data: bytes) -> None:
-        """Handles a note of another relay: its counts, or a judge's verdict."""
+        """Handles a message of another relay: its counts, or a judge's verdict."""
         relay, figures = self.relay, peer_messages.read(data)
         if not figures or figures[0] != relay.build:
             return
         if len(figures) > 3:
-            self.heard[sender] = relay.now
+            self.last_counts_at[sender] = relay.now
             self.pooled.add(sender, figures[1], figures[4:])
         elif (
             sender in self.order[: JUDGES + 1]
@@ -911,12 +918,13 @@
         rates = [unit.error_rate for unit in relay.units.values() if unit.build == relay.build]
         is_wide = sum(each > 0.03 for each in rates) >= BRIEF_WINDOW_UNITS
         broad = BROAD_UNITS_RATIO * sum(each > 0.002 for each in rates)
-        is_known = (
-            sum(counts[0] + counts[1] for counts in pooled[1]) >= LEAST_OUTCOMES // 2
-        )  # else no baseline to compare
-        before, is_thin = self.verdict, sum(counts[0] + counts[1] for counts in pooled[0]) < LEAST_OUTCOMES
-        heard = 1 + 2 * sum(relay.now - at < 2 * JUDGE_TIMEOUT for at in self.heard.values())
-        is_deaf = self.facts["may_tell"] and heard < self.facts["relays"]  # under half are heard: evidence was lost
+        # Without a baseline there is nothing to compare with.
+        is_known = sum(counts[0] + counts[1] for counts in pooled[1]) >= LEAST_OUTCOMES // 2
+        earlier_verdict, is_thin = self.verdict, sum(counts[0] + counts[1] for counts in pooled[0]) < LEAST_OUTCOMES
+        # Twice the relays whose counts came of late, this one counted once: evidence was lost where under half of the
+        # fleet reports.
+        doubled_reporting = 1 + 2 * sum(relay.now - at < 2 * JUDGE_TIMEOUT for at in self.last_counts_at.values())
+        is_evidence_missing = self.facts["may_tell"] and doubled_reporting < self.facts["relays"]
         # Departure: fewer failures, if they are beyond chance and on a quarter of the build's units, also send it back.
         # That catches a build that turns bad late.
         threshold = sqrt(
@@ -938,11 +946,11 @@
         if is_known and is_failing:
             self.verdict = BACK
         elif not self.verdict and relay.phase == ON_TRIAL and relay.now >= self.due_at():
-            is_known = not is_thin or (relay.now >= self.due_at() + THIN_EVIDENCE_WAIT and not is_deaf)
+            is_known = not is_thin or (relay.now >= self.due_at() + THIN_EVIDENCE_WAIT and not is_evidence_missing)
             self.verdict = BACK if self.is_worse(*pooled) else ON * is_known
-        if self.verdict != before:
+        if self.verdict != earlier_verdict:
             if self.voters > JUDGES:  # at once: until the next beat the build would wait for its voters
-                relay.host.send_note(-1, peer_messages.verdict_note(relay.build, relay.stage, self.verdict))
+                relay.host.send_message(-1, peer_messages.verdict_message(relay.build, relay.stage, self.verdict))
             relay.host.log(
                 f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:"
                 + "".join(
@@ -1043,7 +1051,7 @@
             stage.arrange()
 
     def on_trial(self, build: int) -> bool:
-        """Whether the build is on trial or newer than the newest one that the platform has told of."""
+        """Whether the build is on trial or newer than the newest one that the platform has named."""
         return build > self.build >= 0 or (build == self.build and self.phase != RELEASED)
 
     def cap(self, build: int) -> float:
@@ -1160,9 +1168,9 @@
         elif token - self.WAKE_OVERDUE in self.known:
             self.intake.on_overdue(self.known[token - self.WAKE_OVERDUE])
 
-    def on_note(self, sender: int, data: bytes) -> None:
-        """Takes a note of another relay (tealsail/peer_messages.py)."""
-        (self.load_tracking if peer_messages.is_tracker_note(data) else self.judge).receive(sender, data)
+    def on_peer_message(self, sender: int, data: bytes) -> None:
+        """Takes a message of another relay (tealsail/peer_messages.py)."""
+        (self.load_tracking if peer_messages.is_tracker_message(data) else self.judge).receive(sender, data)
 
     def on_stage(self, build: int, stage: int, phase: int, cap: float, age: int) -> None:
         """Takes the platform's state of the newest build: stage, phase, cap on its exposure, and since how long."""
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -17,7 +17,7 @@
 from .clients import ClientBehaviour, Clients, Workload
 from .faults import Fault
 from .fleet import Fleet, FleetLayout
-from .network import Network, NetworkPaths, NoteFault
+from .network import MessageFault, Network, NetworkPaths
 from .platform import Platform, RolloutPlan
 from .random_draws import SELECTION, QuantileTable, uniform
 from .unit import NEVER, Unit, UnitKind
@@ -198,7 +198,7 @@
             case "platform busy":
                 self.platform.make_busy(now, fault.span)
             case "notes":
-                self.network.note_faults.append(NoteFault(fault.who, now + fault.span, fault.times, fault.far))
+                self.network.message_faults.append(MessageFault(fault.who, now + fault.span, fault.times, fault.far))
             case "cut":
                 until = now + fault.span if fault.span else NEVER
                 self.cut(now, fault, index, until)
--- a/tealsail/world/faults.py
+++ b/tealsail/world/faults.py
@@ -17,10 +17,10 @@
     part: float = 0.0
     zone: str = ""
     build: int = -1
-    who: str = ""  # number of a relay, its role (`keeper`, `judge`, `judges`), a customer, or what happens to notes
+    who: str = ""  # number of a relay, its role (`keeper`, `judge`, `judges`), a customer, or what happens to messages
     times: float = 1.0  # a factor (slow, surge, run clocks), a share (fail, notes, hold) or seconds (step clocks)
     whom: str = ""  # the other side of a cut: list, platform, others, zone NAME, or relays (those of `party`)
     one_way: bool = False  # the cut loses only what the first side sends to the second
-    far: int = 0  # delay or age of notes
+    far: int = 0  # delay or age of messages
     party: tuple[str, int, float, str] = ("", 0, 0.0, "")  # relays of `whom`, as who, many, part, zone
     text: str = ""  # the line itself
--- a/tealsail/world/network.py
+++ b/tealsail/world/network.py
@@ -1,8 +1,8 @@
-"""The network between relays and units and between relays: delays, cuts, and notes lost, late, doubled or replayed."""
+"""The network between relays and units and between relays: delays, cuts, and faults of messages."""
 
 from typing import Any, NamedTuple
 
-from .random_draws import NOTES, uniform
+from .random_draws import MESSAGES, uniform
 
 
 class NetworkPaths(NamedTuple):
@@ -11,22 +11,22 @@
     near: int = 2  # within a zone
     far: int = 10  # to another zone
     handshake: int = 5  # added by a new connection, on top of its round trip
-    note_least: int = 5  # notes between relays take from this
-    note_most: int = 50  # to this
-    note_loss: float = 0.0  # share of notes that are lost
+    least_message_delay: int = 5  # messages between relays take from this
+    most_message_delay: int = 50  # to this
+    message_loss: float = 0.0  # share of messages that are lost
     distances: dict[tuple[str, str], int] = {}  # by pair of zones, where they differ from `far`
 
 
-class NoteFault(NamedTuple):
-    """A fault of a share of all notes, until a time.  Times are tenths of a ms.
+class MessageFault(NamedTuple):
+    """A fault of a share of all messages, until a time.  Times are tenths of a ms.
 
-    `kind` is lost, late (by `far`), doubled, reordered (each note late by a random time up to `far`) or replayed (a
+    `kind` is lost, late (by `far`), doubled, reordered (each message late by a random time up to `far`) or replayed (a
     second copy after `far`).
     """
 
     kind: str
     until: int
-    part: float  # share of the notes
+    part: float  # share of the messages
     far: int = 0
 
 
@@ -40,10 +40,10 @@
         self.paths, self.zones, self.seed = paths, relay_zones, seed
         self.zone_cuts: dict[tuple[int, str], int] = {}  # relay and zone of units -> cut off until
         self.silent_units: dict[str, int] = {}  # unit -> nothing from it or to it until
-        self.relay_cuts: dict[tuple[int, int], int] = {}  # sender and receiver -> notes are lost until
+        self.relay_cuts: dict[tuple[int, int], int] = {}  # sender and receiver -> messages are lost until
         self.service_cuts: dict[tuple[int, str], int] = {}  # relay and `list` or `platform` -> cut off until
-        self.note_faults: list[NoteFault] = []
-        self.notes = 0  # so far
+        self.message_faults: list[MessageFault] = []
+        self.message_count = 0  # messages sent so far
 
     def plain(self) -> list[Any]:
         """All faults, as lists that JSON can hold."""
@@ -52,16 +52,16 @@
             for cuts in (self.zone_cuts, self.relay_cuts, self.service_cuts)
         ] + [
             [[name, until] for name, until in self.silent_units.items()],
-            [list(fault) for fault in self.note_faults],
+            [list(fault) for fault in self.message_faults],
         ]
 
     def restore(self, plain: list[Any]) -> None:
         """Replaces all faults by what `plain` returned."""
-        zone_cuts, relay_cuts, service_cuts, silent_units, note_faults = plain
+        zone_cuts, relay_cuts, service_cuts, silent_units, message_faults = plain
         self.zone_cuts, self.relay_cuts, self.service_cuts = (
             {(first, second): until for first, second, until in cuts} for cuts in (zone_cuts, relay_cuts, service_cuts)
         )
-        self.silent_units, self.note_faults = dict(silent_units), [NoteFault(*fault) for fault in note_faults]
+        self.silent_units, self.message_faults = dict(silent_units), [MessageFault(*fault) for fault in message_faults]
 
     def delay(self, relay: int, zone: str) -> int:
         """From a relay to a unit of that zone, one way."""
@@ -79,26 +79,29 @@
         return now >= self.service_cuts.get((relay, service), 0)
 
     def note(self, now: int, sender: int, to: int) -> list[int]:
-        """Sends a note from one relay to another; returns the delay of each copy that arrives, none if it is lost."""
-        self.notes += 1
+        """Sends a message between relays; returns the delay of each copy that arrives, none if it is lost."""
+        self.message_count += 1
         if self.relay_cuts and now < self.relay_cuts.get((sender, to), 0):
             return []
-        paths, draw = self.paths, uniform(self.seed, NOTES, self.notes, sender, to)
-        loss = paths.note_loss
-        if self.note_faults:
-            self.note_faults = [fault for fault in self.note_faults if now < fault.until]
-            loss = max([loss, *(fault.part for fault in self.note_faults if fault.kind == "lost")])
-        if loss and uniform(self.seed, NOTES, self.notes, to, sender, 1) < loss:
+        paths, draw = self.paths, uniform(self.seed, MESSAGES, self.message_count, sender, to)
+        loss = paths.message_loss
+        if self.message_faults:
+            self.message_faults = [fault for fault in self.message_faults if now < fault.until]
+            loss = max([loss, *(fault.part for fault in self.message_faults if fault.kind == "lost")])
+        if loss and uniform(self.seed, MESSAGES, self.message_count, to, sender, 1) < loss:
             return []
-        delays = [paths.note_least + int(draw * (paths.note_most - paths.note_least))]
-        for index, fault in enumerate(self.note_faults, 2):
-            if fault.kind == "lost" or uniform(self.seed, NOTES, self.notes, sender, to, index) >= fault.part:
+        delays = [paths.least_message_delay + int(draw * (paths.most_message_delay - paths.least_message_delay))]
+        for index, fault in enumerate(self.message_faults, 2):
+            if (
+                fault.kind == "lost"
+                or uniform(self.seed, MESSAGES, self.message_count, sender, to, index) >= fault.part
+            ):
                 continue
             if fault.kind == "late":
                 delays = [delay + fault.far for delay in delays]
             elif fault.kind == "reordered":
                 delays = [
-                    delay + int(uniform(self.seed, NOTES, self.notes, to, sender, index) * fault.far)
+                    delay + int(uniform(self.seed, MESSAGES, self.message_count, to, sender, index) * fault.far)
                     for delay in delays
                 ]
             else:  # doubled, with `far` 0, or replayed
--- a/tealsail/world/random_draws.py
+++ b/tealsail/world/random_draws.py
@@ -18,7 +18,7 @@
     OUTCOME,  # errors and wrong answers of a faulty build
     SPEED,  # speed of a machine
     DELAYS,  # delays of the unit list and of launches
-    NOTES,  # delay and loss of a relay's note to another
+    MESSAGES,  # delay and loss of a relay's message to another
     RETRY,  # wait before a client's repeat
     FAULT_AGE,  # age at which a build's fault begins
     SELECTION,  # units, machines and relays that a fault or a launch hits
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -118,7 +118,7 @@
         )
 
     def evidence(self, canary: dict[str, int], baseline: dict[str, int], start: int = 5) -> bytes:
-        """The note of another relay with its counts of both builds; `bucket` is the latency bucket of all served."""
+        """The message of another relay with its counts of both builds; `bucket` is the latency bucket of all served."""
         rows = [[each["served"], each.get("failed", 0)] + [0] * 8 for each in (canary, baseline)]
         for row, each in zip(rows, (canary, baseline)):
             row[2 + each.get("bucket", 1)] = each["served"]
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -17,7 +17,7 @@
     decode,
     encode,
 )
-from tealsail.peer_messages import read as read_note
+from tealsail.peer_messages import read as read_message
 
 SECOND = 10_000
 RULES = Zoning({})
@@ -254,7 +254,7 @@
     ) -> None:
         data = encode(ZoneReport(own_zone, trouble, own_trouble, tuple(rows)))
         self.assertLessEqual(len(data), 255)
-        self.assertEqual(read_note(data), ())
+        self.assertEqual(read_message(data), ())
         again = decode(data)
         self.assertEqual(again[:3], (own_zone, trouble, own_trouble))
         self.assertEqual(len(again.zones), min(63, len(rows)))
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -7,8 +7,8 @@
     ClientLeft,
     Facade,
     Forfeit,
-    NoteReceived,
     Outcome,
+    PeerMessageReceived,
     Reject,
     RolloutState,
     SendShot,
@@ -16,7 +16,7 @@
     Units,
     WrongAnswer,
 )
-from tealsail.peer_messages import answer_note, read_tracker_note
+from tealsail.peer_messages import answer_message, read_tracker_message
 
 from .fake import HARMLESS, ONE_SHOT, SECOND
 
@@ -73,11 +73,11 @@
         facade.report(Units("whole", [UnitEntry(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
         self.facade = facade
         (answered, first_step), (unanswered, second_step) = self.pick(), self.pick("order")
-        tracker, question = facade.tick().notes[0]
-        self.assertEqual((first_step, second_step, read_tracker_note(question)[0]), (None, None, answered))
-        self.assertIsNone(facade.report(NoteReceived(tracker, answer_note(answered, 1))))
+        tracker, question = facade.tick().messages[0]
+        self.assertEqual((first_step, second_step, read_tracker_message(question)[0]), (None, None, answered))
+        self.assertIsNone(facade.report(PeerMessageReceived(tracker, answer_message(answered, 1))))
         ((number, step),) = facade.tick().steps
-        self.assertEqual((number, step.unit), (answered, read_tracker_note(question)[3]))
+        self.assertEqual((number, step.unit), (answered, read_tracker_message(question)[3]))
         self.clock.now += facade.relay.load_tracking.ANSWER_TIMEOUT
         ((number, step),) = facade.tick().steps  # no answer: the relay has chosen itself
         self.assertEqual((number, type(step)), (unanswered, SendShot))
@@ -89,7 +89,7 @@
         self.facade.report(Units("whole", []))
         self.assertEqual(self.pick("order")[1], Reject(0))
 
-    def test_cancellations_and_notes_come_from_the_tick_that_is_due(self) -> None:
+    def test_cancellations_and_messages_come_from_the_tick_that_is_due(self) -> None:
         number, _ = self.pick()
         self.facade.tick()
         self.facade.report(ClientLeft(number))
@@ -97,13 +97,13 @@
         self.assertEqual(self.facade.tick().cancellations, [CancelShot(number, 0)])
         self.assertGreater(self.facade.due, self.clock.now)
         self.facade.report(RolloutState(2, 0, "on trial", 0.5, 0))
-        notes = []
+        messages = []
         for _ in range(8):
             self.clock.now = max(self.clock.now, self.facade.due)
-            notes += self.facade.tick().notes
-        self.assertEqual({note.relay for note in notes}, {1, 2})
-        self.facade.report(NoteReceived(1, notes[0].data))
-        self.assertIn(1, self.facade.relay.judge.heard)
+            messages += self.facade.tick().messages
+        self.assertEqual({message.relay for message in messages}, {1, 2})
+        self.facade.report(PeerMessageReceived(1, messages[0].data))
+        self.assertIn(1, self.facade.relay.judge.last_counts_at)
 
     def test_a_chosen_shot_may_be_sent_until_the_list_or_the_cap_forbids_it(self) -> None:
         number, step = self.pick()
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults of relays and notes in the script and in the model, evenness of load, and the hunt for failing days.
+"""Faults of relays and messages in the script and in the model, evenness of load, and the hunt for failing days.
 
 No processes are started.
 """
@@ -30,7 +30,7 @@
     Unit,
 )
 from tealsail.world.evenness import Evenness
-from tealsail.world.network import Network, NetworkPaths, NoteFault
+from tealsail.world.network import MessageFault, Network, NetworkPaths
 from tealsail.world.rules import RuleChecker
 
 from .test_lab import SECOND, day
@@ -87,9 +87,9 @@
             convert(day(trial={"beside": "/nowhere"}))
 
 
-class Notes(unittest.TestCase):
-    def test_late_doubled_reordered_and_replayed_notes_and_one_way_cuts_that_end(self) -> None:
-        network = Network(NetworkPaths(note_least=10, note_most=20), ["a"] * 4, 7)
+class MessageFaults(unittest.TestCase):
+    def test_late_doubled_reordered_and_replayed_messages_and_one_way_cuts_that_end(self) -> None:
+        network = Network(NetworkPaths(least_message_delay=10, most_message_delay=20), ["a"] * 4, 7)
         network.relay_cuts[0, 1] = SECOND
         self.assertEqual(
             (network.note(0, 0, 1), len(network.note(0, 1, 0)), len(network.note(SECOND, 0, 1))), ([], 1, 1)
@@ -100,7 +100,7 @@
             ("reordered", 10, 3_020, 1),
             ("replayed", 10, 3_020, 2),
         ):
-            network.note_faults = [NoteFault(kind, SECOND, 1.0, 0 if kind == "doubled" else 3_000)]
+            network.message_faults = [MessageFault(kind, SECOND, 1.0, 0 if kind == "doubled" else 3_000)]
             waits = [network.note(0, 2, 3) for _ in range(200)]
             self.assertEqual({len(each) for each in waits}, {copies}, kind)
             self.assertTrue(all(least <= wait <= most for each in waits for wait in each), kind)
@@ -109,7 +109,7 @@
         other.restore(network.plain())
         self.assertEqual(other.plain(), network.plain())
         network.note(2 * SECOND, 2, 3)
-        self.assertEqual(network.note_faults, [])  # what is over is forgotten
+        self.assertEqual(network.message_faults, [])  # what is over is forgotten
 
 
 class RelayAddresses(unittest.TestCase):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,13 +8,13 @@
 from tealsail.parts import rank_test, stable_hash
 from tealsail.peer_messages import (
     CountPool,
-    answer_note,
-    ask_note,
-    count_notes,
-    load_note,
+    answer_message,
+    count_messages,
+    load_message,
+    question_message,
     read,
-    read_tracker_note,
-    verdict_note,
+    read_tracker_message,
+    verdict_message,
 )
 from tests.fake import ONE_SHOT, SECOND, Story
 
@@ -26,7 +26,7 @@
         """The votes after one beat of a judge that has received this evidence on a stage of that age."""
         story = Story(**facts)
         story.trial(age=age)
-        story.relay.on_note(1, story.evidence(canary, baseline))
+        story.relay.on_peer_message(1, story.evidence(canary, baseline))
         story.beat()
         return story.votes()
 
@@ -50,7 +50,7 @@
             story = Story()
             story.trial()
             story.update_list([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
-            story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
+            story.relay.on_peer_message(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -61,7 +61,7 @@
         story = Story()
         story.trial()
         story.update_list([story.unit(3, 2, started=story.relay.now)], kind="changes")
-        story.relay.on_note(1, story.evidence(alike, alike))
+        story.relay.on_peer_message(1, story.evidence(alike, alike))
         story.beat()
         self.assertEqual(story.votes(), [])
 
@@ -81,14 +81,16 @@
             story.trial(age=0, many=many)
             self.assertEqual(story.relay.judge.due_at(), story.relay.now + policy.HORIZON + more)
 
-    def test_lost_reordered_and_repeated_notes_do_not_falsify_the_pool(self) -> None:
+    def test_lost_reordered_and_repeated_messages_do_not_falsify_the_pool(self) -> None:
         story = Story()
         story.trial(age=0)
         early, late = (story.evidence(dict(served=n), dict(served=n)) for n in (5, 30))
         for data in (early, late, early, b"junk", late[:-1]):
-            story.relay.on_note(1, data)
+            story.relay.on_peer_message(1, data)
         self.assertEqual(story.relay.judge.pool()[0][0][0], 30)
-        story.relay.on_note(1, story.evidence(dict(served=4), dict(served=4), start=99))  # the sender has restarted
+        story.relay.on_peer_message(
+            1, story.evidence(dict(served=4), dict(served=4), start=99)
+        )  # the sender has restarted
         self.assertEqual(story.relay.judge.pool()[0][0][0], 34)
 
     def votes_with_large_counts(self, seconds: int, failing: float) -> list[int]:
@@ -106,8 +108,8 @@
             served, failed = 240 * second, int(240 * second * failing)
             cells = [(0, served - failed), (1, failed), (10, 7200), (11, 22)]
             for sender in {*range(5)} - {story.relay.index}:
-                for data in count_notes(2, 5, cells, size):
-                    story.relay.on_note(sender, data)
+                for data in count_messages(2, 5, cells, size):
+                    story.relay.on_peer_message(sender, data)
             story.beat()
         return story.votes()
 
@@ -119,24 +121,24 @@
 
     def test_counts_over_16_bits_survive_loss_doubling_and_reordering(self) -> None:
         counts = [[(0, low), (1, 3), (40, 70_000 + low)] for low in (65_000, 65_535, 65_536, 65_537, 140_000)]
-        sent = [count_notes(2, 5, cells, 60) for cells in counts]
+        sent = [count_messages(2, 5, cells, 60) for cells in counts]
         for seed in range(20):
             chance, pool = random.Random(seed), CountPool(60)
-            notes = [data for notes in sent[:-1] for data in notes if chance.random() < 0.7] + sent[-1]
-            chance.shuffle(notes)
-            for data in notes + notes[:2]:
+            messages = [data for messages in sent[:-1] for data in messages if chance.random() < 0.7] + sent[-1]
+            chance.shuffle(messages)
+            for data in messages + messages[:2]:
                 pool.add(3, 5, read(data)[4:])
             self.assertEqual([pool.sums[cell] for cell in (0, 1, 40)], [140_000, 3, 210_000])
-            self.assertTrue(all(len(data) <= 256 for data in notes))
+            self.assertTrue(all(len(data) <= 256 for data in messages))
 
     def test_a_relay_that_is_no_judge_judges_only_in_place_of_a_silent_one(self) -> None:
         judges = with_stand_in = 0
         for index in range(8):
             story = Story(relays=8, index=index)
             story.trial(age=2 * SECOND)
-            story.relay.judge.heard = {other: story.relay.now for other in range(8)}
+            story.relay.judge.last_counts_at = {other: story.relay.now for other in range(8)}
             judges += story.relay.judge.is_judging()
-            story.relay.judge.heard.clear()
+            story.relay.judge.last_counts_at.clear()
             story.later(9 * SECOND)
             with_stand_in += story.relay.judge.is_judging()
         self.assertEqual((judges, with_stand_in), (3, 4))
@@ -144,7 +146,7 @@
     def test_a_vote_is_cast_again_if_it_did_not_count_or_expires_and_never_for_an_old_stage(self) -> None:
         story = Story(vote_life=6 * SECOND, vote_wait=SECOND)
         story.trial()
-        story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
+        story.relay.on_peer_message(1, story.evidence(dict(served=60), dict(served=60)))
         story.beat()
         story.beat()
         self.assertEqual(story.votes(), ON)  # none while one is unanswered
@@ -164,7 +166,7 @@
         story = Story()
         story.trial()
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
-        story.relay.on_note(1, story.evidence(dict(served=100, failed=20), dict(served=100)))
+        story.relay.on_peer_message(1, story.evidence(dict(served=100, failed=20), dict(served=100)))
         story.beat()
         self.assertEqual(story.votes(), BACK)
 
@@ -254,7 +256,7 @@
             story = Story(layout=layout)
             story.trial()
             story.relay.trial.groups["before"][2 + before] = 60
-            story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
+            story.relay.on_peer_message(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual((layout, before, story.votes()), (layout, before, votes))
 
@@ -263,7 +265,7 @@
         for layout, votes in (("beside", ON), ("in_place", [])):
             story = Story(8, layout=layout, stage_shares=[1.0])
             story.trial(many=4)
-            story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
+            story.relay.on_peer_message(1, story.evidence(dict(served=60), dict(served=60)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -303,7 +305,7 @@
             story = Story()
             story.trial()
             for sender, reported in ((1, honest), (2, honest), (3, honest), (5, (canary, baseline))):
-                story.relay.on_note(sender, story.evidence(*reported))
+                story.relay.on_peer_message(sender, story.evidence(*reported))
             story.beat()
             self.assertEqual(story.votes(), votes, canary)
 
@@ -322,7 +324,7 @@
             (10, judges[0], ON, ON + BACK),
         ):
             judge.place = place
-            story.relay.on_note(sender, verdict_note(2, 0, *verdict))
+            story.relay.on_peer_message(sender, verdict_message(2, 0, *verdict))
             story.beat()
             story.relay.on_vote_answer("ok")
             self.assertEqual(story.votes(), votes)
@@ -334,7 +336,7 @@
             judge = story.relay.judge
             judge.place, judge.verdict, judge.order, judge.beat = 0, policy.BACK, [0, *judge.order], 1
             judge.send_counts()
-            self.assertEqual(sum(to == -1 for to, _ in story.host.of("send_note")), sent)
+            self.assertEqual(sum(to == -1 for to, _ in story.host.of("send_message")), sent)
 
     def test_a_relay_with_nothing_new_sends_nothing_but_all_counts_every_fourth_second(self) -> None:
         story = Story(relays=40)
@@ -344,7 +346,7 @@
         lengths = []
         for judge.beat in (3, 5, 7, 9, 11):
             judge.send_counts()
-            lengths.append(len(story.host.of("send_note")))
+            lengths.append(len(story.host.of("send_message")))
         self.assertEqual(lengths, [4, 4, 4, 8, 8])  # to the judges and the next in the order
 
     def test_thousands_of_relays_send_counts_in_turns_and_judges_each_time(self) -> None:
@@ -364,10 +366,10 @@
             judge.order = [number for number in range(10) if number != index]
             for beat in range(32):  # sixteen seconds, with new failures all the time
                 judge.beat = beat
-                before = len(story.host.of("send_note"))
+                before = len(story.host.of("send_message"))
                 story.relay.trial.groups["canary"][beat % 2 * 2] += 1
                 judge.send_counts()
-                sent.append(len(story.host.of("send_note")) > before)
+                sent.append(len(story.host.of("send_message")) > before)
             self.assertEqual(sum(sent), times, (relays, index, judges))
 
     def test_counts_of_weeks_do_not_overflow(self) -> None:
@@ -381,10 +383,10 @@
             judge.beat = beat
             count += 700_000_000
             story.relay.trial.groups["canary"][0] = count
-            before = len(story.host.of("send_note"))
+            before = len(story.host.of("send_message"))
             judge.send_counts()
             story.later(policy.SECOND)
-            for _, data in story.host.of("send_note")[before:]:
+            for _, data in story.host.of("send_message")[before:]:
                 figures = read(data)
                 pool.add(7, figures[1], figures[4:])
         self.assertGreater(count, 1 << 33)
@@ -398,7 +400,7 @@
         for judge.beat, cell in ((2, 0), (2, 1), (2, 1), (3, 0), (4, 0)):
             story.relay.trial.groups["canary"][cell] += 1
             judge.send_counts()
-            sent.append(len(story.host.of("send_note")))
+            sent.append(len(story.host.of("send_message")))
         self.assertEqual(sent, [0, 2, 4, 6, 6])
 
     def test_recent_failures_on_several_units_give_back_and_those_of_one_unit_do_not(self) -> None:
@@ -468,14 +470,14 @@
         story.relay.on_wake(story.relay.WAKE_BEAT)
         self.assertEqual(story.host.of("wake")[-1], (due + SECOND // 2, story.relay.WAKE_BEAT))
 
-    def test_no_on_while_notes_of_most_relays_are_missing(self) -> None:
-        for heard, votes in ((0, []), (25, ON)):
+    def test_no_on_while_messages_of_most_relays_are_missing(self) -> None:
+        for last_counts_at, votes in ((0, []), (25, ON)):
             story = Story(relays=40)
             story.trial(age=60 * SECOND)
             story.relay.judge.order.insert(0, 0)
             story.later(9 * SECOND)
-            for sender in range(1, heard + 1):
-                story.relay.on_note(sender, story.evidence(dict(served=0), dict(served=0)))
+            for sender in range(1, last_counts_at + 1):
+                story.relay.on_peer_message(sender, story.evidence(dict(served=0), dict(served=0)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -518,17 +520,17 @@
     def test_the_tracker_names_the_least_loaded_unit_and_the_shot_goes_there(self) -> None:
         story = self.story()
         number = story.take()
-        ((tracker, asked),) = story.host.of("send_note")
+        ((tracker, asked),) = story.host.of("send_message")
         self.assertEqual((story.sent(), tracker), ([], story.relay.load_tracking.order[0]))
-        self.assertEqual(read_tracker_note(asked)[:2], (number, 4))
-        story.relay.on_note(tracker, answer_note(number, 2))
-        self.assertEqual(story.sent(number), [read_tracker_note(asked)[2 + 2]])
+        self.assertEqual(read_tracker_message(asked)[:2], (number, 4))
+        story.relay.on_peer_message(tracker, answer_message(number, 2))
+        self.assertEqual(story.sent(number), [read_tracker_message(asked)[2 + 2]])
         other = Story(relays=9, index=tracker, load_via="none")
         for count, (unit, out) in enumerate(((0, 2), (1, 1), (2, 0), (3, 1))):
-            other.relay.on_note(5, load_note(count, unit, out, 0))
-        other.relay.on_note(5, load_note(1, 1, 9, 0))  # an older note that comes late
-        other.relay.on_note(7, ask_note(77, [0, 1, 2, 3]))
-        self.assertEqual(other.host.of("send_note")[-1], (7, answer_note(77, 2)))
+            other.relay.on_peer_message(5, load_message(count, unit, out, 0))
+        other.relay.on_peer_message(5, load_message(1, 1, 9, 0))  # an older message that comes late
+        other.relay.on_peer_message(7, question_message(77, [0, 1, 2, 3]))
+        self.assertEqual(other.host.of("send_message")[-1], (7, answer_message(77, 2)))
 
     def test_without_an_answer_the_relay_chooses_itself_and_leaves_the_silent_tracker_out(self) -> None:
         story = self.story()
@@ -539,12 +541,12 @@
             self.assertEqual(len(story.sent(number)), 1)
         self.assertEqual(story.relay.load_tracking.tracker_index(), story.relay.load_tracking.order[1])
         other = story.take()
-        story.relay.on_note(
-            min({*range(1, 9)} - {*story.relay.load_tracking.order}), answer_note(other, 1)
+        story.relay.on_peer_message(
+            min({*range(1, 9)} - {*story.relay.load_tracking.order}), answer_message(other, 1)
         )  # not asked
         self.assertEqual(story.sent(other), [])
-        story.relay.on_note(
-            story.relay.load_tracking.order[0], answer_note(number, 1)
+        story.relay.on_peer_message(
+            story.relay.load_tracking.order[0], answer_message(number, 1)
         )  # too late: nothing is sent twice
         self.assertEqual(len(story.sent(number)), 1)
 
@@ -552,7 +554,7 @@
         story = self.story()
         gone, late = story.take(), story.take()
         story.relay.on_abandoned(gone)
-        story.relay.on_note(story.relay.load_tracking.order[0], answer_note(gone, 0))
+        story.relay.on_peer_message(story.relay.load_tracking.order[0], answer_message(gone, 0))
         story.later(4 * SECOND)
         story.relay.on_wake(story.relay.WAKE_TRACKER_TIMEOUT + late)
         self.assertEqual((story.sent(), [number for number, _ in story.host.of("reject")]), ([], [late]))
@@ -563,7 +565,7 @@
         numbers = [story.take() for _ in range(20)]
         story.update_list([story.unit(number) for number in range(2)])
         for number in numbers:
-            story.relay.on_note(story.relay.load_tracking.order[0], answer_note(number, 0))
+            story.relay.on_peer_message(story.relay.load_tracking.order[0], answer_message(number, 0))
         self.assertTrue(set(story.sent()) <= {0, 1})
         self.assertFalse(story.relay.load_tracking.pending)
 
@@ -580,39 +582,39 @@
     def test_where_any_unit_would_be_late_the_asker_rejects_at_once_with_advice(self) -> None:
         """Each of a hundred relays learnt of an overload from its own few answers, and a fifth of all were late."""
         story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
-        story.relay.on_note(7, ask_note(75, [0, 1, 2, 3]))  # asked before any report
+        story.relay.on_peer_message(7, question_message(75, [0, 1, 2, 3]))  # asked before any report
         for count in range(100):  # 50 completions a second at four units with 20 shots each
             story.later(200)
-            story.relay.on_note(5, load_note(count, count % 4, 20, 16))
+            story.relay.on_peer_message(5, load_message(count, count % 4, 20, 16))
             # A tracker that has just begun to receive reports knows no pace: a tenth of the invocations in the first
             # seconds after a start was rejected.
             if count == 9:
-                story.relay.on_note(7, ask_note(76, [0, 1, 2, 3]))
-        for _, answer in story.host.of("send_note")[:2]:
-            self.assertLess(read_tracker_note(answer)[1], 4)
+                story.relay.on_peer_message(7, question_message(76, [0, 1, 2, 3]))
+        for _, answer in story.host.of("send_message")[:2]:
+            self.assertLess(read_tracker_message(answer)[1], 4)
         for count in range(200, 400):
             story.later(200)
-            story.relay.on_note(5, load_note(count, count % 4, 20, 16))
-        story.relay.on_note(7, ask_note(77, [0, 1, 2, 3]))
-        self.assertEqual(story.host.of("send_note")[-1], (7, answer_note(77, policy.NO_ROOM)))
+            story.relay.on_peer_message(5, load_message(count, count % 4, 20, 16))
+        story.relay.on_peer_message(7, question_message(77, [0, 1, 2, 3]))
+        self.assertEqual(story.host.of("send_message")[-1], (7, answer_message(77, policy.NO_ROOM)))
         for unit in range(4):
-            story.relay.on_note(5, load_note(500 + unit, unit, 2, 16))
-        story.relay.on_note(7, ask_note(78, [0, 1, 2, 3]))
-        self.assertLess(read_tracker_note(story.host.of("send_note")[-1][1])[1], 4)
+            story.relay.on_peer_message(5, load_message(500 + unit, unit, 2, 16))
+        story.relay.on_peer_message(7, question_message(78, [0, 1, 2, 3]))
+        self.assertLess(read_tracker_message(story.host.of("send_message")[-1][1])[1], 4)
         asking = self.story(may_advise=True, longest_advice=SECOND)
         number = asking.take()
-        asking.relay.on_note(asking.relay.load_tracking.order[0], answer_note(number, policy.NO_ROOM))
+        asking.relay.on_peer_message(asking.relay.load_tracking.order[0], answer_message(number, policy.NO_ROOM))
         self.assertEqual((asking.sent(), asking.host.of("reject")), ([], [(number, SECOND // 2)]))
 
     def test_among_equally_loaded_units_the_askers_zone_comes_first(self) -> None:
         story = self.story(zone=1)
         story.update_list([story.unit(number, zone=number % 2) for number in range(6)])
         story.take()
-        asked = read_tracker_note(story.host.of("send_note")[-1][1])[2:]
+        asked = read_tracker_message(story.host.of("send_message")[-1][1])[2:]
         self.assertEqual([unit % 2 for unit in asked], [1, 1, 1, 0, 0, 0])
         tracker = Story(relays=9, index=story.relay.load_tracking.order[0])
-        tracker.relay.on_note(7, ask_note(1, list(asked)))
-        self.assertEqual(tracker.host.of("send_note")[-1], (7, answer_note(1, 0)))
+        tracker.relay.on_peer_message(7, question_message(1, list(asked)))
+        self.assertEqual(tracker.host.of("send_message")[-1], (7, answer_message(1, 0)))
 
     def test_a_unit_that_fails_a_fifth_of_its_shots_keeps_them_and_one_that_fails_all_does_not(self) -> None:
         """Shots were led away from the first units of a build that turned bad.  Half of the failures were seen, and the
@@ -622,11 +624,11 @@
             places = []
             for count in range(400):
                 story.later(100)
-                story.relay.on_note(7, ask_note(count, [0, 1, 2, 3]))
-                place = read_tracker_note(story.host.of("send_note")[-1][1])[1]
+                story.relay.on_peer_message(7, question_message(count, [0, 1, 2, 3]))
+                place = read_tracker_message(story.host.of("send_message")[-1][1])[1]
                 places.append(place)
                 for out, came in ((1, 0), (0, 255 if place == 0 and not places.count(0) % every else 16)):
-                    story.relay.on_note(7, load_note(2 * count + 1 - out, place, out, came))
+                    story.relay.on_peer_message(7, load_message(2 * count + 1 - out, place, out, came))
                     story.later(100 * out)
             self.assertEqual(places[200:].count(0) > 25, kept)
 
@@ -636,24 +638,24 @@
         story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
 
         def place_for(number: int, sender: int) -> int:
-            story.relay.on_note(sender, ask_note(number, [0, 1]))
-            return read_tracker_note(story.host.of("send_note")[-1][1])[1]
+            story.relay.on_peer_message(sender, question_message(number, [0, 1]))
+            return read_tracker_message(story.host.of("send_message")[-1][1])[1]
 
         self.assertEqual(
             [place_for(1, 7), place_for(2, 7), place_for(3, 8)], [0, 1, 0]
         )  # assigned and not reported yet: counted
-        story.relay.on_note(7, load_note(1, 0, 1, 0))
-        story.relay.on_note(7, load_note(2, 0, 0, 16))  # sent, and served
+        story.relay.on_peer_message(7, load_message(1, 0, 1, 0))
+        story.relay.on_peer_message(7, load_message(2, 0, 0, 16))  # sent, and served
         self.assertEqual(
             story.relay.load_tracking.loads[0].assigned, [(-1, story.relay.now), (8, story.relay.now)]
         )  # that of another relay stays
-        story.relay.on_note(8, load_note(1, 0, 1, 0))
-        story.relay.on_note(8, load_note(2, 0, 0, 16))
+        story.relay.on_peer_message(8, load_message(1, 0, 1, 0))
+        story.relay.on_peer_message(8, load_message(2, 0, 0, 16))
         for count, out in ((3, 1), (4, 0)):
-            story.relay.on_note(7, load_note(count, 1, out, 16 - 16 * out))
+            story.relay.on_peer_message(7, load_message(count, 1, out, 16 - 16 * out))
         self.assertEqual(place_for(4, 7), 1)  # both are idle: the one assigned less of late
-        story.relay.on_note(7, load_note(5, 1, 1, 0))
-        story.relay.on_note(7, load_note(6, 1, 0, 16))
+        story.relay.on_peer_message(7, load_message(5, 1, 1, 0))
+        story.relay.on_peer_message(7, load_message(6, 1, 0, 16))
         story.later(
             2 * story.relay.load_tracking.ANSWER_TIMEOUT
         )  # in a fixed order a unit got no shot for 50 times its mean interval
@@ -664,14 +666,14 @@
         for times, first in ((20, 0), (80, 1)):
             story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
             for count in range(60):
-                story.relay.on_note(5, load_note(count + 1, 0, 0, times))
-            story.relay.on_note(7, ask_note(1, [0, 1]))
-            self.assertEqual(read_tracker_note(story.host.of("send_note")[-1][1])[1], first)
+                story.relay.on_peer_message(5, load_message(count + 1, 0, 0, times))
+            story.relay.on_peer_message(7, question_message(1, [0, 1]))
+            self.assertEqual(read_tracker_message(story.host.of("send_message")[-1][1])[1], first)
 
     def test_the_tracker_forgets_reports_of_relays_that_have_gone(self) -> None:
         story = Story(relays=9, index=self.story().relay.load_tracking.order[0], load_via="none")
         for sender in range(5):
-            story.relay.on_note(sender, load_note(1, 3, 7, 0))
+            story.relay.on_peer_message(sender, load_message(1, 3, 7, 0))
         self.assertEqual(story.relay.load_tracking.loads[3].open_shots, 35)
         story.later(6 * SECOND)
         story.beat()
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -108,7 +108,7 @@
     @given(st.lists(ROWS, min_size=1, max_size=5))
     def test_a_relay_that_does_not_know_the_messages_ignores_them(self, rows):
         data = encode(Message(REPORT, 0, 1, 7, tuple(rows)))
-        self.assertFalse(peer_messages.is_tracker_note(data))
+        self.assertFalse(peer_messages.is_tracker_message(data))
         self.assertEqual(peer_messages.read(data), ())
         self.assertIsNone(zone_reports.decode(data))
 
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Counts of many senders over a lossy network, limits on notes, and what judges of large fleets decide.
+"""Counts of many senders over a lossy network, limits on messages, and what judges of large fleets decide.
 
 Counts must be summed once, and only what was done; memory must not grow.
 """
@@ -10,7 +10,7 @@
 from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.parts import excess_in_deviations
-from tealsail.peer_messages import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_notes, read
+from tealsail.peer_messages import KEPT_STARTS, REMEMBERED_STARTS, CountPool, count_messages, read
 from tealsail.policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES
 
 from .fake import Story
@@ -19,12 +19,12 @@
 
 
 class Sender:
-    """A relay that counts, restarts now and then, and keeps every note that it has written."""
+    """A relay that counts, restarts now and then, and keeps every message that it has written."""
 
     def __init__(self, number: int) -> None:
         self.number, self.born, self.counts = number, 1000 * number, [0] * SIZE
         self.total_done = [0] * SIZE  # over all its starts, by cell
-        self.notes: list[tuple[int, bytes]] = []
+        self.messages: list[tuple[int, bytes]] = []
 
     def work(self, cell: int, many: int) -> None:
         self.counts[cell] += many
@@ -32,7 +32,7 @@
 
     def tell(self) -> None:
         cells = [(cell, count) for cell, count in enumerate(self.counts) if count]
-        self.notes += [(self.number, data) for data in count_notes(7, self.born, cells, SIZE)]
+        self.messages += [(self.number, data) for data in count_messages(7, self.born, cells, SIZE)]
 
     def restart(self, later: int) -> None:
         self.tell()  # one that is killed would only have counted less
@@ -52,8 +52,8 @@
     @given(
         st.lists(st.tuples(st.integers(0, 2), STEP), max_size=40), st.randoms(use_true_random=False), st.floats(0, 0.6)
     )
-    def test_lost_doubled_and_reordered_notes_never_count_more_than_was_done(self, steps, chance, loss) -> None:
-        """Notes come late by at most one restart; the last one that arrives makes up for lost ones."""
+    def test_lost_doubled_and_reordered_messages_never_count_more_than_was_done(self, steps, chance, loss) -> None:
+        """Messages come late by at most one restart; the last one that arrives makes up for lost ones."""
         senders, pool, way = [Sender(number) for number in range(3)], CountPool(SIZE), []
         starts = 0
         for who, (what, *figures) in steps:
@@ -62,8 +62,8 @@
                 continue
             starts += what == "restart"
             getattr(sender, what)(*figures)
-            way += [each for each in sender.notes for _ in range(chance.choice((1, 2))) if chance.random() >= loss]
-            sender.notes = []
+            way += [each for each in sender.messages for _ in range(chance.choice((1, 2))) if chance.random() >= loss]
+            sender.messages = []
             chance.shuffle(way)
             while len(way) > 3:
                 add(pool, *way.pop())
@@ -77,7 +77,7 @@
             self.assertLessEqual(count, sum(sender.total_done[cell] for sender in senders))
 
     @given(st.lists(st.tuples(st.integers(0, 2), WORK), min_size=1, max_size=30), st.integers(0, 20))
-    def test_nothing_is_missing_once_the_last_notes_have_arrived(self, steps, restarts) -> None:
+    def test_nothing_is_missing_once_the_last_messages_have_arrived(self, steps, restarts) -> None:
         senders, pool = [Sender(number) for number in range(3)], CountPool(SIZE)
         for place, (who, (_, cell, many)) in enumerate(steps):
             senders[who].work(cell, many)
@@ -85,8 +85,8 @@
                 senders[who].restart(36_000_000)
         for sender in senders:
             sender.tell()
-            for note in sender.notes:
-                add(pool, *note)
+            for message in sender.messages:
+                add(pool, *message)
         self.assertEqual(pool.sums, [sum(sender.total_done[cell] for sender in senders) for cell in range(SIZE)])
 
     def test_memory_does_not_grow_with_restarts_and_forged_starts(self) -> None:
@@ -96,8 +96,8 @@
             for sender in senders:
                 sender.work(hour % SIZE, 3)
                 sender.restart(36_000_000)
-                while sender.notes:
-                    add(pool, *sender.notes.pop(0))
+                while sender.messages:
+                    add(pool, *sender.messages.pop(0))
         for forged in range(10_000):
             pool.add(19, forged * 7_919, (0, 1))
         self.assertEqual(sum(len(starts) for starts in pool.known.values()), KEPT_STARTS * 20)
@@ -113,39 +113,39 @@
         self.assertEqual(pool.without(2)[:2], [40, 4])
 
 
-class Floods(unittest.TestCase):
-    """The limits on notes of one sender and of all."""
+class MessageLimiting(unittest.TestCase):
+    """The limits on messages of one sender and of all."""
 
-    def taken(self, flood: RateLimiter, notes: list[int], now: int = 0) -> dict[int, int]:
+    def taken(self, limiter: RateLimiter, messages: list[int], now: int = 0) -> dict[int, int]:
         found: dict[int, int] = {}
-        for sender in notes:
-            found[sender] = found.get(sender, 0) + flood.allows(sender, now)
+        for sender in messages:
+            found[sender] = found.get(sender, 0) + limiter.allows(sender, now)
         return found
 
     def test_one_flooding_relay_gets_its_part_and_all_others_are_heard(self) -> None:
-        flood = RateLimiter(count_message_limits(60))
-        notes = [0] * 200 + [sender for sender in range(1, 50) for _ in range(2)] + [0] * 100_000
-        found = self.taken(flood, notes)
+        limiter = RateLimiter(count_message_limits(60))
+        messages = [0] * 200 + [sender for sender in range(1, 50) for _ in range(2)] + [0] * 100_000
+        found = self.taken(limiter, messages)
         self.assertEqual((found[0], {found[sender] for sender in range(1, 50)}), (28, {2}))
 
-    def test_with_five_flooding_relays_and_too_many_notes_in_all_each_honest_relay_is_heard_once(self) -> None:
-        flood = RateLimiter(MessageLimits(100, 400))
-        found = self.taken(flood, [flooding for _ in range(1000) for flooding in range(5)] + list(range(5, 1000)) * 2)
+    def test_with_five_flooding_relays_and_too_many_messages_in_all_each_honest_relay_is_heard_once(self) -> None:
+        limiter = RateLimiter(MessageLimits(100, 400))
+        found = self.taken(limiter, [flooding for _ in range(1000) for flooding in range(5)] + list(range(5, 1000)) * 2)
         self.assertEqual({found[sender] for sender in range(5, 1000)}, {1})
         self.assertLess(sum(found[flooding] for flooding in range(5)), 250)
 
     def test_a_second_later_all_are_heard_again_and_old_entries_are_dropped(self) -> None:
-        flood = RateLimiter(MessageLimits(10, 400))
-        self.taken(flood, [7] * 50)
-        self.assertEqual(self.taken(flood, [7] * 3, SECOND), {7: 3})
+        limiter = RateLimiter(MessageLimits(10, 400))
+        self.taken(limiter, [7] * 50)
+        self.assertEqual(self.taken(limiter, [7] * 3, SECOND), {7: 3})
         for second in range(2, 100):
-            self.taken(flood, [second], second * SECOND)
-        self.assertEqual(len(flood.counts), 1)
+            self.taken(limiter, [second], second * SECOND)
+        self.assertEqual(len(limiter.counts), 1)
 
     def test_the_most_that_an_honest_relay_sends_is_under_the_limit(self) -> None:
         for cells in (30, 60, 240, 1920):
             counts = [(cell, 1 << 20) for cell in range(cells)]  # each as two figures
-            self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, count_message_limits(cells).each)
+            self.assertLessEqual(2 * len(count_messages(7, 1, counts, cells)) + 12, count_message_limits(cells).each)
 
 
 class Judges(unittest.TestCase):
@@ -188,7 +188,7 @@
             (excess_in_deviations([[10, 0]], [[10, 0]]), excess_in_deviations([[0, 0]], [[10, 3]])), (0.0, 0.0)
         )
 
-    def test_a_bad_build_does_not_pass_after_lost_notes_or_a_restart_of_its_judge(self) -> None:
+    def test_a_bad_build_does_not_pass_after_lost_messages_or_a_restart_of_its_judge(self) -> None:
         """When only changed cells were sent, what was served arrived at once after a loss, and what had failed up to
         four seconds later: time enough for a vote of 'on'."""
         for how in ({"lost": (0.0, 8.0)}, {"lost": (1.0, 9.0)}, {"restart": 4.0}, {"restart": 0.5}):
@@ -202,8 +202,8 @@
     def test_a_tenth_of_relays_of_an_older_version_sends_no_good_build_back(self) -> None:
         self.assertEqual([tuple(each) for each in mixed((0.1, 1.0), seeds=2)], [(0.1, 0, 2), (1.0, 2, 2)])
 
-    def test_the_simulated_notes_are_those_of_the_module(self) -> None:
-        """A relay's own judge sends the same notes at the same beats for the same counts."""
+    def test_the_simulated_messages_are_those_of_the_module(self) -> None:
+        """A relay's own judge sends the same messages at the same beats for the same counts."""
         fleet = Fleet(40, 5.0, 0.1, 3)
         story = Story(relays=40, index=7)
         story.trial()
@@ -215,10 +215,10 @@
                 story.relay.trial.groups[name] = [
                     int(each) for each in fleet.counts[7, group * CELLS_PER_WORKLOAD : (group + 1) * CELLS_PER_WORKLOAD]
                 ]
-            before, judge.beat = len(story.host.of("send_note")), beat
+            before, judge.beat = len(story.host.of("send_message")), beat
             judge.send_counts()
-            told = [read(data)[4:] for _, data in story.host.of("send_note")[before:]]
-            self.assertEqual(told, [read(data)[4:] for data in fleet.notes(7, beat, 1) for _ in range(JUDGES + 1)])
+            received = [read(data)[4:] for _, data in story.host.of("send_message")[before:]]
+            self.assertEqual(received, [read(data)[4:] for data in fleet.notes(7, beat, 1) for _ in range(JUDGES + 1)])
 
 
 if __name__ == "__main__":
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 from tealsail.net import relay_configuration
 from tealsail.net.relay import Relay
-from tealsail.peer_messages import ask_note, load_note
+from tealsail.peer_messages import load_message, question_message
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response, message
 
@@ -327,9 +327,9 @@
         note = self.reactor.datagrams[0][0]
         for data, place in ((note, 3), (bytes(300), 2), (b"\xff", 2)):
             self.reactor.udp.datagramReceived(data, (f"127.0.0.{place}", 7946))
-        self.assertEqual(self.relay.facade.relay.judge.heard, {})
+        self.assertEqual(self.relay.facade.relay.judge.last_counts_at, {})
         self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
-        self.assertEqual(list(self.relay.facade.relay.judge.heard), [1])
+        self.assertEqual(list(self.relay.facade.relay.judge.last_counts_at), [1])
         for _ in range(1000):  # a flood
             self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 900)
@@ -340,13 +340,13 @@
         for silent and chose without one when it was busiest."""
         attempts = 900  # a second; a relay on a whole core makes fewer than 700
         for number in range(attempts):
-            beginning = load_note(2 * number, 7, 1, 0)
-            end = load_note(2 * number + 1, 7, 0, 16)
-            for note in (ask_note(number, [7, 8]), beginning, end):
+            beginning = load_message(2 * number, 7, 1, 0)
+            end = load_message(2 * number + 1, 7, 0, 16)
+            for note in (question_message(number, [7, 8]), beginning, end):
                 self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(self.relay.counters.counts["peers.shed"], 0)
         for number in range(7_000):
-            self.reactor.udp.datagramReceived(load_note(number, 7, 1, 0), ("127.0.0.2", 7946))
+            self.reactor.udp.datagramReceived(load_message(number, 7, 1, 0), ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 6_500)
 
     def test_id_of_an_open_invocation_is_an_error_until_its_answer(self) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from tealsail.net.discovery import read_news
 from tealsail.net.platform import read_state
 from tealsail.net.relay import Relay, unit_number
-from tealsail.peer_messages import answer_note, count_notes, verdict_note
+from tealsail.peer_messages import answer_message, count_messages, verdict_message
 from tealsail.record.lines import Fault
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
@@ -188,7 +188,7 @@
         asked = [data for data, to in reactor.datagrams if len(data) >= 9 and len(data) == 5 + 2 * data[4]]
         while answered < len(asked):  # the load tracker names the last it was asked about; silent for a while
             if not 300 <= step < 420:
-                driven.receive(tracker, answer_note(int.from_bytes(asked[answered][:4], "little"), 0))
+                driven.receive(tracker, answer_message(int.from_bytes(asked[answered][:4], "little"), 0))
             answered += 1
         if step % 3 == 0:
             for number in sorted(driven.waiting)[:2]:
@@ -197,12 +197,12 @@
         if step == 350:
             driven.news(listing(42, False, backend(1, lifecycle="gone"), backend(BACKENDS, build=42)))
         if step == 500:
-            driven.receive(1, count_notes(42, 5, [(0, 40), (1, 3)], 60)[0])
+            driven.receive(1, count_messages(42, 5, [(0, 40), (1, 3)], 60)[0])
         if step == 600:
             driven.rollout(state(42, 1, "canary", 1.0))
         if step == 700:
             judges = driven.relay.facade.relay.judge.order
-            driven.receive(judges[0], verdict_note(42, 1, 3))
+            driven.receive(judges[0], verdict_message(42, 1, 3))
     return reactor.datagrams
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 from tealsail.world.builds import Build
 from tealsail.world.clients import NUMBERS_PER_STREAM, NUMBERS_PER_TRY, ClientBehaviour, Clients, Workload
 from tealsail.world.fleet import Fleet, FleetLayout
-from tealsail.world.network import Network, NetworkPaths, NoteFault
+from tealsail.world.network import MessageFault, Network, NetworkPaths
 from tealsail.world.platform import Platform, RolloutPlan
 from tealsail.world.unit import NEVER, IncomingShot, Unit, UnitKind
 from tealsail.world.unit_list import Entry, UnitList
@@ -411,13 +411,13 @@
 
 
 class Networks(unittest.TestCase):
-    def test_cuts_and_silences_end_and_notes_are_lost_at_their_rate(self) -> None:
+    def test_cuts_and_silences_end_and_messages_are_lost_at_their_rate(self) -> None:
         network = Network(NetworkPaths(distances={("a", "b"): 120}), ["a", "b"], 7)
         self.assertEqual((network.delay(0, "a"), network.delay(0, "b"), network.delay(1, "a")), (2, 120, 120))
         network.zone_cuts[0, "b"], network.silent_units["u1"] = SECOND, 2 * SECOND
         self.assertEqual([network.reaches(at, 0, "u2", "b") for at in (0, SECOND)], [False, True])
         self.assertEqual([network.reaches(at, 1, "u1", "a") for at in (0, 2 * SECOND)], [False, True])
-        network.note_faults.append(NoteFault("lost", SECOND, 0.5))
+        network.message_faults.append(MessageFault("lost", SECOND, 0.5))
         lost = sum(not network.note(0, 0, 1) for _ in range(1000))
         self.assertAlmostEqual(lost / 1000, 0.5, delta=0.06)
         self.assertEqual(sum(not network.note(SECOND, 0, 1) for _ in range(100)), 0)
