--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -176,11 +176,11 @@
             self.relay.add_stage(make_stage(self.relay))
 
     def pick(
-        self, workload: str, customer: str, key: str | None, give_up: int, work: int = 0, repeat: bool = False
+        self, workload: str, customer: str, key: str | None, deadline: int, work: int = 0, repeat: bool = False
     ) -> tuple[int, Step]:
         """Takes an invocation; returns its number from now on, and what to do with it.
 
-        The step is None where it will come out of `tick`.  `give_up` is when the client stops waiting; `work` is 0
+        The step is None where it will come out of `tick`.  `deadline` is when the client stops waiting; `work` is 0
         where nothing is known of it; `repeat` says that the client marked it as a repeat.  Raises KeyError for a
         workload that the settings do not name.
         """
@@ -193,7 +193,7 @@
             self.workloads[workload],
             self.place(customer),
             key,
-            give_up,
+            deadline,
             work,
             repeat,
         )
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -203,7 +203,7 @@
         """Those whose client has given up can't be served any more."""
         self.swept = now
         for number, first in list(self.open.items()):
-            if now > first.take.give_up + SECOND and first.answer:
+            if now > first.take.deadline + SECOND and first.answer:
                 del self.open[number]
                 self.count(first, -1)
 
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -56,7 +56,7 @@
         arrival.workload,
         arrival.customer,
         arrival.key,
-        arrival.give_up,
+        arrival.deadline,
         arrival.first,
     )
 
@@ -82,12 +82,12 @@
         self.arrival, self.answer, self.retry_after = arrival, "", 0
         setup.record_line(take_line(now, self.relay, arrival))
         pool.lateness[max(0, now - arrival.at)] += 1
-        wait = max(1, (arrival.give_up - now) // 10)
+        wait = max(1, (arrival.deadline - now) // 10)
         each = setup.scenario.workload[arrival.workload]
         self.transport.write(
             messages.query(statement_text(arrival, each.name, each.effect, setup.tenants[arrival.customer], wait))
         )
-        self.timer = setup.reactor.callLater(setup.seconds_until(arrival.give_up + PATIENCE), self.time_out)
+        self.timer = setup.reactor.callLater(setup.seconds_until(arrival.deadline + PATIENCE), self.time_out)
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -324,11 +324,11 @@
         customer = self.setup.tenants[arrival.customer]
         self.setup.record_line(take_line(now, one.index, arrival))
         table = self.scenario.workload[arrival.workload]
-        wait = max(1, (arrival.give_up - now) // 10)
+        wait = max(1, (arrival.deadline - now) // 10)
         text = statement_text(arrival, table.name, table.effect, customer, wait)
         serving = self.serving[arrival.number] = Serving(arrival, one)
         serving.timer = self.reactor.callLater(
-            self.setup.seconds_until(arrival.give_up + PATIENCE), self.leave, serving
+            self.setup.seconds_until(arrival.deadline + PATIENCE), self.leave, serving
         )
         serving.answer = one.take(statements.read(text), one.clock())
         serving.answer.addCallbacks(self.answered, self.failed, callbackArgs=(serving,), errbackArgs=(serving,))
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -150,7 +150,7 @@
                 arrival.workload,
                 arrival.customer,
                 arrival.key,
-                arrival.give_up,
+                arrival.deadline,
                 arrival.first,
             )
         )
@@ -162,7 +162,7 @@
         workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
         repeat = arrival.repeat and model.parts.behaviour.marks
         number, step = facade.pick(
-            workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
+            workload, customer, arrival.key, self.clock() + arrival.deadline - model.now, repeat=repeat
         )
         serving = self.serving[number] = Serving(arrival, number)
         self.follow(serving, step)
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -361,19 +361,19 @@
 
 
 class Invocation:
-    """A client's request, and the shots that were sent for it.  `give_up` is when its client stops waiting.
+    """A client's request, and the shots that were sent for it.  `deadline` is when its client stops waiting.
 
     `size` is its work over the usual work; `repeat` says that the client has marked it as a repeat.
     """
 
     def __init__(
-        self, number: int, workload: Any, customer: int, key: str | None, give_up: int, size: float, repeat: bool
+        self, number: int, workload: Any, customer: int, key: str | None, deadline: int, size: float, repeat: bool
     ) -> None:
         self.number = number
         self.workload = workload
         self.customer = customer
         self.key = key
-        self.give_up = give_up
+        self.deadline = deadline
         self.size = size
         self.repeat = repeat
         self.shots: list[Shot] = []
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -173,7 +173,10 @@
             self.end(invocation)
 
     def end(self, invocation: Invocation) -> None:
-        """Answers an invocation that is given up: a rejection if trying again is known to do no harm."""
+        """Gives an invocation that is not served its final answer: a rejection if trying again is known to do no harm.
+
+        The client is advised to wait half a second, or the longest advice that the settings allow.
+        """
         invocation.is_over = True
         if self.relay.gate.may_reject(invocation):
             advice = min(SECOND // 2, self.facts["longest_advice"]) if self.facts["may_advise"] else 0
@@ -531,7 +534,7 @@
         invocation.asked_shot, invocation.candidates = len(invocation.shots) + 1, near
         self.pending[invocation.number] = invocation
         relay.host.wake(
-            min(relay.now + self.ANSWER_TIMEOUT, invocation.give_up), relay.WAKE_TRACKER_TIMEOUT + invocation.number
+            min(relay.now + self.ANSWER_TIMEOUT, invocation.deadline), relay.WAKE_TRACKER_TIMEOUT + invocation.number
         )
         self.send(tracker_index, peer_messages.question_message(invocation.number, [unit.number for unit in near]))
         return True
@@ -636,7 +639,7 @@
             self.warm_work += invocation.size / max(relay.warm_weight, unit.weight)
         unit.credit -= invocation.size
         self.exposures[unit.build][invocation.workload.place].add(now)
-        wait, late_after = invocation.give_up - now, self.relay.admission.late_after(invocation.workload)
+        wait, late_after = invocation.deadline - now, self.relay.admission.late_after(invocation.workload)
         if (
             invocation.workload.effect == "harmless"
             and wait > 2 * late_after
@@ -652,7 +655,7 @@
     def may_send(self, invocation: Invocation) -> bool:
         """Rule 1: no invocation is lost, and nothing is sent for one that is over."""
         has_shots_left = len(invocation.shots) < self.facts["most_shots"]
-        return has_shots_left and not invocation.is_over and self.relay.now < invocation.give_up
+        return has_shots_left and not invocation.is_over and self.relay.now < invocation.deadline
 
     def may_repeat(self, invocation: Invocation, unit: Unit | None = None) -> bool:
         """Rule 2: no effect happens twice.
@@ -1082,13 +1085,13 @@
         self.arrange()
 
     def on_invocation(
-        self, number: int, workload: int, customer: int, key: str | None, give_up: int, work: int, repeat: bool
+        self, number: int, workload: int, customer: int, key: str | None, deadline: int, work: int, repeat: bool
     ) -> None:
-        """Takes an invocation.  `give_up` is when its client stops waiting; `work` is 0 where nothing is known of it;
+        """Takes an invocation.  `deadline` is when its client stops waiting; `work` is 0 where nothing is known of it;
         `repeat` says that the client marked it as a repeat."""
         self.mean_work += 0.01 * (work - self.mean_work) if self.mean_work else work
         size = work / self.mean_work if work else 1.0
-        invocation = Invocation(number, self.workloads[workload], customer, key, give_up, size, repeat)
+        invocation = Invocation(number, self.workloads[workload], customer, key, deadline, size, repeat)
         invocation.cold_draw = self.random.share()
         self.known[number] = invocation
         self.gate.invocations[workload].add(self.now)
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -43,7 +43,7 @@
     workload: int  # index among the head's workloads
     customer: int  # index among the head's customers
     key: str
-    give_up: int  # time at which the client abandons it
+    deadline: int  # time at which the client abandons it
     first: int  # number of the client's first try: `number` itself unless this is a repeat; -1: not known
 
 
--- a/tealsail/world/clients.py
+++ b/tealsail/world/clients.py
@@ -54,7 +54,7 @@
     workload: int
     customer: int
     key: str
-    give_up: int  # when the client stops waiting, the same for all tries
+    deadline: int  # when the client stops waiting, the same for all tries
 
     @property
     def repeat(self) -> bool:
@@ -163,6 +163,6 @@
             * (0.5 + uniform(self.seed, random_draws.RETRY, arrival.number))
         )
         at = now + max(retry_after, int(wait))
-        if at >= arrival.give_up:
+        if at >= arrival.deadline:
             return None
         return arrival._replace(at=at, number=arrival.number + NUMBERS_PER_TRY)
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -158,7 +158,7 @@
         if invocation.is_answered:
             return self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} twice")
         invocation.is_answered, invocation.client_left = True, line.answer == "left"
-        if line.answer != "lost" and line.at > invocation.take.give_up + self.slack.time + int(
+        if line.answer != "lost" and line.at > invocation.take.deadline + self.slack.time + int(
             self.facts.get("answer_slack", 0)
         ) + self.stopped_time(line.relay, invocation.take.at, line.at):
             self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} too late")
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -133,7 +133,7 @@
         first, second = self.lines(InvocationTaken)
         self.assertEqual((first.first, second.first, first.workload, second.workload), (first.number, -1, 0, 1))
         self.assertEqual((len(first.key), first.key == second.key, "7f3a" in first.key), (16, True, False))
-        self.assertEqual(first.give_up - first.at, 4800)
+        self.assertEqual(first.deadline - first.at, 4800)
         shot = self.lines(ShotSent)[0]
         self.assertEqual((shot.unit, shot.build, shot.number), ("s-1", 41, first.number))
         came = self.lines(ShotEnded)[0]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -394,7 +394,7 @@
         self.assertIsNone(clients.answered(third.at, third, "rejected", 0))
         self.assertIsNone(clients.answered(first.at, first._replace(workload=1), "forfeited", 0))
         self.assertIsNotNone(clients.answered(first.at, first._replace(workload=1), "rejected", 0))
-        self.assertIsNone(clients.answered(first.give_up - 1, first, "rejected", 0))
+        self.assertIsNone(clients.answered(first.deadline - 1, first, "rejected", 0))
         self.assertGreaterEqual(clients.answered(first.at, first, "rejected", 9_000).at, first.at + 9_000)
         self.assertEqual(first.first % NUMBERS_PER_TRY // NUMBERS_PER_STREAM, first.relay)
 
