--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -79,7 +79,7 @@
         both = strict and name in STRICTER and name in before
         relay.facts[name] = STRICTER[name](before[name], value) if both else value
     for mine, new in zip(relay.workloads, replacement.workloads):
-        mine.promised, mine.payoff = new.promised, new.payoff
+        mine.latency_target, mine.value = new.latency_target, new.value
         mine.memory = min(mine.memory, new.memory) if strict else new.memory
     relay.judge.voters, relay.beside = replacement.judge.voters, replacement.beside
     relay.arrange()
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -20,7 +20,7 @@
 MIN_OUTCOMES = 5  # answers and misses from which a part is taken
 PROBE_INTERVAL = 5_000  # tenths of a ms between probes of an unreachable zone, at first
 MAX_PROBE_DOUBLINGS = 3  # of that interval
-LATE_PART = 0.8  # a later answer than this part of the promise is late
+LATE_PART = 0.8  # a later answer than this part of the latency target is late
 FAR_SHARE = 0.05  # of what is taken: may go to a further tier for the trial's sake while nothing is short
 BUCKETS = 20  # of each ring
 
@@ -337,7 +337,7 @@
             zone.misses_in_row = 0
         elif zone:
             now, invocation = self.relay.now, shot.invocation
-            late = outcome not in IN_TIME or latency > LATE_PART * invocation.workload.promised * max(
+            late = outcome not in IN_TIME or latency > LATE_PART * invocation.workload.latency_target * max(
                 1.0, invocation.size
             )
             if outcome in ANSWERED:
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -4,7 +4,7 @@
 links of the chain of stages.  Nothing is decided here.  Times are whole tenths of a millisecond.
 
 Counts of outcomes have one shape everywhere.  The counts of one workload are a list `[served, failed, bucket, ...]`,
-the buckets being a histogram of latencies over the promised latency.  A group (canary, baseline, or before the trial)
+the buckets being a histogram of latencies over the latency target.  A group (canary, baseline, or before the trial)
 is a list of such lists, one a workload; a pool is a list of the three groups.
 """
 
@@ -251,11 +251,11 @@
     def __init__(self, place: int, cell_count: int, facts: dict[str, Any]) -> None:
         self.place = place
         self.cells = slice(place * cell_count, (place + 1) * cell_count)  # its counts among those of a group
-        self.promised = facts["promised"]  # latency, in tenths of a ms
+        self.latency_target = facts["promised"]  # in tenths of a ms
         self.effect = facts["effect"]  # harmless, stamped or one-shot: whether it may run twice
         self.group = facts["group"]  # units that share their memory of stamps: all, zone or cell
         self.memory = facts["memory"]  # for which units remember a stamp, in tenths of a ms
-        self.payoff = facts["payoff"]  # of an answer in time
+        self.value = facts["payoff"]  # of an answer in time
 
 
 class Unit:
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -101,7 +101,7 @@
 
 # Counts of outcomes (shape: tealsail/parts.py).
 GROUPS = ("canary", "baseline", "before")  # `before`: of earlier units before the build came
-LATENCY_EDGES = (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)  # between buckets, as parts of the promised latency
+LATENCY_EDGES = (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)  # between buckets, as parts of the latency target
 SENDER_SUMS = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]  # group and columns: failures, outcomes; kept by sender
 CELLS_PER_WORKLOAD = 2 + len(LATENCY_EDGES) + 1  # served, failed, and the buckets
 
@@ -209,12 +209,12 @@
 class Admission(ChainStage):
     """Keeps queues at units short, against any overload, by a limit on this relay's open shots.
 
-    The limit falls with late answers and rises with answers in time.  There is less room for what pays little, and for
-    a customer beyond its share.
+    The limit falls with late answers and rises with answers in time.  There is less room for a workload of less
+    value for the time that it takes, and for a customer beyond its share.
     """
 
-    LATE_PART = 1.0  # of the promised latency: an answer that takes longer is late
-    NO_QUEUE_PART = 0.5  # of the promised latency: an answer that takes less met no queue
+    LATE_PART = 1.0  # of the latency target: an answer that takes longer is late
+    NO_QUEUE_PART = 0.5  # of the latency target: an answer that takes less met no queue
     LIMIT_STEP = 0.1  # that an answer in time adds to the limit
     LIMIT_CUT = 0.4  # of what is in use, and at most one shot, that a late answer takes off the limit
     FEW_SHOTS = 3  # under so many the limit stands for a share of invocations that is taken
@@ -230,14 +230,14 @@
         self.invocations = SlidingSum(4 * SECOND, WINDOW_BUCKETS)  # without clients' repeats
         self.by_customer = [SlidingSum(4 * SECOND, WINDOW_BUCKETS) for _ in self.facts["customers"] or [{}]]
         for workload in relay.workloads:  # latencies, until some are seen
-            workload.mean = workload.promised / 5
-            workload.deviation = workload.promised / 10
+            workload.mean = workload.latency_target / 5
+            workload.deviation = workload.latency_target / 10
 
     def late_after(self, workload: Workload) -> int:
         """The latency after which a shot is late for its workload: mean and three deviations, between a quarter and
-        three quarters of the promise."""
+        three quarters of its latency target."""
         late = workload.mean + 3 * workload.deviation
-        return int(min(max(late, workload.promised / 4), 0.75 * workload.promised))
+        return int(min(max(late, workload.latency_target / 4), 0.75 * workload.latency_target))
 
     def forward(self, invocation: Invocation) -> bool:
         """Holds a new invocation to the limit; further shots are not held."""
@@ -248,14 +248,15 @@
             open_shots = self.open_shots - self.stalled_shots + 1
             draw = self.relay.random.share()
             self.peak = max(open_shots, 0.98 * self.peak)
+            # A limit under FEW_SHOTS is kept by chance: its part of FEW_SHOTS is the share of invocations that is taken.
             if open_shots > share * max(self.FEW_SHOTS, self.limit) or draw > share * self.limit / self.FEW_SHOTS:
                 return False
         return self.next.forward(invocation)
 
     def limit_share(self, invocation: Invocation) -> float:
-        """The part of the limit that is open to an invocation, by its payoff and its customer's share of the work."""
-        best, now = max(workload.payoff / workload.mean for workload in self.relay.workloads), self.relay.now
-        part = 1.0 if invocation.workload.payoff / invocation.workload.mean > 0.7 * best else 0.85
+        """The part of the limit that is open to an invocation, by its value and its customer's share of the work."""
+        best, now = max(workload.value / workload.mean for workload in self.relay.workloads), self.relay.now
+        part = 1.0 if invocation.workload.value / invocation.workload.mean > 0.7 * best else 0.85
         share = (self.facts["customers"] or [{}])[invocation.customer].get("share", 2)
         fair = max(10.0, 1.3 * share * self.invocations.total(now))
         return part / min(2.0, max(1.0, self.by_customer[invocation.customer].total(now) / fair))
@@ -263,7 +264,7 @@
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         """Moves the limit, and the mean and deviation of the workload's latencies."""
         workload, latency_for_size = shot.invocation.workload, latency / max(1.0, shot.invocation.size)
-        late = latency_for_size > self.LATE_PART * workload.promised and shot.unit.silent_since >= shot.sent_at
+        late = latency_for_size > self.LATE_PART * workload.latency_target and shot.unit.silent_since >= shot.sent_at
         open_shots = self.open_shots - self.stalled_shots + 1
         if late and shot.sent_at >= self.limit_cut_at:
             # A late answer cuts what is in use.  Once the cuts amount to about a third, time is given for them to show.
@@ -272,7 +273,7 @@
             if self.cuts > self.limit / 2:
                 self.cuts, self.limit_cut_at = 0, self.relay.now
         elif outcome == "served" and not late and (open_shots > 0.5 * self.limit or self.limit < self.FEW_SHOTS):
-            easy = max(0.0, 1 - latency_for_size / (self.NO_QUEUE_PART * workload.promised))
+            easy = max(0.0, 1 - latency_for_size / (self.NO_QUEUE_PART * workload.latency_target))
             self.limit += self.LIMIT_STEP if self.limit > self.FEW_SHOTS else self.FEW_SHOTS * self.LIMIT_STEP * easy
         if outcome in ("served", "timeout", "cancelled"):
             workload.deviation += 0.05 * (abs(latency_for_size - workload.mean) - workload.deviation)
@@ -363,7 +364,7 @@
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         """Counts the outcome in the shot's group."""
         workload, unit = shot.invocation.workload, shot.unit
-        times = latency * shot.warmth / workload.promised
+        times = latency * shot.warmth / workload.latency_target
         bucket = workload.cells.start + 2 + sum(times > edge for edge in LATENCY_EDGES)
         if shot.group and not shot.invocation.repeat:  # one client's repeats are no evidence
             shot.group[workload.cells.start] += outcome == "served"
@@ -500,7 +501,7 @@
 
     TRACKERS = 3  # relays drawn, of which the first that answers is the tracker
     CANDIDATES = 8  # units of one question
-    BUSY_PART = 0.7  # of the promised latency: a unit whose shots take longer to end is full
+    BUSY_PART = 0.7  # of the latency target: a unit whose shots take longer to end is full
     ORDER_COST = 0.06  # of a shot, for each place behind the first in the asker's order
     ANSWER_TIMEOUT = SECOND // 10
     MUTE_TIME = 2 * SECOND  # for which a tracker that does not answer is left out
@@ -581,10 +582,10 @@
             for place, load in enumerate(loads)
         ]
         place = costs.index(min(costs))
-        promise = min([each.promised for each in self.relay.workloads], default=SECOND)
+        latency_target = min([each.latency_target for each in self.relay.workloads], default=SECOND)
         pace = max(LEAST_OUTCOMES, self.completions.total(now)) / (len(self.loads) * self.completions.span)
         if (
-            loads[place].open_shots > self.BUSY_PART * promise * pace
+            loads[place].open_shots > self.BUSY_PART * latency_target * pace
             and now - self.first_report_at > 2 * self.completions.span
         ):
             return NO_ROOM  # but not from one that has just begun to receive reports, and knows no pace
