--- a/tealsail/adapter/protocol.py
+++ b/tealsail/adapter/protocol.py
@@ -31,8 +31,8 @@
     def cancel(self, invocation: int, shot: int) -> None:
         self.output.append(f"CALL_OFF relay={self.relay_id} requestId={invocation} try={shot}")
 
-    def reject(self, invocation: int, come_back: int) -> None:
-        self.output.append(f"SAY_NO relay={self.relay_id} requestId={invocation} retryAfter={come_back / 10}")
+    def reject(self, invocation: int, retry_after: int) -> None:
+        self.output.append(f"SAY_NO relay={self.relay_id} requestId={invocation} retryAfter={retry_after / 10}")
 
     def forfeit(self, invocation: int) -> None:
         self.output.append(f"END_FAILED relay={self.relay_id} requestId={invocation}")
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -30,9 +30,9 @@
 
 
 class Reject(NamedTuple):
-    """Final answer: not done, trying again is harmless (after `come_back`; 0: no advice)."""
+    """Final answer: not done, trying again is harmless (after `retry_after` tenths of a ms; 0: no advice)."""
 
-    come_back: int
+    retry_after: int
 
 
 class Forfeit(NamedTuple):
@@ -280,8 +280,8 @@
     def cancel(self, invocation: int, shot: int) -> None:
         self.actions.cancellations.append(CancelShot(invocation, shot))
 
-    def reject(self, invocation: int, come_back: int) -> None:
-        self.leave_step(invocation, Reject(come_back))
+    def reject(self, invocation: int, retry_after: int) -> None:
+        self.leave_step(invocation, Reject(retry_after))
 
     def forfeit(self, invocation: int) -> None:
         self.leave_step(invocation, Forfeit())
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -17,8 +17,8 @@
     def cancel(self, invocation: int, shot: int) -> None:
         """Stop waiting for one shot; shots of an invocation are numbered from 0."""
 
-    def reject(self, invocation: int, come_back: int) -> None:
-        """Final answer: not done, trying again is harmless (after `come_back`; 0: no advice)."""
+    def reject(self, invocation: int, retry_after: int) -> None:
+        """Final answer: not done, trying again is harmless (after `retry_after` tenths of a ms; 0: no advice)."""
 
     def forfeit(self, invocation: int) -> None:
         """Final answer: failed, and nothing is promised about its effect."""
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -174,20 +174,20 @@
         elif type(step) is SendShot:
             self.shoot(serving, step)
         elif type(step) is Reject:
-            self.end(serving, "rejected", step.come_back)
+            self.end(serving, "rejected", step.retry_after)
         elif type(step) is Forfeit:
             self.end(serving, "forfeited")
         if serving.over and not serving.outs:
             self.serving.pop(serving.number, None)
 
-    def end(self, serving: Serving, answer: str, come_back: int = 0) -> None:
+    def end(self, serving: Serving, answer: str, retry_after: int = 0) -> None:
         if serving.over:
             return
         serving.over, model = True, self.model
         if model.back:
-            model.later(model.now + model.back, model.answered, self.index, serving.arrival, answer, come_back)
+            model.later(model.now + model.back, model.answered, self.index, serving.arrival, answer, retry_after)
         else:
-            model.answered(self.index, serving.arrival, answer, come_back)
+            model.answered(self.index, serving.arrival, answer, retry_after)
 
     def shoot(self, serving: Serving, step: SendShot) -> None:
         model, now = self.model, self.model.now
@@ -521,11 +521,11 @@
         self.waiting -= 1
         self.serve(arrival)
 
-    def answered(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
+    def answered(self, relay: int, arrival: Arrival, answer: str, retry_after: int) -> None:
         """An answer has come to its client."""
         self.open -= 1
         self.tell(InvocationEnded(self.now, relay, arrival.number, answer))
-        again = self.day.clients.answered(self.now, arrival, answer, come_back)
+        again = self.day.clients.answered(self.now, arrival, answer, retry_after)
         if again:
             self.waiting += 1
             self.later(again.at, self.again, again)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -89,8 +89,8 @@
                 self.relay.facade.report(Outcome(self.number, shot_number, "moot"))
             case SendShot(unit, shot_number, wait):
                 self.shoot(unit, shot_number, wait)
-            case Reject(come_back):
-                self.finish(Rejected(come_back))
+            case Reject(retry_after):
+                self.finish(Rejected(retry_after))
             case Forfeit():
                 self.finish(Forfeited())
         self.remove_if_done()
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -248,7 +248,7 @@
             open_shots = self.open_shots - self.stalled_shots + 1
             draw = self.relay.random.share()
             self.peak = max(open_shots, 0.98 * self.peak)
-            # A limit under FEW_SHOTS is kept by chance: its part of FEW_SHOTS is the share of invocations that is taken.
+            # Under FEW_SHOTS the limit is kept by chance: its part of FEW_SHOTS is the share of what is taken.
             if open_shots > share * max(self.FEW_SHOTS, self.limit) or draw > share * self.limit / self.FEW_SHOTS:
                 return False
         return self.next.forward(invocation)
