--- a/tealsail/adapter/protocol.py
+++ b/tealsail/adapter/protocol.py
@@ -28,8 +28,8 @@
     def send(self, invocation: int, unit: int, wait: int) -> None:
         self.output.append(f"PLACE relay={self.relay_id} requestId={invocation} unit={unit} maxWait={wait / 10}")
 
-    def cancel(self, invocation: int, shot: int) -> None:
-        self.output.append(f"CALL_OFF relay={self.relay_id} requestId={invocation} try={shot}")
+    def cancel(self, invocation: int, shot_number: int) -> None:
+        self.output.append(f"CALL_OFF relay={self.relay_id} requestId={invocation} try={shot_number}")
 
     def reject(self, invocation: int, retry_after: int) -> None:
         self.output.append(f"SAY_NO relay={self.relay_id} requestId={invocation} retryAfter={retry_after / 10}")
--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -12,7 +12,7 @@
 from ..settings import NAMES_BY_PATH
 
 PATHS = {name: path for path, name in NAMES_BY_PATH.items()}  # name of a setting -> the platform's name for it
-# Settings that need a restart: the order of judges, windows, places of zones and connections of a running relay are
+# Settings that need a restart: the order of judges, windows, numbers of zones and connections of a running relay are
 # built on them.
 RESTART_SETTINGS = (
     "relays",
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -260,17 +260,17 @@
         longest, found = -1, None
         self.rank_one_unit()
         for followed in self.followed.values():
-            for place, owner in enumerate(self.active_owners(followed, now)):
+            for index, owner in enumerate(self.active_owners(followed, now)):
                 state = self.owner_states.get(owner)
                 if state and state.next_at > now:
                     continue
-                waited = now - followed.reported_at[place]
-                if waited < (STANDBY_INTERVAL if place else MIN_REPORT_INTERVAL):
+                waited = now - followed.reported_at[index]
+                if waited < (STANDBY_INTERVAL if index else MIN_REPORT_INTERVAL):
                     continue
-                if not place:
+                if not index:
                     waited += CHANGE_BONUS * abs(followed.out - followed.reported_out)
                 if waited > longest:
-                    longest, found = waited, (owner, place > 0)
+                    longest, found = waited, (owner, index > 0)
         return found
 
     def rank_one_unit(self) -> None:
@@ -292,17 +292,17 @@
 
     def report_rows(self, owner: int, is_standby: bool, now: int) -> list[Row]:
         """Rows of the units that have this relay as owner, or as standby; those reported longest ago first."""
-        place = int(is_standby)
+        index = int(is_standby)
         mine = [
             each
             for each in self.followed.values()
-            if each.owners and owner in self.active_owners(each, now)[place : place + 1]
+            if each.owners and owner in self.active_owners(each, now)[index : index + 1]
         ]
-        mine.sort(key=lambda each: each.reported_at[place])
+        mine.sort(key=lambda each: each.reported_at[index])
         rows = []
         for each in mine[:MAX_ROWS]:
             each.advance(now)
-            each.reported_at[place] = now
+            each.reported_at[index] = now
             rows.append(Row(each.number, each.out, each.mean, each.ended, each.failed))
             if not is_standby:
                 each.ended, each.failed, each.reported_out = 0, 0, each.out
--- a/tealsail/choices/tiers.py
+++ b/tealsail/choices/tiers.py
@@ -4,7 +4,7 @@
 
 
 class Tier(NamedTuple):
-    """Zones (their places in the platform's list) that are equally near to a relay."""
+    """Zones (their numbers in the platform's list) that are equally near to a relay."""
 
     cost: float
     zones: tuple[int, ...]
--- a/tealsail/choices/zone_reports.py
+++ b/tealsail/choices/zone_reports.py
@@ -62,8 +62,8 @@
     if len(data) < 3 or len(data) > 255 or data[0] != KIND or (len(data) - 3) % 4:
         return None
     rows: dict[int, ZoneCounts] = {}
-    for place in range(3, len(data), 4):
-        rows.setdefault(data[place], ZoneCounts(*data[place : place + 4]))
+    for offset in range(3, len(data), 4):
+        rows.setdefault(data[offset], ZoneCounts(*data[offset : offset + 4]))
     return ZoneReport(data[1], bool(data[2] & IN_TROUBLE), bool(data[2] & OWN_ZONE_IN_TROUBLE), tuple(rows.values()))
 
 
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -28,8 +28,8 @@
 class Zone:
     """One zone as this relay sees it."""
 
-    def __init__(self, place: int, tier: int, zoning: Zoning, jitter: float) -> None:
-        self.place, self.tier = place, tier
+    def __init__(self, number: int, tier: int, zoning: Zoning, jitter: float) -> None:
+        self.number, self.tier = number, tier
         self.rows: tuple[list[Unit], list[Unit]] = ([], [])  # of earlier builds, and on trial
         self.listed = self.usual = 0.0  # weight in the list now, and the highest of late
         self.usable = 0.0  # weight that this relay can use now
@@ -47,14 +47,14 @@
     """Divides invocations among the zones; `arrange` is called when the list has changed, `beat` twice a second."""
 
     def __init__(self, relay, zoning: Zoning, own_zone: int, zone_count: int) -> None:
-        """`own_zone`: the place of this relay's zone, of `zone_count` zones numbered from 0."""
+        """`own_zone`: the number of this relay's zone, of `zone_count` zones numbered from 0."""
         super().__init__(relay)
         # 17 makes these draws independent of others from the same state.
         self.zoning, self.random = zoning, RandomGenerator(stable_hash(relay.random.state, relay.index, 17))
         self.order = tiers(own_zone, zone_count, zoning)
         self.zones = {
-            zone: Zone(zone, place, zoning, self.random.share())
-            for place, tier in enumerate(self.order)
+            zone: Zone(zone, tier_index, zoning, self.random.share())
+            for tier_index, tier in enumerate(self.order)
             for zone in tier.zones
         }
         self.spill_factors = {zone: SpillFactor() for zone in self.zones}
@@ -149,7 +149,7 @@
             if zone.is_unreachable:  # answers are older, and probes are rare: the misses that made it so count on
                 answered, late, missed = 0, 0, max(missed, UNREACHABLE_MISSES)
             if answered + missed:
-                rows.append(ZoneCounts(zone.place, max(0, answered - late), late, missed))
+                rows.append(ZoneCounts(zone.number, max(0, answered - late), late, missed))
         if not rows and not in_trouble:
             return
         data, others = (
@@ -164,14 +164,14 @@
     def update_shares(self) -> None:
         """Works out what each zone can do, which are lost or back, and from that the tiers' shares."""
         now, zones = self.relay.now, list(self.zones.values())
-        part = {zone.place: zone.listed / zone.usual if zone.usual else 0.0 for zone in zones}
+        part = {zone.number: zone.listed / zone.usual if zone.usual else 0.0 for zone in zones}
         best, unreachable = max(part.values()), self.reports.unreachable_zones()
         own_zone_in_trouble = self.own_zone_in_trouble()
         parts_in_trouble = self.reports.parts_in_trouble(self.own_zone, own_zone_in_trouble)
         views = {}
         for zone in zones:
             answered, missed = zone.answered.total(now), zone.missed.total(now)
-            lost = part[zone.place] < LOST_BELOW * best
+            lost = part[zone.number] < LOST_BELOW * best
             if lost:
                 zone.is_unreachable = zone.has_unlisted_loss = False
                 if zone.recovery.state != OUT:
@@ -179,7 +179,7 @@
             elif not zone.is_unreachable:
                 zone.recovery.mark_available(now)
             seen = answered / (answered + missed) if answered + missed >= MIN_OUTCOMES else 1.0
-            reported_unreachable = zone.place in unreachable and not answered  # its own answers outweigh all reports
+            reported_unreachable = zone.number in unreachable and not answered  # its own answers outweigh all reports
             self.counts["doubted"] += reported_unreachable and not zone.is_reported_unreachable
             zone.is_reported_unreachable = reported_unreachable
             zone.usable = zone.listed * seen * zone.recovery.level * (not reported_unreachable)
@@ -187,9 +187,9 @@
             agreed = (
                 zone.listed
                 * (1.0 if zone.has_unlisted_loss else zone.recovery.level)
-                * (1 - parts_in_trouble.get(zone.place, 0.0))
+                * (1 - parts_in_trouble.get(zone.number, 0.0))
             )
-            views[zone.place] = ZoneView(zone.usual, zone.usable, agreed)
+            views[zone.number] = ZoneView(zone.usual, zone.usable, agreed)
         self.unreachable_count = sum(zone.is_unreachable or zone.is_reported_unreachable for zone in zones)
         self.nearest = min([zone.tier for zone in zones if zone.usual], default=0)
         self.shares, self.spill_limits = split(
@@ -227,7 +227,7 @@
             for zone in self.usable_zones(tier, side, tried):
                 if tier > self.nearest and not self.may_spill(zone):
                     continue
-                tried.append(zone.place)
+                tried.append(zone.number)
                 if self.next.forward(invocation, zone.rows[side]):
                     self.count_sent(zone)
                     return True
@@ -300,9 +300,9 @@
     def usable_zones(self, tier: int, side: int, tried: list[int]) -> list[Zone]:
         """The tier's usable zones that were not tried; the first is drawn by what may spill there, or else by usable
         weight."""
-        usable = [zone for zone in self.with_units[side][tier] if zone.usable > 0 and zone.place not in tried]
+        usable = [zone for zone in self.with_units[side][tier] if zone.usable > 0 and zone.number not in tried]
         if len(usable) > 1:
-            parts = [self.spill_limits.get(zone.place, 0.0) * self.spill_factors[zone.place].level for zone in usable]
+            parts = [self.spill_limits.get(zone.number, 0.0) * self.spill_factors[zone.number].level for zone in usable]
             if not any(parts):
                 parts = [zone.usable for zone in usable]
             draw, first = self.random.share() * sum(parts), usable[-1]
@@ -320,14 +320,14 @@
         little traffic can spill at all."""
         now = self.relay.now
         taken, spilled = self.taken.total(now), sum([ring.total(now) for ring in self.spilled.values()])
-        limit = max(self.spill_limits.get(zone.place, 0.0), FAR_SHARE / len(self.order[zone.tier].zones))
-        return spilled < self.zoning.spill_share * taken and self.spilled[zone.place].total(now) < limit * taken
+        limit = max(self.spill_limits.get(zone.number, 0.0), FAR_SHARE / len(self.order[zone.tier].zones))
+        return spilled < self.zoning.spill_share * taken and self.spilled[zone.number].total(now) < limit * taken
 
     def count_sent(self, zone: Zone) -> None:
         far = zone.tier > self.nearest
         self.counts["spilled" if far else "kept"] += 1
         if far:
-            self.spilled[zone.place].add(self.relay.now)
+            self.spilled[zone.number].add(self.relay.now)
 
     # Outcomes
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
@@ -368,13 +368,13 @@
             zone.recovery.mark_lost(self.relay.now)
             self.update_shares()
             self.send_reports()
-        elif zone.misses_in_row == DOUBTFUL_MISSES and zone.place == self.own_zone and zone.recovery.state == UP:
+        elif zone.misses_in_row == DOUBTFUL_MISSES and zone.number == self.own_zone and zone.recovery.state == UP:
             self.update_shares()  # until the zone is unreachable for certain, what failed there needs room elsewhere
             self.send_reports()
 
     def record_evidence(self, zone: Zone, outcome: str, late: bool) -> None:
         if zone.tier > self.nearest:
-            self.spill_factors[zone.place].record_answer(late)
+            self.spill_factors[zone.number].record_answer(late)
         if zone.recovery.state == RAMP:
             zone.recovery.record_answer(not late)
         if zone.is_unreachable and outcome in ANSWERED:
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -19,13 +19,13 @@
 
 
 class SendShot(NamedTuple):
-    """Send the invocation to this unit as its shot number `place`, from 0, and stop waiting after `wait`.
+    """Send the invocation to this unit as its shot `shot_number`, from 0, and stop waiting after `wait`.
 
     A `wait` of 0 lasts until the client stops waiting.
     """
 
     unit: int
-    place: int
+    shot_number: int
     wait: int
 
 
@@ -43,13 +43,13 @@
 
 
 class Outcome(NamedTuple):
-    """How shot number `place` of invocation `number` ended, and what the unit reported of its load (util, queue).
+    """How shot `shot_number` of invocation `number` ended, and what the unit reported of its load (util, queue).
 
     Outcomes are served, error, full, timeout, unreachable, reset, cancelled and moot.
     """
 
     number: int
-    place: int
+    shot_number: int
     outcome: str
     load: dict[str, float] | None = None
 
@@ -129,10 +129,10 @@
 
 
 class CancelShot(NamedTuple):
-    """Stop waiting for shot number `place` of invocation `number`."""
+    """Stop waiting for shot `shot_number` of invocation `number`."""
 
     number: int
-    place: int
+    shot_number: int
 
 
 class Actions(NamedTuple):
@@ -169,8 +169,8 @@
         self.actions = Actions([], [], [], [], [])
         self.wake_ups: list[tuple[int, int, int]] = []  # a heap: when, in what order, token
         self.taken = self.wake_count = self.faults = 0  # invocations, wake-ups asked for, exceptions of the module
-        self.workloads = {each["name"]: place for place, each in enumerate(facts.get("workloads", []))}
-        self.customers = {each["name"]: place for place, each in enumerate(facts.get("customers", []))}
+        self.workloads = {each["name"]: index for index, each in enumerate(facts.get("workloads", []))}
+        self.customers = {each["name"]: index for index, each in enumerate(facts.get("customers", []))}
         self.relay = Relay(self, facts, seed, clock())
         for make_stage in extra_stages:  # stages of other choices (tealsail/choices/)
             self.relay.add_stage(make_stage(self.relay))
@@ -191,14 +191,14 @@
             self.relay.on_invocation,
             self.taken,
             self.workloads[workload],
-            self.place(customer),
+            self.customer_index(customer),
             key,
             deadline,
             work,
             repeat,
         )
 
-    def place(self, customer: str) -> int:
+    def customer_index(self, customer: str) -> int:
         """The customer's index; customers that the settings do not name share one, which is no other's."""
         return self.customers.get(customer, self.customers.get(UNLISTED_CUSTOMER, 0))
 
@@ -206,12 +206,12 @@
         """Takes an event; returns the next step of the invocation that an outcome is about."""
         relay = self.relay
         match event:
-            case Outcome(number, place, outcome, load):
+            case Outcome(number, shot_number, outcome, load):
                 shots = relay.known[number].shots if number in relay.known else []
-                latency = self.clock() - shots[place].sent_at if place < len(shots) else 0
+                latency = self.clock() - shots[shot_number].sent_at if shot_number < len(shots) else 0
                 self.current = number
                 return self.call_module(
-                    Forfeit(), relay.on_outcome, number, place, outcome, outcome == "served", latency, load
+                    Forfeit(), relay.on_outcome, number, shot_number, outcome, outcome == "served", latency, load
                 )
             case ClientLeft(number):
                 return self.call_module(None, relay.on_abandoned, number)
@@ -239,13 +239,13 @@
         """When to call `tick` next: at once if something waits to be fetched."""
         return self.clock() if any(self.actions) else self.wake_ups[0][0] if self.wake_ups else 1 << 62
 
-    def may_still_send(self, number: int, place: int) -> bool:
+    def may_still_send(self, number: int, shot_number: int) -> bool:
         """Whether a shot that has not been written yet may still be sent as chosen."""
-        return bool(self.call_module(None, self.check_may_still_send, number, place))
+        return bool(self.call_module(None, self.check_may_still_send, number, shot_number))
 
-    def check_may_still_send(self, number: int, place: int) -> None:
+    def check_may_still_send(self, number: int, shot_number: int) -> None:
         """Leaves a step, any one, if the shot may still be sent."""
-        self.step = SendShot(0, place, 0) if self.relay.may_still_send(number, place) else None
+        self.step = SendShot(0, shot_number, 0) if self.relay.may_still_send(number, shot_number) else None
 
     def call_module(self, failed: Step, call: Callable[..., None], *arguments: Any) -> Step:
         """Calls the module at the current time and returns the step that it left; `failed` if it raised."""
@@ -277,8 +277,8 @@
     def send(self, invocation: int, unit: int, wait: int) -> None:
         self.leave_step(invocation, SendShot(unit, len(self.relay.known[invocation].shots) - 1, wait))
 
-    def cancel(self, invocation: int, shot: int) -> None:
-        self.actions.cancellations.append(CancelShot(invocation, shot))
+    def cancel(self, invocation: int, shot_number: int) -> None:
+        self.actions.cancellations.append(CancelShot(invocation, shot_number))
 
     def reject(self, invocation: int, retry_after: int) -> None:
         self.leave_step(invocation, Reject(retry_after))
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -14,8 +14,8 @@
     def send(self, invocation: int, unit: int, wait: int) -> None:
         """Send the invocation's next shot; `wait` is its time-out (0: until the client stops waiting)."""
 
-    def cancel(self, invocation: int, shot: int) -> None:
-        """Stop waiting for one shot; shots of an invocation are numbered from 0."""
+    def cancel(self, invocation: int, shot_number: int) -> None:
+        """Stop waiting for the shot with that number; shots of an invocation are numbered from 0."""
 
     def reject(self, invocation: int, retry_after: int) -> None:
         """Final answer: not done, trying again is harmless (after `retry_after` tenths of a ms; 0: no advice)."""
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -83,7 +83,7 @@
         if isinstance(step, Reject) or not isinstance(step, SendShot):
             raise ValueError(f"a request got {step}")
         self.now += ROUND_TRIP
-        self.facade.report(Outcome(number, step.place, "served"))
+        self.facade.report(Outcome(number, step.shot_number, "served"))
         self.facade.tick()
 
     def hear(self, sender: int, data: bytes) -> None:
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -85,7 +85,7 @@
         now += 5
         number, step = facade.pick(one.workload[0].name, "", f"key-{place % 500}", now + 20_000)
         if type(step) is SendShot:
-            waiting.append(Outcome(number, step.place, "served"))
+            waiting.append(Outcome(number, step.shot_number, "served"))
         elif type(step) is Reject:
             raise ValueError(f"{one.name}: rejected, which is no usual decision")
         if len(waiting) > BESIDE:
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -170,7 +170,7 @@
 
     def follow(self, serving: Serving, step: Step) -> None:
         if type(step) is SendShot and serving.over:
-            self.facade.report(Outcome(serving.number, step.place, "moot"))
+            self.facade.report(Outcome(serving.number, step.shot_number, "moot"))
         elif type(step) is SendShot:
             self.shoot(serving, step)
         elif type(step) is Reject:
@@ -193,8 +193,8 @@
         model, now = self.model, self.model.now
         name = model.unit_names[step.unit]
         believed = self.facade.relay.units[step.unit].build
-        out = serving.outs[step.place] = Out(serving, step.place, name)
-        model.tell(ShotLine(now, self.index, serving.arrival.number, step.place, name, believed, step.wait))
+        out = serving.outs[step.shot_number] = Out(serving, step.shot_number, name)
+        model.tell(ShotLine(now, self.index, serving.arrival.number, step.shot_number, name, believed, step.wait))
         model.later(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.overdue, out)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
@@ -291,7 +291,7 @@
             if number in self.serving:
                 self.follow(self.serving[number], step)
             elif type(step) is SendShot:
-                self.facade.report(Outcome(number, step.place, "moot"))
+                self.facade.report(Outcome(number, step.shot_number, "moot"))
         for to, data in actions.messages:
             for other in range(len(model.doors)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
@@ -304,8 +304,8 @@
 
     def call_off(self, what: CancelShot) -> None:
         serving = self.serving.get(what.number)
-        if serving and what.place in serving.outs:
-            self.give_up(serving.outs[what.place], "cancelled")
+        if serving and what.shot_number in serving.outs:
+            self.give_up(serving.outs[what.shot_number], "cancelled")
 
     def listed(self, entries: list[Entry], kind: str) -> None:
         model = self.model
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -62,7 +62,7 @@
     def invocation_taken(self, number: int, statement: "Statement", at: int) -> None:
         """`at`: when it came, by the relay's clock."""
         facade = self.relay.facade
-        customer = facade.place(statement.customer)
+        customer = facade.customer_index(statement.customer)
         at -= self.zero
         self.recorder.note(
             InvocationTaken(
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -434,7 +434,7 @@
             if number in self.serving:
                 self.serving[number].execute_safely(step)
             elif isinstance(step, SendShot):  # its client has left since
-                self.facade.report(Outcome(number, step.place, "moot"))
+                self.facade.report(Outcome(number, step.shot_number, "moot"))
         for number, data in actions.messages:
             self.peers.send(number, data)
         for vote in actions.votes:
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -55,10 +55,10 @@
     def add(self, now: int, amount: float = 1) -> None:
         """Adds an amount.  Amounts are whole, so that the running total equals a sum taken anew."""
         stamp = now // self.bucket_width
-        place = stamp % self.size
-        if self.stamps[place] != stamp:  # the bucket's old content is older than any span asked for from now on
-            self.stamps[place], self.sums[place] = stamp, 0.0
-        self.sums[place] += amount
+        index = stamp % self.size
+        if self.stamps[index] != stamp:  # the bucket's old content is older than any span asked for from now on
+            self.stamps[index], self.sums[index] = stamp, 0.0
+        self.sums[index] += amount
         self.running_total += amount
 
     def total(self, now: int) -> float:
@@ -115,9 +115,9 @@
 def median(counts: list[int], edges: tuple[float, ...]) -> float:
     """The median of a histogram, interpolated inside a bucket by the ratio of its edges."""
     half, edges = sum(counts) / 2, (edges[0] / 2, *edges, 2 * edges[-1], 2 * edges[-1])
-    for place, count in enumerate(counts):
+    for index, count in enumerate(counts):
         if count and half <= count:
-            return edges[place] * (edges[place + 1] / edges[place]) ** (half / count)
+            return edges[index] * (edges[index + 1] / edges[index]) ** (half / count)
         half -= count
     return edges[-1]
 
@@ -248,9 +248,9 @@
 
     mean = deviation = 0.0  # of latencies, in tenths of a ms
 
-    def __init__(self, place: int, cell_count: int, facts: dict[str, Any]) -> None:
-        self.place = place
-        self.cells = slice(place * cell_count, (place + 1) * cell_count)  # its counts among those of a group
+    def __init__(self, index: int, cell_count: int, facts: dict[str, Any]) -> None:
+        self.index = index  # among the workloads of the settings
+        self.cells = slice(index * cell_count, (index + 1) * cell_count)  # its counts among those of a group
         self.latency_target = facts["promised"]  # in tenths of a ms
         self.effect = facts["effect"]  # harmless, stamped or one-shot: whether it may run twice
         self.group = facts["group"]  # units that share their memory of stamps: all, zone or cell
@@ -265,7 +265,7 @@
         self.number = number
         self.build = build
         self.started = started  # 0: long ago
-        self.order = order  # its place in this relay's own order of units
+        self.order = order  # its position in this relay's own order of units: a hash
         self.credit = 1.0  # how much work it may get while it is cold
         self.credited_work = credited_work  # the gate's `warm_work` up to which `credit` has been brought up to date
         self.weight = 1.0
--- a/tealsail/peer_messages.py
+++ b/tealsail/peer_messages.py
@@ -8,7 +8,7 @@
 - load message, 6 bytes: count of messages, unit (16 each), open shots and what came of the last shot (8 each).
 - question, 5 bytes and 2 for each unit, at least two of them: number of the invocation (32), how many units (8), units
   (16 each).
-- answer, 5 bytes: number of the invocation (32), place of the unit in the question (8).
+- answer, 5 bytes: number of the invocation (32), index of the unit in the question (8).
 
 The last three go to and from the load tracker.  A message that is lost, doubled or overtaken by another does no harm.
 """
@@ -81,9 +81,9 @@
     return struct.pack(f"<IB{len(units)}H", number & 0xFFFFFFFF, len(units), *(unit & UINT16_MAX for unit in units))
 
 
-def answer_message(number: int, place: int) -> bytes:
-    """The tracker's answer: the place of a unit in the question."""
-    return struct.pack("<IB", number, place)
+def answer_message(number: int, index: int) -> bytes:
+    """The tracker's answer: the index of a unit in the question."""
+    return struct.pack("<IB", number, index)
 
 
 def is_tracker_message(data: bytes) -> bool:
@@ -121,7 +121,7 @@
         self.sums = [0] * size
         self.by_sender: list[dict[int, int]] = [{} for _ in kinds]  # for each kind: sender -> sum over its cells
         self.kinds = {
-            cell: [place for place, cells in enumerate(kinds) if cell in cells] for cells in kinds for cell in cells
+            cell: [index for index, cells in enumerate(kinds) if cell in cells] for cells in kinds for cell in cells
         }
         self.known: dict[int, dict[int, dict[int, int]]] = {}  # sender -> series -> cell -> count
         self.ended: dict[int, list[int]] = {}  # sender -> series that are over
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -514,7 +514,7 @@
         self.muted_until = dict.fromkeys(self.order, 0)
         self.pending: dict[int, Invocation] = {}  # held until the tracker's answer or the end of the wait
         self.unanswered = 0  # questions in a row
-        self.load_messages_sent = 0
+        self.reports_sent = 0
         self.first_report_at = 0  # as the tracker: when reports began, or began again after a span without completions
         self.completions = SlidingSum(2 * SECOND, WINDOW_BUCKETS)  # as the tracker: shots that ended
         self.loads: defaultdict[int, UnitLoad] = defaultdict(UnitLoad)  # as the tracker: what all relays have at a unit
@@ -544,17 +544,17 @@
         """Sends a message to a relay, or handles it here if it is this one."""
         (self.receive if tracker_index == self.relay.index else self.relay.host.send_message)(tracker_index, data)
 
-    def resume(self, number: int, place: int = -1) -> None:
-        """Goes on with an invocation that waits: `place` is the tracker's choice among the candidates, -1 for no
+    def resume(self, number: int, index: int = -1) -> None:
+        """Goes on with an invocation that waits: `index` is the tracker's choice among the candidates, -1 for no
         answer in time, or NO_ROOM."""
         if (invocation := self.pending.pop(number, None)) is None:
             return
-        self.unanswered = 0 if place >= 0 else self.unanswered + 1
+        self.unanswered = 0 if index >= 0 else self.unanswered + 1
         if self.unanswered > 1:
             self.muted_until[self.tracker_index()], self.unanswered = self.relay.now + self.MUTE_TIME, 0
         if not invocation.is_over:
-            invocation.recommended = invocation.candidates[place] if 0 <= place < len(invocation.candidates) else None
-            if place == NO_ROOM or not self.relay.trial.forward(invocation):
+            invocation.recommended = invocation.candidates[index] if 0 <= index < len(invocation.candidates) else None
+            if index == NO_ROOM or not self.relay.trial.forward(invocation):
                 self.relay.intake.end(invocation)
 
     def report_shot(self, unit: Unit, outcome: str = "", times: float = 0.0) -> None:
@@ -563,34 +563,32 @@
         `times` is its latency over the usual one.
         """
         if (tracker_index := self.tracker_index()) >= 0:
-            self.load_messages_sent, came = (
-                self.load_messages_sent + 1,
+            self.reports_sent, came = (
+                self.reports_sent + 1,
                 255 if outcome == "error" else min(254, int(16 * times)),
             )
-            self.send(
-                tracker_index, peer_messages.load_message(self.load_messages_sent, unit.number, unit.open_shots, came)
-            )
+            self.send(tracker_index, peer_messages.load_message(self.reports_sent, unit.number, unit.open_shots, came))
 
     def least_loaded(self, sender: int, keys: tuple[int, ...]) -> int:
-        """As the tracker: the place of the unit with the lowest cost among `keys`, or NO_ROOM where all are full."""
+        """As the tracker: the index of the unit with the lowest cost among `keys`, or NO_ROOM where all are full."""
         loads, now, since = [self.loads[key] for key in keys], self.relay.now, self.relay.now - self.ANSWER_TIMEOUT
         usual = sorted(load.error_rate for load in loads)[len(loads) // 2]
         costs = [
-            (load.expected_shots(since, REPORTED_SHOT_WEIGHT) + 0.5 + self.ORDER_COST * place)
+            (load.expected_shots(since, REPORTED_SHOT_WEIGHT) + 0.5 + self.ORDER_COST * index)
             * max(1.0, load.latency_ratio / NORMAL_LATENCY_RATIO)
             * (1 + 20 * max(0.0, load.error_rate - OWN_FAULT_ERROR_RATE - 2 * usual))
-            for place, load in enumerate(loads)
+            for index, load in enumerate(loads)
         ]
-        place = costs.index(min(costs))
+        index = costs.index(min(costs))
         latency_target = min([each.latency_target for each in self.relay.workloads], default=SECOND)
         pace = max(LEAST_OUTCOMES, self.completions.total(now)) / (len(self.loads) * self.completions.span)
         if (
-            loads[place].open_shots > self.BUSY_PART * latency_target * pace
+            loads[index].open_shots > self.BUSY_PART * latency_target * pace
             and now - self.first_report_at > 2 * self.completions.span
         ):
             return NO_ROOM  # but not from one that has just begun to receive reports, and knows no pace
-        loads[place].assigned.append((sender, now))
-        return place
+        loads[index].assigned.append((sender, now))
+        return index
 
     def receive(self, sender: int, data: bytes) -> None:
         """Handles a message of another relay: a report or a question as the tracker, an answer as the one who asked."""
@@ -639,7 +637,7 @@
         if shot.warmth >= 1:
             self.warm_work += invocation.size / max(relay.warm_weight, unit.weight)
         unit.credit -= invocation.size
-        self.exposures[unit.build][invocation.workload.place].add(now)
+        self.exposures[unit.build][invocation.workload.index].add(now)
         wait, late_after = invocation.deadline - now, self.relay.admission.late_after(invocation.workload)
         if (
             invocation.workload.effect == "harmless"
@@ -719,8 +717,8 @@
 
     def allowance(self, invocation: Invocation, build: int, part: float = 1.0) -> float:
         """How many shots may still go to the build, of `part` of the whole allowance."""
-        now, place = self.relay.now, invocation.workload.place
-        counted = slice(place, place + 1) if self.facts["exposure_per"] == "class" else slice(None)
+        now, index = self.relay.now, invocation.workload.index
+        counted = slice(index, index + 1) if self.facts["exposure_per"] == "class" else slice(None)
         shots = sum(ring.upper_bound(now) for ring in self.exposures[build][counted])
         invocations = sum(ring.total(now) for ring in self.invocations[counted])
         return part * (self.facts["free_shots"] + self.relay.cap(build) * invocations) - shots
@@ -776,7 +774,7 @@
         self.order = sorted(
             range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -stable_hash(relay.build, at)
         )
-        self.place, self.verdict = self.order.index(relay.index), 0
+        self.rank, self.verdict = self.order.index(relay.index), 0
 
     def is_judging(self) -> bool:
         """Whether this is one of the judges, or the next in the order in place of one that is silent."""
@@ -786,7 +784,7 @@
             for index in self.order[: JUDGES + 1]
             if index == relay.index or relay.now - self.last_counts_at.get(index, relay.stage_since) < JUDGE_TIMEOUT
         ]
-        return relay.index in alive[:JUDGES] or (self.place < self.voters and not self.facts["may_tell"])
+        return relay.index in alive[:JUDGES] or (self.rank < self.voters and not self.facts["may_tell"])
 
     def send_counts(self) -> None:
         """Sends this relay's cumulative counts to the judges and to the next relay in the order.
@@ -802,7 +800,7 @@
         matched = 2 * len(trial.recent_counts)  # cells of canary and baseline
         has_new_failures = any(counts[at] > self.counts_sent[at] for at in range(1, matched, CELLS_PER_WORKLOAD))
         turns = 1 + min(MAX_EXTRA_TURNS, self.facts["relays"] // RELAYS_PER_TURN)
-        is_my_turn = (self.beat // 2 + relay.index) % turns == 0 or self.place <= JUDGES
+        is_my_turn = (self.beat // 2 + relay.index) % turns == 0 or self.rank <= JUDGES
         if trial.build < 0 or not self.facts["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
             return
         if self.verdict and self.voters > JUDGES and self.is_judging():
@@ -814,7 +812,7 @@
             counts,
         )
         for data in peer_messages.count_messages(trial.build, self.counting_since, cells, len(counts)):
-            for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
+            for index in self.order[: JUDGES + 1] if cells or self.rank <= JUDGES else ():
                 if index != relay.index:
                     send(index, data)
         if max(counts, default=0) > RESTART_COUNTS_ABOVE:  # from here on as if this relay had started anew
@@ -840,7 +838,7 @@
             # A judge's verdict.  The voters spread their votes over the time that the platform needs for so many.
             self.verdict, excess_s = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
             self.no_vote_before = relay.now + int(max(0.0, excess_s) * relay.random.share() * SECOND)
-            if self.place < self.voters:
+            if self.rank < self.voters:
                 self.vote()
 
     def pool(self, sums: list[int] | None = None) -> list[list[list[int]]]:
@@ -912,7 +910,7 @@
         if self.relay.workloads and self.relay.build >= 0 and self.relay.phase in (ON_TRIAL, RELEASED):
             if is_judging:
                 self.update_verdict()
-            if is_judging or self.place < self.voters:
+            if is_judging or self.rank < self.voters:
                 self.vote()
 
     def update_verdict(self) -> None:
@@ -1101,9 +1099,9 @@
         self.intake.forward(invocation)
 
     def on_outcome(
-        self, number: int, place: int, outcome: str, is_over: bool, latency: int, load: dict[str, float] | None
+        self, number: int, shot_number: int, outcome: str, is_over: bool, latency: int, load: dict[str, float] | None
     ) -> None:
-        """Takes the outcome of the invocation's shot number `place`, from 0.
+        """Takes the outcome of the invocation's shot `shot_number`, from 0.
 
         Outcomes are served, error, full, timeout, unreachable, reset, cancelled and moot.  `is_over` says that the
         invocation has ended with it; `load` is what the unit reported of itself.
@@ -1111,24 +1109,24 @@
         invocation = self.known.get(number)
         if invocation is None:
             return
-        shot = invocation.shots[place]
+        shot = invocation.shots[shot_number]
         if load:
             unit = shot.unit
             unit.util, unit.queue, unit.load_reported_at = load.get("util", 0.0), load.get("queue", 0.0), self.now
         invocation.is_over |= is_over and outcome != "served"
         self.gate.backward(shot, outcome, latency)
 
-    def on_started(self, number: int, place: int) -> None:
+    def on_started(self, number: int, shot_number: int) -> None:
         """Takes the news that the stream of an answer has begun: nothing more may be sent."""
         if number in self.known:
             self.known[number].is_over = True
 
-    def may_still_send(self, number: int, place: int) -> bool:
+    def may_still_send(self, number: int, shot_number: int) -> bool:
         """Whether a shot may go out once its connection is up.
 
         Guards against a list or a cap that has changed since the shot was chosen.
         """
-        unit = self.known[number].shots[place].unit
+        unit = self.known[number].shots[shot_number].unit
         return self.gate.is_listed(unit) and (not self.on_trial(unit.build) or self.cap(unit.build) > 0)
 
     def on_abandoned(self, number: int) -> None:
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -11,7 +11,7 @@
 # Effects of a workload, from the operators' word to the internal one.
 EFFECTS = {"read_like": "harmless", "idempotency_key": "stamped", "non_idempotent": "one-shot"}
 
-# Path, without the places of list items -> internal name.
+# Path, without the indexes of list items -> internal name.
 NAMES_BY_PATH = {
     "fleetSize": "relays",
     "index": "index",
@@ -148,7 +148,7 @@
 def flat_leaves(pairs: dict[str, str]) -> Iterator[tuple[list[str], Any]]:
     """The leaves of the simulator's form, as (parts of the path, value).
 
-    A list of objects has its places in the path, and its length under `count`.
+    A list of objects has the indexes of its items in the path, and its length under `count`.
     """
     for path, text in pairs.items():
         name = NAMES_BY_PATH.get(path)
@@ -161,8 +161,8 @@
         if isinstance(value, dict):
             yield from nested_leaves(value, (*path, name))
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            for place, item in enumerate(value):
-                yield from nested_leaves(item, (*path, name, str(place)))
+            for index, item in enumerate(value):
+                yield from nested_leaves(item, (*path, name, str(index)))
         else:
             yield [*path, name], value
 
--- a/tealsail/world/clients.py
+++ b/tealsail/world/clients.py
@@ -1,7 +1,7 @@
 """Clients: arrivals that do not wait for earlier answers (an open workload), their repeats and abandon times.
 
 The number of a try is its count of repeats times NUMBERS_PER_TRY, plus the number of its stream times
-NUMBERS_PER_STREAM, plus its place in the stream.
+NUMBERS_PER_STREAM, plus its index in the stream.
 """
 
 import heapq
@@ -70,14 +70,14 @@
 
     def __init__(self, number: int, relay: int, rate: float, start: int, end: int, customer: int, seed: int) -> None:
         self.number, self.relay, self.rate, self.end, self.customer = number, relay, rate / SECOND, end, customer
-        self.gaps, self.place, self.at = PoissonGaps(seed, random_draws.ARRIVALS, number), 0, float(start)
+        self.gaps, self.index, self.at = PoissonGaps(seed, random_draws.ARRIVALS, number), 0, float(start)
 
     def next(self) -> int | None:
         """Moves on to the next arrival; returns its time, or None after the end."""
         if self.rate <= 0:
             return None
         self.at += self.gaps.gap() / self.rate
-        self.place += 1
+        self.index += 1
         return int(self.at) if self.at < self.end else None
 
 
@@ -131,7 +131,7 @@
     def next(self) -> Arrival:
         """Returns the next first try; to be called only if `due` is not None."""
         at, _, stream = heapq.heappop(self.heap)
-        number = stream.number * NUMBERS_PER_STREAM + stream.place
+        number = stream.number * NUMBERS_PER_STREAM + stream.index
         due = stream.next()
         if due is not None:
             heapq.heappush(self.heap, (due, stream.number, stream))
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -178,7 +178,7 @@
 
     # faults
     def begin_fault(self, now: int, fault: Fault, index: int) -> None:
-        """Carries out a line of the script; its place `index` sets its draws apart from those of other lines."""
+        """Carries out a line of the script; its number `index` sets its draws apart from those of other lines."""
         self.lines.append(FaultLine(now, fault.text))
         match fault.kind:
             case "kill" | "hang" | "silence" | "slow" | "fail" | "drain":
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -86,9 +86,9 @@
         """The units of the shots sent so far, of one invocation or of all."""
         return [unit for invocation, unit, _ in self.host.of("send") if number in (None, invocation)]
 
-    def report_outcome(self, number: int, outcome: str, place: int = 0, latency: int = 1000) -> None:
-        """The shot of that place in its invocation has ended."""
-        self.relay.on_outcome(number, place, outcome, outcome == "served", latency, None)
+    def report_outcome(self, number: int, outcome: str, shot_number: int = 0, latency: int = 1000) -> None:
+        """The shot of that number has ended."""
+        self.relay.on_outcome(number, shot_number, outcome, outcome == "served", latency, None)
 
     def serve(self, outcome: str = "served", latency: int = 1000, **how: Any) -> int:
         """Take an invocation and end its first shot with this outcome; returns the shot's unit, -1 for no shot."""
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -51,7 +51,7 @@
         self.assertIsInstance(first, SendShot)
         self.clock.now += 300
         further = self.facade.report(Outcome(number, 0, "unreachable"))
-        self.assertEqual((further.place, {first.unit, further.unit}), (1, {5, 6}))
+        self.assertEqual((further.shot_number, {first.unit, further.unit}), (1, {5, 6}))
         self.assertIsNone(self.facade.report(Outcome(number, 1, "served", {"util": 0.5})))
         self.assertEqual(self.facade.relay.units[further.unit].util, 0.5)
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -315,15 +315,15 @@
         story = Story(relays=40, on_votes=20, votes_per_second=100)
         story.trial()
         judge = story.relay.judge
-        judges = judge.order[:2]  # place 10 votes and is no judge, 39 does not
-        for place, sender, verdict, votes in (
+        judges = judge.order[:2]  # rank 10 votes and is no judge, 39 does not
+        for rank, sender, verdict, votes in (
             (10, judge.order[-1], BACK, []),
             (39, judges[0], ON, []),
             (10, judges[0], ON, ON),
             (10, judges[1], BACK, ON + BACK),
             (10, judges[0], ON, ON + BACK),
         ):
-            judge.place = place
+            judge.rank = rank
             story.relay.on_peer_message(sender, verdict_message(2, 0, *verdict))
             story.beat()
             story.relay.on_vote_answer("ok")
@@ -334,7 +334,7 @@
             story = Story(relays=40, on_votes=needed)
             story.trial()
             judge = story.relay.judge
-            judge.place, judge.verdict, judge.order, judge.beat = 0, policy.BACK, [0, *judge.order], 1
+            judge.rank, judge.verdict, judge.order, judge.beat = 0, policy.BACK, [0, *judge.order], 1
             judge.send_counts()
             self.assertEqual(sum(to == -1 for to, _ in story.host.of("send_message")), sent)
 
@@ -342,7 +342,7 @@
         story = Story(relays=40)
         story.trial()
         judge = story.relay.judge
-        judge.place, story.relay.trial.groups["canary"][0] = 30, 5
+        judge.rank, story.relay.trial.groups["canary"][0] = 30, 5
         lengths = []
         for judge.beat in (3, 5, 7, 9, 11):
             judge.send_counts()
@@ -362,7 +362,7 @@
             story = Story(relays=relays, index=index)
             story.trial()
             judge, sent = story.relay.judge, []
-            judge.place = 0 if judges else 30
+            judge.rank = 0 if judges else 30
             judge.order = [number for number in range(10) if number != index]
             for beat in range(32):  # sixteen seconds, with new failures all the time
                 judge.beat = beat
@@ -378,7 +378,7 @@
         story.trial()
         judge = story.relay.judge
         pool = CountPool(len(judge.pooled.sums))
-        judge.place, count = 30, 0
+        judge.rank, count = 30, 0
         for beat in range(3, 41, 2):
             judge.beat = beat
             count += 700_000_000
@@ -621,16 +621,16 @@
         build went back 0.5 to 0.7 s later (simulated), often only after the next build was offered."""
         for every, kept in ((5, True), (1, False)):
             story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
-            places = []
+            indexes = []
             for count in range(400):
                 story.later(100)
                 story.relay.on_peer_message(7, question_message(count, [0, 1, 2, 3]))
-                place = read_tracker_message(story.host.of("send_message")[-1][1])[1]
-                places.append(place)
-                for out, came in ((1, 0), (0, 255 if place == 0 and not places.count(0) % every else 16)):
-                    story.relay.on_peer_message(7, load_message(2 * count + 1 - out, place, out, came))
+                index = read_tracker_message(story.host.of("send_message")[-1][1])[1]
+                indexes.append(index)
+                for out, came in ((1, 0), (0, 255 if index == 0 and not indexes.count(0) % every else 16)):
+                    story.relay.on_peer_message(7, load_message(2 * count + 1 - out, index, out, came))
                     story.later(100 * out)
-            self.assertEqual(places[200:].count(0) > 25, kept)
+            self.assertEqual(indexes[200:].count(0) > 25, kept)
 
     def test_a_reported_shot_is_not_counted_as_an_assigned_one_too(self) -> None:
         """For a tenth of a second each shot counted twice, and its unit as busy after it had ended.  At 70% of use a
@@ -702,7 +702,7 @@
             number = story.take()
             if story.sent(number)[0] == 0:
                 story.report_outcome(number, "cancelled", latency=SECOND)
-            story.report_outcome(number, "served", place=len(story.sent(number)) - 1)
+            story.report_outcome(number, "served", shot_number=len(story.sent(number)) - 1)
         self.assertLess(story.sent().count(0), 5)
         story.later(unit.ejected_until)
         self.assertTrue(story.relay.choice.is_available(unit))
@@ -748,10 +748,10 @@
         limit = story.relay.admission.limit
         for _ in range(40):
             number = story.take()
-            for place, unit in enumerate(story.sent(number)):
-                story.report_outcome(number, "full" if unit == 0 else "served", place=place)
+            for shot_number, unit in enumerate(story.sent(number)):
+                story.report_outcome(number, "full" if unit == 0 else "served", shot_number=shot_number)
             if len(story.sent(number)) == 2:
-                story.report_outcome(number, "served", place=1)
+                story.report_outcome(number, "served", shot_number=1)
         self.assertEqual(story.relay.admission.limit, limit)
         self.assertLess(story.sent().count(0), 5)
 
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -105,8 +105,8 @@
             self.assertEqual((len(story.sent(taken)), len(story.host.of("reject"))), (1, 1))
             live.end_transition()
             later = story.take()
-            for place in range(new):
-                story.report_outcome(later, "unreachable", place=place)
+            for shot_number in range(new):
+                story.report_outcome(later, "unreachable", shot_number=shot_number)
             self.assertEqual(len(story.sent(later)), new)
 
     def test_a_change_that_needs_a_restart_is_refused_by_name_and_changes_nothing(self) -> None:
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -79,9 +79,9 @@
     @given(st.lists(st.tuples(st.integers(0, 2), WORK), min_size=1, max_size=30), st.integers(0, 20))
     def test_nothing_is_missing_once_the_last_messages_have_arrived(self, steps, restarts) -> None:
         senders, pool = [Sender(number) for number in range(3)], CountPool(SIZE)
-        for place, (who, (_, cell, many)) in enumerate(steps):
+        for step, (who, (_, cell, many)) in enumerate(steps):
             senders[who].work(cell, many)
-            if place < restarts:
+            if step < restarts:
                 senders[who].restart(36_000_000)
         for sender in senders:
             sender.tell()
@@ -208,7 +208,7 @@
         story = Story(relays=40, index=7)
         story.trial()
         judge = story.relay.judge
-        judge.place = 30
+        judge.rank = 30
         for beat in range(12):
             fleet.work(0.5)
             for group, name in enumerate(GROUPS):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,7 +52,7 @@
         number = story.take()
         story.report_outcome(number, "full")
         self.assertEqual(len(story.sent(number)), 2)
-        story.report_outcome(number, "error", place=1)
+        story.report_outcome(number, "error", shot_number=1)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_a_stamped_invocation_is_repeated_only_in_its_group_and_within_its_memory(self) -> None:
