--- a/tealsail/adapter/translation.py
+++ b/tealsail/adapter/translation.py
@@ -30,4 +30,4 @@
 
 def settings(pairs: dict[str, str]) -> dict:
     """Converts the protocol's path=value pairs to settings under the decision module's names."""
-    return settings_table.facts(settings_table.flat_leaves(pairs))
+    return settings_table.named_settings(settings_table.flat_leaves(pairs))
--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -59,7 +59,9 @@
         ("requestClasses", "workloads", RESTART_SETTINGS_OF_WORKLOAD),
         ("tenants", "customers", ("name",)),
     ):
-        before, after = ([[each.get(name) for name in names] for each in facts.get(whole, [])] for facts in (old, new))
+        before, after = (
+            [[each.get(name) for name in names] for each in settings.get(whole, [])] for settings in (old, new)
+        )
         found += [path] * (before != after)
     return found
 
@@ -72,12 +74,12 @@
 def install(relay: Relay, replacement: Relay, strict: bool) -> None:
     """Gives `relay` the settings of `replacement`, a relay that was built with the new ones; if `strict`, the stricter
     of its own and the new value where a rule differs."""
-    before = dict(relay.facts)
-    for name in before.keys() - replacement.facts.keys():
-        del relay.facts[name]
-    for name, value in replacement.facts.items():
+    before = dict(relay.settings)
+    for name in before.keys() - replacement.settings.keys():
+        del relay.settings[name]
+    for name, value in replacement.settings.items():
         both = strict and name in STRICTER and name in before
-        relay.facts[name] = STRICTER[name](before[name], value) if both else value
+        relay.settings[name] = STRICTER[name](before[name], value) if both else value
     for mine, new in zip(relay.workloads, replacement.workloads):
         mine.latency_target, mine.value = new.latency_target, new.value
         mine.memory = min(mine.memory, new.memory) if strict else new.memory
@@ -104,22 +106,29 @@
 class LiveSettings:
     """The settings of one running relay, and the change that is under way."""
 
-    def __init__(self, relay: Relay, facts: dict[str, Any]) -> None:
-        self.relay, self.facts = relay, facts  # the settings as they were handed in
+    def __init__(self, relay: Relay, relay_settings: dict[str, Any]) -> None:
+        self.relay, self.relay_settings = relay, relay_settings  # the settings as they were handed in
         self.replacement: Relay | None = None  # built with the new settings; kept until the change is complete
         self.unfinished: set[int] = set()  # invocations that were taken before the change
 
-    def change(self, facts: dict[str, Any]) -> list[str]:
+    def change(self, relay_settings: dict[str, Any]) -> list[str]:
         """Takes new settings, between two events; returns the names of those that differ.
 
         Raises RestartNeeded, or what policy.Relay raises if it cannot be built with them; nothing changes then.
         """
-        needs = restart_paths(self.facts, facts)
+        needs = restart_paths(self.relay_settings, relay_settings)
         if needs:
             raise RestartNeeded(needs)
-        found, replacement = changed_paths(self.facts, facts), Relay(NullHost(), facts, 0, self.relay.now)
+        found, replacement = (
+            changed_paths(self.relay_settings, relay_settings),
+            Relay(NullHost(), relay_settings, 0, self.relay.now),
+        )
         if found:
-            self.facts, self.replacement, self.unfinished = facts, replacement, self.open(self.relay.known)
+            self.relay_settings, self.replacement, self.unfinished = (
+                relay_settings,
+                replacement,
+                self.open(self.relay.known),
+            )
             install(self.relay, replacement, bool(self.unfinished))
         return found
 
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -137,11 +137,11 @@
 
     def send_reports(self) -> None:
         """Reports what was seen of late, while there is trouble, to a few relays, drawn again each time."""
-        relay, now, facts = self.relay, self.relay.now, self.relay.facts
+        relay, now, settings = self.relay, self.relay.now, self.relay.settings
         in_trouble = self.own_zone_in_trouble() or any(
             zone.is_unreachable or zone.recovery.state != UP for zone in self.zones.values()
         )
-        if not facts["may_tell"] or not (in_trouble or self.reports.is_alert(now)):
+        if not settings["may_tell"] or not (in_trouble or self.reports.is_alert(now)):
             return
         rows = []
         for zone in self.zones.values():
@@ -154,7 +154,7 @@
             return
         data, others = (
             encode(ZoneReport(self.own_zone, in_trouble, self.own_zone_in_trouble(), tuple(rows))),
-            facts["relays"] - 1,
+            settings["relays"] - 1,
         )
         for _ in range(min(RECEIVERS, others)):
             to = int(self.random.share() * others)
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -23,11 +23,11 @@
     """Carries out `serve` or `check` and returns the exit code: 0, or 2 for a configuration that can't be used."""
     try:
         assignment = read(environment)
-        document = read_document(arguments["--document"], assignment.facts)
+        document = read_document(arguments["--document"], assignment.relay_settings)
         if arguments["check"]:
             print(
                 f"{assignment.name}: listens at {assignment.listen}; {len(assignment.known.entries)} units known; "
-                f"{len(assignment.facts['workloads'])} workloads; {len(assignment.peers)} relays"
+                f"{len(assignment.relay_settings['workloads'])} workloads; {len(assignment.peers)} relays"
             )
             return 0
         logger.remove()
@@ -78,11 +78,11 @@
             logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), retry_note)
 
 
-def read_document(path: str, facts: dict[str, Any]) -> Any:
+def read_document(path: str, relay_settings: dict[str, Any]) -> Any:
     """Reads the operator's document, and returns None if there is no file.
 
     The module for documents is imported only if there is one.  Raises BadStart for a document that can't be used, or
-    does not fit the platform's settings `facts`.
+    does not fit the platform's settings `relay_settings`.
     """
     if not os.path.exists(path):
         return None
@@ -90,7 +90,7 @@
 
     try:
         parsed = document.read(path)
-        parsed.extra_stages(facts)  # raises if the document does not fit the settings
+        parsed.extra_stages(relay_settings)  # raises if the document does not fit the settings
         return parsed
     except document.InvalidDocument as problem:
         raise ConfigurationError(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -158,7 +158,7 @@
 
     def __init__(
         self,
-        facts: dict[str, Any],
+        settings: dict[str, Any],
         seed: int,
         clock: Callable[[], int],
         extra_stages: Iterable[Callable[[Relay], Any]] = (),
@@ -169,9 +169,9 @@
         self.actions = Actions([], [], [], [], [])
         self.wake_ups: list[tuple[int, int, int]] = []  # a heap: when, in what order, token
         self.taken = self.wake_count = self.faults = 0  # invocations, wake-ups asked for, exceptions of the module
-        self.workloads = {each["name"]: index for index, each in enumerate(facts.get("workloads", []))}
-        self.customers = {each["name"]: index for index, each in enumerate(facts.get("customers", []))}
-        self.relay = Relay(self, facts, seed, clock())
+        self.workloads = {each["name"]: index for index, each in enumerate(settings.get("workloads", []))}
+        self.customers = {each["name"]: index for index, each in enumerate(settings.get("customers", []))}
+        self.relay = Relay(self, settings, seed, clock())
         for make_stage in extra_stages:  # stages of other choices (tealsail/choices/)
             self.relay.add_stage(make_stage(self.relay))
 
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -15,7 +15,7 @@
 from ...choices.live_settings import LiveSettings
 from ...facade import Facade, Outcome, PeerMessageReceived, Reject, RolloutState, SendShot, UnitEntry, Units
 from ...parts import stable_hash
-from ...settings import facts, nested_leaves
+from ...settings import named_settings, nested_leaves
 from .events import BUILD, EARLIER, PAGE, Setup, judges, of_request, plain, settings, told, trackers
 from .points import Axis, Column, Cost, Found, Name, Point, Side
 
@@ -43,7 +43,7 @@
 
     def __init__(self, setup: Setup) -> None:
         self.setup, self.now = setup, 100 * SECOND
-        self.known = facts(nested_leaves(settings(setup)))
+        self.known = named_settings(nested_leaves(settings(setup)))
         self.facade = Facade(self.known, 7, lambda: self.now)
         self.switch = LiveSettings(self.facade.relay, self.known)
         self.facade.report(RolloutState(BUILD, 0, "on trial", 0.5, 60 * SECOND))
@@ -60,7 +60,7 @@
         self.facade.report(Units("whole", self.list))
 
     def reload(self, number: int = 0) -> None:
-        self.switch.change(facts(nested_leaves(settings(self.setup, 110 + number % 2))))
+        self.switch.change(named_settings(nested_leaves(settings(self.setup, 110 + number % 2))))
 
     def beat(self, number: int = 0) -> None:
         self.now += BEAT
--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -46,7 +46,7 @@
 BEAT = Cause("parts", "warm_and_cold_capacity", "for unit in row")
 LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
 READING = Cause("net.relay", "unit_number", "blake2b(")
-CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
+CUSTOMERS = Cause("settings", "named_settings", "items[int(parts[1])][name] =")
 RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
 POOL = Cause("peer_messages", "CountPool.add", "for cell, count in zip")
 SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -6,7 +6,7 @@
 
 from ... import peer_messages
 from ...facade import Facade
-from ...settings import facts, nested_leaves
+from ...settings import named_settings, nested_leaves
 from .points import Axis
 
 PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
@@ -83,7 +83,7 @@
 
 def order(relays: int) -> Any:
     """The decisions of some relay of that fleet, for who judges and who tracks load."""
-    relay = Facade(facts(nested_leaves(settings(Setup(relays=relays)))), 0, lambda: 0).relay
+    relay = Facade(named_settings(nested_leaves(settings(Setup(relays=relays)))), 0, lambda: 0).relay
     relay.on_stage(BUILD, 0, 0, 0.5, 0)
     return relay
 
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -72,8 +72,8 @@
 def decided(one: Scenario, picks: int) -> float:
     """Microseconds of CPU for a pick and its outcome, of one relay of the scenario, all served after BESIDE more."""
     now = 100_000
-    facts = one.facts(0)
-    facade = Facade(facts, 1, lambda: now, one.operators().extra_stages(facts))
+    named_settings = one.named_settings(0)
+    facade = Facade(named_settings, 1, lambda: now, one.operators().extra_stages(named_settings))
     facade.report(RolloutState(one.build, 0, "released", 1.0, 1_000_000))
     zones = len(one.fleet.zones)
     facade.report(
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -156,8 +156,8 @@
 
     def begin(self, head: Head) -> None:
         self.head = head
-        self.workloads = head.facts.get("workloads", [])
-        self.customers = [each.get("name", "") for each in head.facts.get("customers", [])]
+        self.workloads = head.settings.get("workloads", [])
+        self.customers = [each.get("name", "") for each in head.settings.get("customers", [])]
         zones = head.day.get("fleet", {}).get("zones", [])
         self.zones = list(zones) if len(zones) > 1 else []
         self.by_zone = {zone: (array("d"), array("d")) for zone in self.zones}  # payoff asked and kept by second
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -103,7 +103,7 @@
         match line:
             case Head():
                 self.head = line
-                self.warm_up = int(line.facts.get("warm_up", 0))
+                self.warm_up = int(line.settings.get("warm_up", 0))
                 self.cores = float(line.day.get("unit", {}).get("cores", 1.0))
                 self.slots = int(line.day.get("unit", {}).get("slots", 1))
             case Unit(at, unit, build, _, "runs"):
@@ -208,9 +208,11 @@
     paths = paths if isinstance(paths, list) else [paths]
     days = [seen_in(path) for path in paths]
     chance = numpy.random.default_rng(seed)
-    names = [each.get("name", str(place)) for place, each in enumerate(days[0].head.facts.get("workloads", []))]
+    names = [each.get("name", str(place)) for place, each in enumerate(days[0].head.settings.get("workloads", []))]
     for path, seen in zip(paths, days):
-        if [each.get("name", str(place)) for place, each in enumerate(seen.head.facts.get("workloads", []))] != names:
+        if [
+            each.get("name", str(place)) for place, each in enumerate(seen.head.settings.get("workloads", []))
+        ] != names:
             raise ValueError(f"{path}: other workloads than in {paths[0]}")
     base = min(build for seen in days for _, build in seen.times)
     chosen = [days[place] for place in chance.integers(0, len(days), draws)]  # of each draw its day
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -109,11 +109,11 @@
     seconds no note comes; `earlier`: that part of the relays tells as relays of before do, while a fleet is
     rolled."""
     now, index = START, judge_of(relays)
-    facts = scenario(relays, UNITS).facts(index)
+    named_settings = scenario(relays, UNITS).named_settings(index)
 
     def started() -> Facade:
         """As a relay starts: from the list and where the build stands."""
-        facade = Facade(facts, seed, lambda: now)
+        facade = Facade(named_settings, seed, lambda: now)
         facade.report(RolloutState(2, 0, "released" if lasting else "on trial", 1.0 if lasting else 0.2, now - START))
         facade.report(
             Units(
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -104,7 +104,15 @@
     def start(self) -> None:
         setup, port = self.setup, self.port_block.port
         setup.record_line(
-            Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
+            Head(
+                0,
+                VERSION,
+                "trial",
+                self.scenario.name,
+                self.seed,
+                self.scenario.named_settings(0),
+                self.scenario.plain(),
+            )
         )
         self.reactor.listenTCP(port + LIST, self.list, 512)
         self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -84,7 +84,7 @@
 
 def duty_owners(scenario: Scenario) -> list[int]:
     """Who may own a duty in this day, as relays themselves see it: the load tracker's seats and each build's judges."""
-    facade = Facade(scenario.facts(0), 1, lambda: 0)
+    facade = Facade(scenario.named_settings(0), 1, lambda: 0)
     owners = dict.fromkeys(facade.relay.load_tracking.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
         facade.report(PlatformState(build, 0, "on trial", scenario.platform.caps[0], 0))
@@ -212,7 +212,7 @@
     def start(self) -> None:
         self.started_at = time.monotonic()
         scenario, port = self.scenario, self.port_block.port
-        self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
+        self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.named_settings(0), scenario.plain()))
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
         self.reactor.listenTCP(port + LIST, self.list, CONNECTIONS)
         self.reactor.listenTCP(port + PLATFORM, self.platform, CONNECTIONS)
--- a/tealsail/lab/scale/hollow.py
+++ b/tealsail/lab/scale/hollow.py
@@ -190,7 +190,7 @@
         self, reactor: Any, told: RelayConfiguration, outside: Outside, wall: Callable[[], float] | None = None
     ) -> None:
         self.meter, self.outside, self.dead = Meter(), outside, False
-        self.index = int(told.facts.get("index", 0))
+        self.index = int(told.relay_settings.get("index", 0))
         super().__init__(HollowReactor(reactor, self.meter, outside), told, wall=wall)
         self.units.timer.cancel()
         self.clients.stop_sweeping()
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -174,11 +174,11 @@
         age = max(0, self.setup.now() - rollout.since) / 10
         state = PlatformState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
         seed = stable_hash(self.cast.seed, relay, self.setup.now(), 17)
-        facts = self.scenario.facts(relay)
+        named_settings = self.scenario.named_settings(relay)
         known = self.listing.whole()
         everyone = str(self.setup.addresses.everyone(relay))
         return RelayConfiguration(
-            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts
+            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, named_settings
         )
 
     def start(self, relay: int) -> None:
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..settings import facts, nested_leaves
+from ..settings import named_settings, nested_leaves
 from ..setup.document import Document, InvalidDocument, convert as read_document
 from ..world.builds import Build
 from ..world.clients import NUMBERS_PER_STREAM, ClientBehaviour, Workload, relay_weights
@@ -380,9 +380,9 @@
         """Raises BadDocument."""
         return read_document(self.document)
 
-    def facts(self, relay: int) -> dict[str, Any]:
+    def named_settings(self, relay: int) -> dict[str, Any]:
         """The same under the module's names."""
-        return facts(nested_leaves(self.relay_settings(relay)))
+        return named_settings(nested_leaves(self.relay_settings(relay)))
 
 
 def tenths(milliseconds: float) -> int:
@@ -490,7 +490,7 @@
             wrong(f"network.distances_ms.{pair}", "not two of fleet.zones")
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
-            scenario.operators().extra_stages(scenario.facts(relay))
+            scenario.operators().extra_stages(scenario.named_settings(relay))
     except InvalidDocument as problem:
         wrong("document", str(problem))
     if scenario.operators().recording:
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -36,12 +36,12 @@
         if not isinstance(head, Head):
             raise BadScenario(f"clients.trace: {self.path}: empty")
         places = {each.name: place for place, each in enumerate(scenario.workload)}
-        theirs = [each.get("name") for each in head.facts.get("workloads", [])]
+        theirs = [each.get("name") for each in head.settings.get("workloads", [])]
         missing = [name for name in theirs if name not in places]
         if missing:
             raise BadScenario(f"clients.trace: {self.path}: no workload {missing[0]} in the scenario")
         customers = {each.name: place for place, each in enumerate(scenario.customer)}
-        whose = [customers.get(each.get("name"), 0) for each in head.facts.get("customers", [])] or [0]
+        whose = [customers.get(each.get("name"), 0) for each in head.settings.get("customers", [])] or [0]
         at = last = count = 0
         for line in lines:
             if not isinstance(line, InvocationTaken) or line.number != line.first:
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -80,13 +80,16 @@
 
     def __init__(self, model: "Model", index: int, start: int) -> None:
         self.model, self.index = model, index
-        facts = model.scenario.facts(index)
+        named_settings = model.scenario.named_settings(index)
         self.rate, self.since, self.zero = 1.0, model.now, model.now  # its clock: how fast, and what it showed when
         self.stopped, self.messages = -1, 0  # since when its process does not run; notes that wait for it
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.duties = ""  # who acts for the fleet, as it last logged
         self.facade = Facade(
-            facts, stable_hash(model.seed, index, start, 7), self.clock, model.document.extra_stages(facts)
+            named_settings,
+            stable_hash(model.seed, index, start, 7),
+            self.clock,
+            model.document.extra_stages(named_settings),
         )
         self.serving: dict[int, Serving] = {}
         self.kept: dict[str, list[int]] = {}  # unit -> idle connections, and when one was last used
@@ -373,7 +376,7 @@
     def play(self) -> "Model":
         """The whole day, and on until all is answered."""
         scenario = self.scenario
-        self.tell(Head(0, VERSION, "model", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
+        self.tell(Head(0, VERSION, "model", scenario.name, self.seed, scenario.named_settings(0), scenario.plain()))
         self.took_up()
         for relay in range(scenario.fleet.relays):
             self.doors.append(None)
@@ -499,7 +502,7 @@
         else:
             answer = self.day.vote(self.now, door.index, build, stage, verdict)
             self.took_up()
-        wait = self.news_wait if answer != "nothing" else int(self.scenario.facts(0)["vote_wait"])
+        wait = self.news_wait if answer != "nothing" else int(self.scenario.named_settings(0)["vote_wait"])
         self.later(self.now + wait, self.counted, door, "timeout" if answer == "nothing" else answer)
 
     def counted(self, door: Door, answer: str) -> None:
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -39,9 +39,9 @@
 
     def __init__(self, relay: RecordedRelay, recording: Any) -> None:
         """`recording` is the `recording` table of the operator's document (tealsail/setup/document.py)."""
-        facts = relay.configuration.facts
+        relay_settings = relay.configuration.relay_settings
         self.relay, self.zero = relay, relay.clock()
-        self.index = int(facts.get("index", 0))
+        self.index = int(relay_settings.get("index", 0))
         self.units: dict[int, tuple[str, int]] = {}  # by a unit's number: its name and build
         head = Head(
             0,
@@ -49,7 +49,7 @@
             "relay",
             relay.configuration.name,
             0,
-            facts,
+            relay_settings,
             {"zero_unix_ms": self.zero // 10, "tealsail": __version__},
         )
         self.recorder = Recorder(
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -174,25 +174,27 @@
         self.reactor, self.configuration, self.counters = reactor, configuration, counters or Counters()
         self.clock, self.tick_at = Clock(reactor.seconds, wall or reactor.seconds, self.on_gap), 0
         self.stamps = StartTimes(self.clock)
-        facts = configuration.facts
-        self.facade = Facade(facts, configuration.seed, self.clock, document.extra_stages(facts) if document else ())
-        self.switch = LiveSettings(self.facade.relay, facts)
+        relay_settings = configuration.relay_settings
+        self.facade = Facade(
+            relay_settings, configuration.seed, self.clock, document.extra_stages(relay_settings) if document else ()
+        )
+        self.switch = LiveSettings(self.facade.relay, relay_settings)
         max_connections = (
             max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
         )  # to clients, and as many to units
         self.units = Units(
             reactor,
             self.counters,
-            facts.get("connect_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
-            facts.get("idle_time", 30 * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            relay_settings.get("connect_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            relay_settings.get("idle_time", 30 * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
             max_connections,
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, max_connections)
-        jitter = RandomGenerator(stable_hash(configuration.seed, facts.get("index", 0)))
+        jitter = RandomGenerator(stable_hash(configuration.seed, relay_settings.get("index", 0)))
         # the number of relays, and the seconds within which each asks for the list
         self.fleet_pacing = (
-            facts.get("relays", 1),
-            facts.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            relay_settings.get("relays", 1),
+            relay_settings.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
         )
         self.jitter = jitter  # spreads what all relays do at once; not the decision module's own generator
         self.discovery = Discovery(
@@ -207,7 +209,7 @@
         self.platform = Platform(
             reactor,
             configuration.platform,
-            facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            relay_settings.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
             self.counters,
             self.on_rollout_state,
             self.on_vote_answer,
@@ -221,8 +223,8 @@
             RateLimiter(count_message_limits(len(self.facade.relay.judge.pooled.sums))),
             self.clock,
         )
-        self.load_fields = facts.get("load_fields", [])
-        self.zone_indexes = {name: index for index, name in enumerate(facts.get("zones", []))}
+        self.load_fields = relay_settings.get("load_fields", [])
+        self.zone_indexes = {name: index for index, name in enumerate(relay_settings.get("zones", []))}
         self.serving: dict[int, ActiveInvocation] = {}  # by the invocation's number
         self.open_ids: set[bytes] = set()  # the clients' ids of the invocations in `serving`
         self.client_listener: Any = None
@@ -267,7 +269,7 @@
         delay = initial_request_delay(
             self.jitter,
             *self.fleet_pacing,
-            self.configuration.facts.get("list_mode") == "on_request",
+            self.configuration.relay_settings.get("list_mode") == "on_request",
             bool(known.entries),
         )
         hold_time = accept_delay(delay)
@@ -331,9 +333,11 @@
         if configuration.identity != self.configuration.identity:
             raise ValueError(f"belongs to another relay: {' '.join(configuration.identity)}")
         try:
-            settings_now = ",".join(self.switch.change(configuration.facts)) or "as before"
-            self.load_fields = configuration.facts.get("load_fields", [])
-            self.platform.vote_wait = configuration.facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
+            settings_now = ",".join(self.switch.change(configuration.relay_settings)) or "as before"
+            self.load_fields = configuration.relay_settings.get("load_fields", [])
+            self.platform.vote_wait = (
+                configuration.relay_settings.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
+            )
             self.counters.add("configuration.taken")
         except RestartNeeded as needs:  # the addresses still count, since those of before stop answering
             if needs.is_foreign:
@@ -473,7 +477,7 @@
         """
         self.accept_clients()
         self.clients.stop_sweeping()
-        deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
+        deadlines = [each.get("abandon", 0) for each in self.switch.relay_settings["workloads"]]
         self.drain_check = ShutdownWatch(self.clock(), deadlines)
         self.check_drain()
 
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -28,7 +28,7 @@
     platform: str
     state: PlatformState | None  # of the newest build at the start
     known: News  # the list of units as known at the start
-    facts: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
+    relay_settings: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
     identity: tuple[str, ...] = ()  # name, listen and peer_listen as the file has them
 
 
@@ -79,11 +79,11 @@
         seed = int(typed_field(tree, "seed", str), 16)
         state = read_state(rollouts["news"]) if rollouts.get("news") else None
         known = read_news(typed_field(tree, "known", dict, {"generation": 0, "instances": []}))
-        facts = settings.facts(settings.nested_leaves(typed_field(tree, "settings", dict)))
+        relay_settings = settings.named_settings(settings.nested_leaves(typed_field(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise ConfigurationError(f"{path}: {problem}") from None
     try:
-        check_settings(facts)
+        check_settings(relay_settings)
     except InvalidSettings as problem:
         raise ConfigurationError(f"{path}: settings: {problem}") from None
     return RelayConfiguration(
@@ -98,6 +98,6 @@
         address_field("rollouts.address", typed_field(rollouts, "address", str, "")),
         state,
         known,
-        facts,
+        relay_settings,
         tuple(str(tree.get(name, "")) for name in ("name", "listen", "peer_listen")),
     )
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -248,14 +248,14 @@
 
     mean = deviation = 0.0  # of latencies, in tenths of a ms
 
-    def __init__(self, index: int, cell_count: int, facts: dict[str, Any]) -> None:
+    def __init__(self, index: int, cell_count: int, settings: dict[str, Any]) -> None:
         self.index = index  # among the workloads of the settings
         self.cells = slice(index * cell_count, (index + 1) * cell_count)  # its counts among those of a group
-        self.latency_target = facts["promised"]  # in tenths of a ms
-        self.effect = facts["effect"]  # harmless, stamped or one-shot: whether it may run twice
-        self.group = facts["group"]  # units that share their memory of stamps: all, zone or cell
-        self.memory = facts["memory"]  # for which units remember a stamp, in tenths of a ms
-        self.value = facts["payoff"]  # of an answer in time
+        self.latency_target = settings["promised"]  # in tenths of a ms
+        self.effect = settings["effect"]  # harmless, stamped or one-shot: whether it may run twice
+        self.group = settings["group"]  # units that share their memory of stamps: all, zone or cell
+        self.memory = settings["memory"]  # for which units remember a stamp, in tenths of a ms
+        self.value = settings["payoff"]  # of an answer in time
 
 
 class Unit:
@@ -419,7 +419,7 @@
 
     def __init__(self, relay: Any) -> None:
         self.relay = relay
-        self.facts = relay.facts
+        self.settings = relay.settings
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         """Passes the outcome on; `latency` in tenths of a ms."""
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -13,9 +13,9 @@
 which asks one relay of the fleet for the least loaded unit, and `Judge`, which pools the outcomes that all relays count
 and votes on the build on trial.  `Relay` holds the state that they share, and is where events come in.
 
-A host (tealsail/host.py) owns the sockets, the timers and the clock.  It builds a `Relay(host, facts, seed, now)`, sets
-`now` before each event, calls the `on_...` method of the event, and carries out what the relay asks of it.  `facts` are
-the settings under their internal names (tealsail/settings.py).  All times are whole tenths of a millisecond of one
+A host (tealsail/host.py) owns the sockets, the timers and the clock.  It builds a `Relay(host, settings, seed, now)`,
+sets `now` before each event, calls the `on_...` method of the event, and carries out what the relay asks of it.  The
+settings come under their internal names (tealsail/settings.py).  All times are whole tenths of a millisecond of one
 clock.  Comments that begin with 'Departure:' say where the code departs from the published method, and why.
 """
 
@@ -179,7 +179,7 @@
         """
         invocation.is_over = True
         if self.relay.gate.may_reject(invocation):
-            advice = min(SECOND // 2, self.facts["longest_advice"]) if self.facts["may_advise"] else 0
+            advice = min(SECOND // 2, self.settings["longest_advice"]) if self.settings["may_advise"] else 0
             self.relay.host.reject(invocation.number, advice)
         else:
             self.relay.host.forfeit(invocation.number)
@@ -228,7 +228,7 @@
         self.limit_cut_at = 0  # late shots sent before then cut no more
         self.open_shots = self.stalled_shots = 0  # of this relay; and those of them at units that do not answer
         self.invocations = SlidingSum(4 * SECOND, WINDOW_BUCKETS)  # without clients' repeats
-        self.by_customer = [SlidingSum(4 * SECOND, WINDOW_BUCKETS) for _ in self.facts["customers"] or [{}]]
+        self.by_customer = [SlidingSum(4 * SECOND, WINDOW_BUCKETS) for _ in self.settings["customers"] or [{}]]
         for workload in relay.workloads:  # latencies, until some are seen
             workload.mean = workload.latency_target / 5
             workload.deviation = workload.latency_target / 10
@@ -257,7 +257,7 @@
         """The part of the limit that is open to an invocation, by its value and its customer's share of the work."""
         best, now = max(workload.value / workload.mean for workload in self.relay.workloads), self.relay.now
         part = 1.0 if invocation.workload.value / invocation.workload.mean > 0.7 * best else 0.85
-        share = (self.facts["customers"] or [{}])[invocation.customer].get("share", 2)
+        share = (self.settings["customers"] or [{}])[invocation.customer].get("share", 2)
         fair = max(10.0, 1.3 * share * self.invocations.total(now))
         return part / min(2.0, max(1.0, self.by_customer[invocation.customer].total(now) / fair))
 
@@ -302,7 +302,7 @@
         relay, (old, new), capacities, cold = self.relay, self.relay.rows, [], []
         relay.warm_weight = 0
         for row in (old, new):
-            warm, warming = warm_and_cold_capacity(row, relay.now - self.facts["warm_up"], relay.warmth)
+            warm, warming = warm_and_cold_capacity(row, relay.now - self.settings["warm_up"], relay.warmth)
             relay.warm_weight += warm
             capacities.append(warm + warming or 0.01)
             cold.append(warming / relay.total_weight)
@@ -508,9 +508,9 @@
     REPORT_LIFETIME = 5 * SECOND
 
     def __init__(self, relay: "Relay") -> None:
-        self.relay, facts = relay, relay.facts
-        self.is_enabled = facts["may_tell"] and facts["relays"] > 1
-        self.order = sorted(range(facts["relays"]), key=lambda at: stable_hash(0, at))[: self.TRACKERS]
+        self.relay, settings = relay, relay.settings
+        self.is_enabled = settings["may_tell"] and settings["relays"] > 1
+        self.order = sorted(range(settings["relays"]), key=lambda at: stable_hash(0, at))[: self.TRACKERS]
         self.muted_until = dict.fromkeys(self.order, 0)
         self.pending: dict[int, Invocation] = {}  # held until the tracker's answer or the end of the wait
         self.unanswered = 0  # questions in a row
@@ -531,7 +531,7 @@
         tracker_index, relay = self.tracker_index(), self.relay
         if tracker_index < 0 or len(near) < 2 or invocation.asked_shot > len(invocation.shots):
             return False
-        near.sort(key=lambda unit: unit.zone != relay.facts["zone"])  # its own zone first, all else being equal
+        near.sort(key=lambda unit: unit.zone != relay.settings["zone"])  # its own zone first, all else being equal
         invocation.asked_shot, invocation.candidates = len(invocation.shots) + 1, near
         self.pending[invocation.number] = invocation
         relay.host.wake(
@@ -610,7 +610,7 @@
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.invocations = [SlidingSum(self.facts["exposure_span"], WINDOW_BUCKETS) for _ in relay.workloads]
+        self.invocations = [SlidingSum(self.settings["exposure_span"], WINDOW_BUCKETS) for _ in relay.workloads]
         self.exposures = defaultdict(  # by build, for each workload
             lambda: [ExposureSum(ring.span, WINDOW_BUCKETS) for ring in self.invocations]
         )
@@ -642,9 +642,9 @@
         if (
             invocation.workload.effect == "harmless"
             and wait > 2 * late_after
-            and len(invocation.shots) < self.facts["most_shots"]
+            and len(invocation.shots) < self.settings["most_shots"]
         ):
-            if self.facts["may_cancel"]:
+            if self.settings["may_cancel"]:
                 relay.host.wake(now + late_after, relay.WAKE_OVERDUE + invocation.number)
             else:
                 wait = 2 * late_after
@@ -653,7 +653,7 @@
 
     def may_send(self, invocation: Invocation) -> bool:
         """Rule 1: no invocation is lost, and nothing is sent for one that is over."""
-        has_shots_left = len(invocation.shots) < self.facts["most_shots"]
+        has_shots_left = len(invocation.shots) < self.settings["most_shots"]
         return has_shots_left and not invocation.is_over and self.relay.now < invocation.deadline
 
     def may_repeat(self, invocation: Invocation, unit: Unit | None = None) -> bool:
@@ -712,16 +712,16 @@
         if not relay.on_trial(unit.build):
             return True
         stage = relay.stage if unit.build == relay.build else 0
-        is_guarded = stage < self.facts["guarded_stages"] and invocation.workload.effect != "harmless"
+        is_guarded = stage < self.settings["guarded_stages"] and invocation.workload.effect != "harmless"
         return not is_guarded and relay.cap(unit.build) > 0 and self.allowance(invocation, unit.build) >= 1
 
     def allowance(self, invocation: Invocation, build: int, part: float = 1.0) -> float:
         """How many shots may still go to the build, of `part` of the whole allowance."""
         now, index = self.relay.now, invocation.workload.index
-        counted = slice(index, index + 1) if self.facts["exposure_per"] == "class" else slice(None)
+        counted = slice(index, index + 1) if self.settings["exposure_per"] == "class" else slice(None)
         shots = sum(ring.upper_bound(now) for ring in self.exposures[build][counted])
         invocations = sum(ring.total(now) for ring in self.invocations[counted])
-        return part * (self.facts["free_shots"] + self.relay.cap(build) * invocations) - shots
+        return part * (self.settings["free_shots"] + self.relay.cap(build) * invocations) - shots
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         """Records that the shot has ended, and whether it is proved that it did not run."""
@@ -742,13 +742,13 @@
 
     def __init__(self, relay: "Relay") -> None:
         self.relay = relay
-        self.facts = relay.facts
+        self.settings = relay.settings
         self.beat = 0  # how many beats there have been
         self.standing_since = 0
         self.no_vote_before = 0
         self.last_vote = self.standing_vote = (-1, 0, 0)  # the vote last sent, and the one known to stand
-        votes = ("back_votes",) if self.facts["control"] == "timer" else ("on_votes", "back_votes")
-        needed = max(int(self.facts[name]) for name in votes)  # under a timer no vote of 'on' moves a stage
+        votes = ("back_votes",) if self.settings["control"] == "timer" else ("on_votes", "back_votes")
+        needed = max(int(self.settings[name]) for name in votes)  # under a timer no vote of 'on' moves a stage
         self.voters = JUDGES if needed <= JUDGES else int(needed * VOTER_RESERVE) + 1
         self.new_build()
 
@@ -772,7 +772,7 @@
         """Takes the verdict back; the order of relays, judges first, depends on the build alone."""
         relay = self.relay
         self.order = sorted(
-            range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -stable_hash(relay.build, at)
+            range(max(self.settings["relays"], relay.index + 1)), key=lambda at: -stable_hash(relay.build, at)
         )
         self.rank, self.verdict = self.order.index(relay.index), 0
 
@@ -784,7 +784,7 @@
             for index in self.order[: JUDGES + 1]
             if index == relay.index or relay.now - self.last_counts_at.get(index, relay.stage_since) < JUDGE_TIMEOUT
         ]
-        return relay.index in alive[:JUDGES] or (self.rank < self.voters and not self.facts["may_tell"])
+        return relay.index in alive[:JUDGES] or (self.rank < self.voters and not self.settings["may_tell"])
 
     def send_counts(self) -> None:
         """Sends this relay's cumulative counts to the judges and to the next relay in the order.
@@ -799,9 +799,9 @@
         counts = [count - base for count, base in zip(counts, self.count_base)]
         matched = 2 * len(trial.recent_counts)  # cells of canary and baseline
         has_new_failures = any(counts[at] > self.counts_sent[at] for at in range(1, matched, CELLS_PER_WORKLOAD))
-        turns = 1 + min(MAX_EXTRA_TURNS, self.facts["relays"] // RELAYS_PER_TURN)
+        turns = 1 + min(MAX_EXTRA_TURNS, self.settings["relays"] // RELAYS_PER_TURN)
         is_my_turn = (self.beat // 2 + relay.index) % turns == 0 or self.rank <= JUDGES
-        if trial.build < 0 or not self.facts["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
+        if trial.build < 0 or not self.settings["may_tell"] or not (is_my_turn and (self.beat % 2 or has_new_failures)):
             return
         if self.verdict and self.voters > JUDGES and self.is_judging():
             # Sent again, in case it was lost.
@@ -836,7 +836,7 @@
             and (figures[1] == relay.stage or figures[2] == BACK)
         ):
             # A judge's verdict.  The voters spread their votes over the time that the platform needs for so many.
-            self.verdict, excess_s = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
+            self.verdict, excess_s = figures[2], self.voters / self.settings["votes_per_second"] - 1.5
             self.no_vote_before = relay.now + int(max(0.0, excess_s) * relay.random.share() * SECOND)
             if self.rank < self.voters:
                 self.vote()
@@ -879,7 +879,7 @@
         Departure: where earlier machines stay they idle, and a sound build looks slow beside them.  So it has to be
         slower than they were before the trial, too.
         """
-        level, relay = SLOWER_SIGNIFICANCE / len(self.facts["stage_shares"]), self.relay
+        level, relay = SLOWER_SIGNIFICANCE / len(self.settings["stage_shares"]), self.relay
         units = [unit for unit in relay.units.values() if unit.build == relay.build]
         warm = sum(relay.warmth(unit) >= 1 for unit in units) or 1
         margin = (
@@ -893,7 +893,7 @@
 
     def due_at(self) -> int:
         """The horizon: when a verdict on the stage is due, after the newest start of a listed unit of the build."""
-        relay, shares = self.relay, self.facts["stage_shares"]
+        relay, shares = self.relay, self.settings["stage_shares"]
         starts = [unit.started for unit in relay.units.values() if unit.build == relay.build]
         fleet = len(relay.units) - relay.beside * len(starts)  # where earlier machines stay, they are the places
         places = shares[min(relay.stage, len(shares) - 1)] * fleet
@@ -901,7 +901,7 @@
         newest = min(max([relay.stage_since, *starts]), relay.stage_since + LAUNCH_TIME) + SECOND * (
             len(starts) < int(places)
         )
-        quick = min(1.0, self.facts["bake"] / SECOND)  # a platform with short stages has a short horizon
+        quick = min(1.0, self.settings["bake"] / SECOND)  # a platform with short stages has a short horizon
         return int(HORIZON * quick) + (relay.stage_since + 2 * LAUNCH_TIME if is_stale else newest)
 
     def on_beat(self) -> None:
@@ -926,7 +926,7 @@
         # Twice the relays whose counts came of late, this one counted once: evidence was lost where under half of the
         # fleet reports.
         doubled_reporting = 1 + 2 * sum(relay.now - at < 2 * JUDGE_TIMEOUT for at in self.last_counts_at.values())
-        is_evidence_missing = self.facts["may_tell"] and doubled_reporting < self.facts["relays"]
+        is_evidence_missing = self.settings["may_tell"] and doubled_reporting < self.settings["relays"]
         # Departure: fewer failures, if they are beyond chance and on a quarter of the build's units, also send it back.
         # That catches a build that turns bad late.
         threshold = sqrt(
@@ -965,10 +965,10 @@
     def vote(self) -> None:
         """Casts the verdict, unless it stands already, can have no effect, or has to wait."""
         relay, now, ballot = self.relay, self.relay.now, (self.relay.build, self.relay.stage, self.verdict)
-        is_standing = self.standing_vote == ballot and now - self.standing_since < self.facts["vote_life"] // 2
-        is_useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.facts["control"] == "timer")
+        is_standing = self.standing_vote == ballot and now - self.standing_since < self.settings["vote_life"] // 2
+        is_useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.settings["control"] == "timer")
         if self.verdict and not is_standing and not is_useless and now >= self.no_vote_before:
-            self.no_vote_before, self.last_vote = now + self.facts["vote_wait"] + SECOND // 10, ballot
+            self.no_vote_before, self.last_vote = now + self.settings["vote_wait"] + SECOND // 10, ballot
             relay.host.vote(*ballot)
 
     def on_vote_answer(self, answer: str) -> None:
@@ -988,15 +988,15 @@
     WAKE_OVERDUE = 1 << 32
     WAKE_TRACKER_TIMEOUT = 1 << 40
 
-    def __init__(self, host: Host, facts: dict[str, Any], seed: int, now: int) -> None:
+    def __init__(self, host: Host, settings: dict[str, Any], seed: int, now: int) -> None:
         self.host = host
         self.now = now
         self.started_at = now
         self.stage_since = now
-        self.facts = DEFAULTS | {name: fact for name, fact in facts.items() if fact != []}
-        self.random, self.index = RandomGenerator(seed), self.facts["index"]
+        self.settings = DEFAULTS | {name: value for name, value in settings.items() if value != []}
+        self.random, self.index = RandomGenerator(seed), self.settings["index"]
         self.workloads = [
-            Workload(at, CELLS_PER_WORKLOAD, DEFAULTS | each) for at, each in enumerate(self.facts["workloads"])
+            Workload(at, CELLS_PER_WORKLOAD, DEFAULTS | each) for at, each in enumerate(self.settings["workloads"])
         ]
         self.units: dict[int, Unit] = {}  # those that are open
         self.draining: set[int] = set()  # units whose successors may share their machines
@@ -1014,7 +1014,7 @@
         self.total_weight = 0.01
         self.warm_weight = 0.0
         self.units_per_machine = 1.0
-        self.beside = self.facts["layout"] == "beside"  # earlier builds' machines stay beside the new ones
+        self.beside = self.settings["layout"] == "beside"  # earlier builds' machines stay beside the new ones
         self.is_alone = False  # the build on trial: no earlier unit is left beside it
         self.choice, self.admission, self.gate = UnitChoice(self), Admission(self), Gate(self)
         self.intake, self.trial = Intake(self), Trial(self)
@@ -1038,9 +1038,9 @@
     def warmth(self, unit: Unit) -> float:
         """The part of its capacity that a unit has at the least; 1 for a warm one."""
         age = max(0, self.now - unit.started)
-        if not unit.started or age >= self.facts["warm_up"]:
+        if not unit.started or age >= self.settings["warm_up"]:
             return 1.0
-        return self.facts["cold_from"] + (1 - self.facts["cold_from"]) * age / self.facts["warm_up"]
+        return self.settings["cold_from"] + (1 - self.settings["cold_from"]) * age / self.settings["warm_up"]
 
     def arrange(self) -> None:
         """Sorts the units into rows, in this relay's own order.  Too slow to be done for every shot."""
@@ -1061,8 +1061,8 @@
 
         A lowered cap binds after the drain's grace where no earlier unit is left.
         """
-        grace = self.now < self.cap_lowered_at + self.facts["drain_grace"] and not self.rows[0]
-        return self.facts["caps"][0] if build != self.build else max(self.stated_cap, grace * self.previous_cap)
+        grace = self.now < self.cap_lowered_at + self.settings["drain_grace"] and not self.rows[0]
+        return self.settings["caps"][0] if build != self.build else max(self.stated_cap, grace * self.previous_cap)
 
     def on_list(self, kind: str, entries: list[tuple]) -> None:
         """Takes the list of units: `kind` is changes, whole or old copy.
@@ -1134,7 +1134,7 @@
         invocation = self.known.get(number)
         if invocation and not invocation.is_over:
             invocation.is_over = True
-            if invocation.open_shots() and self.facts["may_cancel"]:
+            if invocation.open_shots() and self.settings["may_cancel"]:
                 self.host.cancel(number, len(invocation.shots) - 1)
 
     def on_wake(self, token: int) -> None:
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -30,7 +30,7 @@
     source: str  # model, trial, relay or import
     name: str  # of the scenario, the relay or the imported file
     seed: int
-    facts: dict[str, Any]  # the settings under the decision module's names (tealsail/settings.py)
+    settings: dict[str, Any]  # the settings under the decision module's names (tealsail/settings.py)
     day: dict[str, Any] = {}  # what was played, so that it can be played again
 
 
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -1,4 +1,4 @@
-"""The operators' settings under the internal names that the decision module uses (its `facts`).
+"""The operators' settings under the internal names that the decision module uses.
 
 One table serves both forms that they come in: the simulator's path=value pairs and a real relay's nested JSON.  Names
 and units are translated: times come in milliseconds and become whole tenths of a millisecond.  Nothing is decided here.
@@ -167,7 +167,7 @@
             yield [*path, name], value
 
 
-def facts(leaves: Iterator[tuple[list[str], Any]]) -> dict[str, Any]:
+def named_settings(leaves: Iterator[tuple[list[str], Any]]) -> dict[str, Any]:
     """A plain map from internal names to values; a path without an internal name is skipped."""
     named: dict[str, Any] = {}
     for parts, value in leaves:
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -99,15 +99,15 @@
     recording: Recording | None = None
     zones: Zones | None = None
 
-    def extra_stages(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
+    def extra_stages(self, relay_settings: dict[str, Any]) -> list[Callable[[Any], Any]]:
         """Returns factories of the stages to add to the decision module's chain (tealsail/facade.py).
 
-        Each takes the module's relay and returns its stage.  `facts` are the platform's settings under the module's
-        names.  Raises InvalidDocument if the document does not fit them.
+        Each takes the module's relay and returns its stage.  `relay_settings` are the platform's settings under the
+        module's names.  Raises InvalidDocument if the document does not fit them.
         """
         if self.zones is None:
             return []
-        zone_names, own_zone = list(facts.get("zones", [])), facts.get("zone")
+        zone_names, own_zone = list(relay_settings.get("zones", [])), relay_settings.get("zone")
         zoning = self.zones.zoning(zone_names)
         if own_zone not in zone_names:
             raise InvalidDocument(
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -84,7 +84,7 @@
 
     def __init__(self, slack: Slack = Slack()) -> None:
         self.slack = slack
-        self.facts: dict[str, Any] = {}
+        self.settings: dict[str, Any] = {}
         self.workloads: list[dict[str, Any]] = []
         self.breaches: list[Breach] = []
         self.counts = dict.fromkeys(("lost", "twice", "drains", "cold", "exposure"), 0)
@@ -138,10 +138,10 @@
                 self.add_breach(self.latest_at, "lost", f"relay {relay} never answered invocation {number}")
 
     def read_head(self, line: Head) -> None:
-        self.facts, self.workloads = line.facts, line.facts.get("workloads", [])
-        self.span = int(self.facts.get("exposure_span", 20_000))
-        self.grace = int(self.facts.get("drain_grace", 0))
-        self.fall = float(self.facts.get("fall_multiple", 2.0)), int(self.facts.get("fall_span", 20_000))
+        self.settings, self.workloads = line.settings, line.settings.get("workloads", [])
+        self.span = int(self.settings.get("exposure_span", 20_000))
+        self.grace = int(self.settings.get("drain_grace", 0))
+        self.fall = float(self.settings.get("fall_multiple", 2.0)), int(self.settings.get("fall_span", 20_000))
 
     # rules 1 and 2: lost, twice
     def read_take(self, line: InvocationTaken) -> None:
@@ -159,7 +159,7 @@
             return self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} twice")
         invocation.is_answered, invocation.client_left = True, line.answer == "left"
         if line.answer != "lost" and line.at > invocation.take.deadline + self.slack.time + int(
-            self.facts.get("answer_slack", 0)
+            self.settings.get("answer_slack", 0)
         ) + self.stopped_time(line.relay, invocation.take.at, line.at):
             self.add_breach(line.at, "lost", f"relay {line.relay} answered invocation {line.number} too late")
         if (
@@ -290,7 +290,7 @@
         if news is None or build < news.build or (build == news.build and news.phase == "released"):
             return None
         if build > news.build:
-            return self.facts.get("caps", [0.0])[0]
+            return self.settings.get("caps", [0.0])[0]
         at, higher = self.lowered.get(line.relay, (LONG_AGO, 0.0))
         late = self.slack.time + self.stopped_time(line.relay, at, line.at)
         return max(news.cap, higher) if line.at <= at + self.grace + late else news.cap
@@ -309,7 +309,7 @@
         for times, first in ((shots, binds_at if line.at > binds_at else LONG_AGO), (taken, LONG_AGO)):
             while times and times[0] <= max(first, line.at - self.span):
                 times.popleft()
-        allowed = self.facts.get("free_shots", 0) + self.slack.shots + cap * (1 + self.slack.part) * len(taken)
+        allowed = self.settings.get("free_shots", 0) + self.slack.shots + cap * (1 + self.slack.part) * len(taken)
         self.peak_fraction["exposure"] = max(
             self.peak_fraction["exposure"],
             len(shots) / allowed if allowed else 9.0,  # 9: none is allowed
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -39,9 +39,9 @@
     At the start there are `units` units, all warm and of build 1, which is released.
     """
 
-    def __init__(self, units: int = 4, workloads: tuple = (HARMLESS,), **facts: Any) -> None:
+    def __init__(self, units: int = 4, workloads: tuple = (HARMLESS,), **settings: Any) -> None:
         self.host = FakeHost()
-        facts = dict(
+        settings = dict(
             dict(
                 workloads=list(workloads),
                 most_shots=3,
@@ -57,9 +57,9 @@
                 fall_span=2 * SECOND,
                 drain_grace=SECOND,
             ),
-            **facts,
+            **settings,
         )
-        self.relay = policy.Relay(self.host, facts, 7, 100 * SECOND)
+        self.relay = policy.Relay(self.host, settings, 7, 100 * SECOND)
         self.relay.on_stage(1, 1, policy.RELEASED, 1.0, 0)
         self.count = 0
         self.update_list([self.unit(number) for number in range(units)])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -729,10 +729,10 @@
             {"settings": settings | {"fleetSize": 3}},
         ]
         for other in others:
-            before = dict(self.relay.facade.relay.facts)
+            before = dict(self.relay.facade.relay.settings)
             with self.subTest(list(other)), self.assertRaises(ValueError):
                 self.change(**elsewhere, **other, rollouts=self.tree["rollouts"])
-            self.assertEqual(self.relay.facade.relay.facts, before)
+            self.assertEqual(self.relay.facade.relay.settings, before)
             self.assertEqual(self.relay.discovery.address, self.tree["discovery"])
 
     def test_settings_that_need_a_restart_are_kept_and_the_addresses_change(self) -> None:
@@ -740,13 +740,13 @@
         needs a restart."""
         self.start_relay()
         settings = self.tree["settings"]
-        before = dict(self.relay.facade.relay.facts)
+        before = dict(self.relay.facade.relay.settings)
         new_agent = self.listener()
         self.change(
             discovery=f"127.0.0.1:{new_agent.getsockname()[1]}",
             settings=settings | {"limits": settings["limits"] | {"dialTimeout": 400, "maxAttempts": 1}},
         )
-        self.assertEqual(self.relay.facade.relay.facts, before)
+        self.assertEqual(self.relay.facade.relay.settings, before)
         self.assertEqual(self.relay.counters.counts["configuration.kept"], 1)
         self.receive_until(self.accept(new_agent), b"\r\n\r\n")
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -31,7 +31,7 @@
 class FacadeCalls(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = Clock()
-        facts = dict(
+        settings = dict(
             workloads=[dict(HARMLESS, name="basket"), dict(ONE_SHOT, name="order")],
             most_shots=3,
             customers=[dict(name="acme", share=1.0)],
@@ -39,7 +39,7 @@
             may_tell=True,
             relays=3,
         )
-        self.facade = Facade(facts, 7, self.clock)
+        self.facade = Facade(settings, 7, self.clock)
         self.facade.report(RolloutState(1, 1, "released", 1.0, 0))
         self.facade.report(Units("whole", [UnitEntry(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
 
@@ -59,11 +59,11 @@
         """The step must be that of the waiting invocation, not of one that was picked meanwhile."""
         facade = Facade(
             dict(
-                self.facade.relay.facts,
+                self.facade.relay.settings,
                 relays=9,
                 index=min(
                     {*range(9)}
-                    - {*Facade(dict(self.facade.relay.facts, relays=9), 7, self.clock).relay.load_tracking.order}
+                    - {*Facade(dict(self.facade.relay.settings, relays=9), 7, self.clock).relay.load_tracking.order}
                 ),
             ),
             7,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -22,9 +22,9 @@
 
 
 class Verdicts(unittest.TestCase):
-    def votes_on(self, canary: dict, baseline: dict, age: int = 10 * SECOND, **facts) -> list[int]:
+    def votes_on(self, canary: dict, baseline: dict, age: int = 10 * SECOND, **settings) -> list[int]:
         """The votes after one beat of a judge that has received this evidence on a stage of that age."""
-        story = Story(**facts)
+        story = Story(**settings)
         story.trial(age=age)
         story.relay.on_peer_message(1, story.evidence(canary, baseline))
         story.beat()
@@ -513,9 +513,9 @@
 class TrackedLoad(unittest.TestCase):
     """Units that report no load: the load tracker is told of all shots, and asked which unit to take."""
 
-    def story(self, **facts) -> Story:
+    def story(self, **settings) -> Story:
         trackers = Story(relays=9, load_via="none").relay.load_tracking.order
-        return Story(relays=9, index=min({*range(9)} - {*trackers}), load_via="none", **facts)
+        return Story(relays=9, index=min({*range(9)} - {*trackers}), load_via="none", **settings)
 
     def test_the_tracker_names_the_least_loaded_unit_and_the_shot_goes_there(self) -> None:
         story = self.story()
@@ -764,8 +764,8 @@
         self.assertLess(part(story.relay.known[first]), part(story.relay.known[second]))
 
     def test_missing_settings_and_unknown_values_are_accepted(self) -> None:
-        for facts in (dict(control="quorum", caps=[]), dict(stage_shares=[]), dict(relays=1)):
-            story = Story(workloads=(dict(),), **facts)
+        for settings in (dict(control="quorum", caps=[]), dict(stage_shares=[]), dict(relays=1)):
+            story = Story(workloads=(dict(),), **settings)
             story.trial()
             for _ in range(10):
                 story.serve()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -129,7 +129,7 @@
         ):
             with self.subTest(where), self.assertRaisesRegex(BadScenario, where) as caught:
                 scenario = convert(day(**change), "s.toml")
-                scenario.facts(0)
+                scenario.named_settings(0)
             self.assertNotIn("\n", str(caught.exception))
 
     def test_files_lie_over_each_other_and_a_ring_of_them_ends(self) -> None:
@@ -144,7 +144,7 @@
         for path in EXAMPLES.glob("*.toml"):
             scenario = read(path)
             self.assertEqual(convert(scenario.plain()), scenario)
-            self.assertEqual(scenario.facts(0)["relays"], scenario.fleet.relays)
+            self.assertEqual(scenario.named_settings(0)["relays"], scenario.fleet.relays)
 
 
 class Days(unittest.TestCase):
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -63,25 +63,25 @@
             told(config(settings=settings(requestClasses=late)))
 
     def test_settings_of_both_kinds_of_deployment_are_accepted(self) -> None:
-        for facts in (TIMER_BESIDE, SHARE_IN_PLACE, {}):
-            check_settings(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
+        for overrides in (TIMER_BESIDE, SHARE_IN_PLACE, {}):
+            check_settings(dict(overrides, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
         with self.assertRaises(InvalidSettings):
             check_settings(dict(TIMER_BESIDE, relays=180, step=0, workloads=[HARMLESS]))
 
 
 class ChangedSettings(unittest.TestCase):
-    def story(self, **facts) -> tuple[Story, LiveSettings]:
-        story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **facts)
+    def story(self, **overrides) -> tuple[Story, LiveSettings]:
+        story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **overrides)
         return story, LiveSettings(story.relay, self.now(story))
 
     @staticmethod
     def now(story: Story, **more: object) -> dict:
-        return dict(story.relay.facts, **more)
+        return dict(story.relay.settings, **more)
 
     def test_changes_there_and_back_during_a_trial_keep_the_evidence(self) -> None:
         story, live = self.story(**SHARE_IN_PLACE)
         story.trial(many=4)
-        before, share = dict(story.relay.facts), story.relay.trial.share
+        before, share = dict(story.relay.settings), story.relay.trial.share
         for _ in range(2):
             story.relay.trial.groups["canary"][0] += 5
             self.assertIn("domain.layout", live.change(dict(before, **TIMER_BESIDE)))
@@ -91,7 +91,8 @@
             live.change(before)
             live.end_transition()
             self.assertEqual(
-                (story.relay.facts, story.relay.trial.share, story.relay.judge.voters), (before, share, policy.JUDGES)
+                (story.relay.settings, story.relay.trial.share, story.relay.judge.voters),
+                (before, share, policy.JUDGES),
             )
         self.assertEqual(story.relay.trial.groups["canary"][0], 10)  # no evidence is lost
         self.assertEqual(live.change(before), [])
@@ -111,7 +112,7 @@
 
     def test_a_change_that_needs_a_restart_is_refused_by_name_and_changes_nothing(self) -> None:
         story, live = self.story()
-        before = dict(story.relay.facts)
+        before = dict(story.relay.settings)
         for more, name in (
             (dict(relays=10), "fleetSize"),
             (dict(exposure_span=SECOND), "domain.span"),
@@ -120,7 +121,7 @@
         ):
             with self.assertRaisesRegex(RestartNeeded, f"{name}: needs a restart"):
                 live.change(self.now(story, drain_grace=1, **more))
-        self.assertEqual(story.relay.facts, before)
+        self.assertEqual(story.relay.settings, before)
 
 
 class OnSockets(test_relay.Story):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -217,7 +217,7 @@
             "dcs": "x",
             "limits.dialTimeout": "250.0",
         }
-        nested_leaves = settings.facts(settings.nested_leaves(tree))
+        nested_leaves = settings.named_settings(settings.nested_leaves(tree))
         self.assertEqual(nested_leaves.pop("customers", []), [])
-        self.assertEqual(nested_leaves, settings.facts(settings.flat_leaves(pairs)))
+        self.assertEqual(nested_leaves, settings.named_settings(settings.flat_leaves(pairs)))
         self.assertEqual(nested_leaves["workloads"], [dict(name="a", promised=12000, effect="one-shot")])
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -141,7 +141,7 @@
         self.assertEqual([line.answer for line in self.lines(InvocationEnded)][0], "served")
         self.assertEqual([(line.unit, line.state) for line in self.lines(EntryReceived)], [("s-1", "open")])
         self.assertEqual([(line.build, line.phase) for line in self.lines(News)], [(41, "released")])
-        self.assertEqual(self.lines(Head)[0].facts["workloads"][0]["name"], "basket")
+        self.assertEqual(self.lines(Head)[0].settings["workloads"][0]["name"], "basket")
         self.assertEqual(self.lines(Close)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
 
     def test_client_that_leaves_and_failed_shot_are_recorded(self) -> None:
