--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -3,7 +3,7 @@
 1. lost: each invocation that a relay took gets exactly one final answer, in time.
 2. twice: no second copy of an invocation is out while one is; an invocation that may have run is sent again only as its
    workload allows.
-3. drains: nothing is sent to a unit later than the grace after this relay was told that it drains or is gone.
+3. drains: nothing is sent to a unit later than the grace after this relay learnt that it drains or is gone.
 4. cold: no unit that has just started is sent more than a multiple of what it can do.
 5. exposure: in any span a relay's shots at a build on trial stay within the free ones and the cap's share of the
    invocations that it took.
@@ -46,7 +46,11 @@
 
 
 class Slack(NamedTuple):
-    """What is tolerated beyond the rules.  Trials on sockets tolerate 150 ms in time, 2 shots and 4% of exposure."""
+    """What is tolerated beyond the rules.
+
+    Trials on sockets tolerate 150 ms in time, 2 shots and 4% of exposure.  The sockets' bench allows 50 ms longer
+    times, 2 shots and 4% more.
+    """
 
     time: int = 0  # tenths of a ms
     shots: float = 0.0  # at a build on trial
@@ -92,9 +96,9 @@
         self.cold_by_second: dict[int, float] = {}  # second -> the most of the cold limit that any unit used in it
         self.invocations: dict[tuple[int, int], Invocation] = {}  # by relay and number
         self.answered: deque[tuple[int, tuple[int, int]]] = deque()  # when, and relay and number
-        self.leaving: dict[int, dict[str, int]] = {}  # relay -> unit that drains or is gone -> told when
+        self.leaving: dict[int, dict[str, int]] = {}  # relay -> unit that drains or is gone -> when the relay learnt it
         self.listed: dict[int, dict[str, int]] = {}  # relay -> unit -> build as last listed
-        self.news: dict[int, News] = {}  # relay -> the rollout state that it was last told
+        self.news: dict[int, News] = {}  # relay -> the latest rollout state that it received
         self.lowered: dict[int, tuple[int, float]] = {}  # relay -> when its cap was lowered, and from what
         self.taken: dict[int, deque[int]] = {}  # relay -> times at which it took invocations, in the span
         self.trial_shots: dict[tuple[int, int], deque[int]] = {}  # relay and build -> times of shots in the span
@@ -224,7 +228,7 @@
 
     # rule 3: drains
     def read_told(self, line: EntryReceived) -> None:
-        """A relay was told of a unit: it is open, or it is leaving (draining or gone)."""
+        """A relay received an entry on a unit: it is open, or it is leaving (draining or gone)."""
         listed = self.listed.setdefault(line.relay, {})
         leaving = self.leaving.setdefault(line.relay, {})
         if line.state == "open":
@@ -320,7 +324,7 @@
             )
 
     def read_life(self, line: RelayEvent) -> None:
-        """A relay that starts knows nothing of what it was told before."""
+        """A relay that starts knows nothing of what it received before."""
         stops = self.stops.setdefault(line.relay, deque(maxlen=MOST_STOPS_KEPT))
         if line.event == "stopped":
             stops.append([line.at, STILL_STOPPED])
