--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -78,12 +78,12 @@
 
 
 def discard_evidence(relay: Any, now: int) -> None:
-    """Discards what a gap has spoilt: shots that were out were delayed here, so their outcomes say nothing about
+    """Discards evidence from before a gap: shots that were out were delayed here, so their outcomes say nothing about
     builds, units or load.  `relay` is a policy.Relay; `now` in tenths of a ms."""
     for invocation in relay.known.values():
         for shot in invocation.shots:
             shot.group = None  # the shot counts for no group
     relay.admission.limit_cut_at = now
     for unit in relay.units.values():
-        # A connection that failed during the gap does not count against its unit.
+        # Connections that failed during the gap do not count against their unit: their count starts at -2.
         unit.silent_since, unit.connection_failures = now, min(unit.connection_failures, -2)
--- a/tealsail/choices/connection_lifetimes.py
+++ b/tealsail/choices/connection_lifetimes.py
@@ -75,7 +75,7 @@
 def choose_idle_connection(answered: Sequence[float], now: float) -> int | None:
     """The index of the idle connection that takes the next shot, None if none may yet.
 
-    `answered` is when each was last answered, in seconds; the one used last stands last and is preferred.  A connection
+    `answered` is when each was last answered, in seconds; the one used last comes last and is preferred.  A connection
     rests after an answer: a second answer to the same query may come some ms after the first and would be taken for the
     next query's (measured 0.9 to 3.4 ms, docs/results.md).
     """
--- a/tealsail/choices/live_settings.py
+++ b/tealsail/choices/live_settings.py
@@ -55,12 +55,12 @@
 def restart_paths(old: dict[str, Any], new: dict[str, Any]) -> list[str]:
     """The platform's names of the settings that differ and need a restart."""
     found = [PATHS.get(name, name) for name in RESTART_SETTINGS if old.get(name) != new.get(name)]
-    for path, whole, names in (
+    for path, list_name, names in (
         ("requestClasses", "workloads", RESTART_SETTINGS_OF_WORKLOAD),
         ("tenants", "customers", ("name",)),
     ):
         before, after = (
-            [[each.get(name) for name in names] for each in settings.get(whole, [])] for settings in (old, new)
+            [[each.get(name) for name in names] for each in settings.get(list_name, [])] for settings in (old, new)
         )
         found += [path] * (before != after)
     return found
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -113,22 +113,24 @@
     log."""
 
     def __init__(self, own_number: int, relays: int, started: int, chance: RandomGenerator) -> None:
-        """`relays`: how many there are, numbered from 0.  `started`: now, which is the epoch of its reports."""
+        """`relays`: how many there are, numbered from 0.  `started`: now, which is the epoch of its reports.  `chance`
+        draws the jitter of the pauses."""
         self.own_number, self.relays, self.started, self.chance = own_number, relays, started, chance
         self.rendezvous, self.load_owner = Rendezvous(relays), LoadOwner()
         self.followed: dict[int, FollowedUnit] = {}
         self.owner_states: dict[int, OwnerState] = {}
         self.pending = [NO_REPORT] * PENDING_SLOTS  # by sequence, modulo its length
-        self.sequence = 0
+        self.sequence = 0  # of the latest report
         self.neutral = 0.0  # shots that all others have at a followed unit, on average
-        self.ran, self.settled_at = started, started
+        self.ran = started  # when something last ran here
+        self.settled_at = started  # messages that come before then waited during a stop, and are dropped
         self.send_at = started + int(chance.share() * SWEEP_INTERVAL)
         self.sweep_at = started
         self.tokens, self.digest_tokens, self.tokens_at = 0.0, float(DIGEST_BURST), started  # bytes that may be sent
         self.reporting_relays = 1  # that want digests from this owner
         self.counts = dict.fromkeys(("reports", "digests", "bytes_out", "bytes_in"), 0)
         self.dropped = dict.fromkeys(Dropped, 0)
-        self.logged_at, self.logged = started, 0
+        self.logged_at, self.logged = started, 0  # when dropped messages may be logged next, and how many were by then
         self.lines: list[str] = []
 
     # Called while an invocation waits
--- a/tealsail/choices/load_owner.py
+++ b/tealsail/choices/load_owner.py
@@ -34,8 +34,8 @@
     def __init__(self, now: int) -> None:
         self.since = now  # when the first report came
         self.by_relay: dict[int, RelayLoad] = {}
-        self.out = 0
-        self.mean = 0.0
+        self.out = 0  # shots out, over all rows
+        self.mean = 0.0  # mean numbers of shots out, summed over all rows
         self.failing = 0.0  # part of the shots that failed, of late
 
     def put(self, relay: int, load: RelayLoad) -> None:
--- a/tealsail/choices/zone_reports.py
+++ b/tealsail/choices/zone_reports.py
@@ -79,6 +79,7 @@
         self.trouble_at = -1 << 60  # when the last report of trouble came
 
     def add(self, sender: int, report: ZoneReport, now: int) -> None:
+        """Takes a sender's report, which replaces its earlier one."""
         self.reports.pop(sender, None)
         if len(self.reports) >= MAX_REPORTS:
             oldest = next(iter(self.reports))
@@ -87,7 +88,7 @@
         self.reports[sender] = now, report
         if report.in_trouble:
             self.trouble_at = now
-        # Answers that two reports of one relay both hold count once.
+        # Answers that two reports of one relay both hold count once: a report covers half a lifetime.
         if now >= self.counted_at.get(sender, -1 << 60) + self.lifetime // 2:
             self.counted_at[sender] = now
             self.new_evidence.extend(counts for counts in report.zones if counts.good + counts.late)
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -51,7 +51,7 @@
         super().__init__(relay)
         # 17 makes these draws independent of others from the same state.
         self.zoning, self.random = zoning, RandomGenerator(stable_hash(relay.random.state, relay.index, 17))
-        self.order = tiers(own_zone, zone_count, zoning)
+        self.order = tiers(own_zone, zone_count, zoning)  # the tiers, nearest first
         self.zones = {
             zone: Zone(zone, tier_index, zoning, self.random.share())
             for tier_index, tier in enumerate(self.order)
@@ -79,7 +79,7 @@
 
     # State of the zones
     def arrange(self) -> None:
-        """Takes over the changed list."""
+        """Takes over the changed list.  The sides of a row are 0 for earlier builds, 1 for those on trial."""
         for zone in self.zones.values():
             zone.rows, zone.listed = ([], []), 0.0
         for side, row in enumerate(self.relay.rows):
@@ -103,6 +103,7 @@
         self.update_shares()
 
     def beat(self) -> None:
+        """Brings the zones up to date, from own outcomes and reports of others, and reports to others."""
         # A beat comes every 5,000 tenths of a ms.
         now, fade = self.relay.now, 0.5 ** (5_000 / self.zoning.memory)
         usual = self.taken.total(now) * self.zoning.step / self.zoning.span
@@ -207,6 +208,7 @@
 
     # Sending
     def forward(self, invocation: Invocation, row: list[Unit]) -> bool:
+        """Passes the invocation on with the row of one zone; returns whether it was sent."""
         if not row:
             return False
         relay, only_zone = self.relay, self.only_zone
@@ -245,7 +247,7 @@
                 and zone.rows[side]
                 and invocation.workload.effect == "harmless"
                 and (zone.tier <= self.nearest or self.may_spill(zone))
-            ):  # the stated limit holds for probes too
+            ):  # the stated limit on spill holds for probes too
                 zone.probe_at = now + int(
                     (PROBE_INTERVAL << min(zone.probes, MAX_PROBE_DOUBLINGS)) * (0.75 + 0.5 * self.random.share())
                 )
@@ -282,9 +284,8 @@
             return [tier for tier in with_units if tier > invocation.tier] + [
                 tier for tier in with_units if tier < invocation.tier
             ]
-        baseline_deficit = (
-            self.relay.trial.baseline_deficit
-        )  # far shots of the build on trial need a baseline from as far away
+        # Far shots of the build on trial need a baseline from as far away.
+        baseline_deficit = self.relay.trial.baseline_deficit
         on_trial = bool(self.relay.rows[1])
         far = (
             [tier for tier in with_units if tier > self.nearest and baseline_deficit[tier - self.nearest] >= 1]
@@ -324,6 +325,7 @@
         return spilled < self.zoning.spill_share * taken and self.spilled[zone.number].total(now) < limit * taken
 
     def count_sent(self, zone: Zone) -> None:
+        """Counts a shot that was sent to the zone, also towards its limits if it is a further one."""
         far = zone.tier > self.nearest
         self.counts["spilled" if far else "kept"] += 1
         if far:
@@ -331,9 +333,11 @@
 
     # Outcomes
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
+        """Counts the outcome for the shot's zone, and acts on misses and on answers of a lost zone."""
         zone = self.zones.get(shot.unit.zone)
-        if zone is self.only_zone and outcome == "served" and zone:  # the ordinary case: later questions are only
-            zone.answered.add(self.relay.now)  # whether it answered at all
+        if zone is self.only_zone and outcome == "served" and zone:
+            # The ordinary case, kept cheap: later only whether the zone answered at all is looked at.
+            zone.answered.add(self.relay.now)
             zone.misses_in_row = 0
         elif zone:
             now, invocation = self.relay.now, shot.invocation
@@ -373,6 +377,7 @@
             self.send_reports()
 
     def record_evidence(self, zone: Zone, outcome: str, late: bool) -> None:
+        """Takes the outcome as evidence on spill to the zone, and on the zone's recovery."""
         if zone.tier > self.nearest:
             self.spill_factors[zone.number].record_answer(late)
         if zone.recovery.state == RAMP:
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -1,4 +1,4 @@
-"""What the decision module asks of the place it runs in, and nothing else.
+"""The calls that the decision module makes to the program that it runs in, and no others.
 
 A host owns the sockets or the wire.  It builds one `policy.Relay` for each instance, hands it each event, and carries
 out the calls below.  Times are whole tenths of a millisecond of one clock that only goes forward.  Numbers of units and
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -144,9 +144,9 @@
     def handle_request(self, match: re.Match) -> None:
         setup, roster = self.owner.setup, self.owner.day.roster
         if match[1] is None:
-            return self.answer(roster.told[self.relay], True, roster.whole(roster.told[self.relay]))
+            return self.answer(roster.agent_versions[self.relay], True, roster.whole(roster.agent_versions[self.relay]))
         after = int(match[1])
-        if after < roster.told[self.relay]:
+        if after < roster.agent_versions[self.relay]:
             return self.answer_watch(after)
         wait = min(LONGEST_WAIT, int(match[2]) / 1000)
         self.after = after
@@ -158,7 +158,7 @@
         if not self.is_reachable():
             return
         roster = self.owner.day.roster
-        version = roster.told[self.relay]
+        version = roster.agent_versions[self.relay]
         last = {entry.name: entry for entry in roster.log[after:version]}
         self.answer(version, False, list(last.values()))
 
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -194,7 +194,7 @@
     def configuration(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
         roster, state = self.day.roster, self.day.platform.state
-        entries = roster.whole(roster.told[relay])
+        entries = roster.whole(roster.agent_versions[relay])
         now = setup.now()
         for entry in entries:
             setup.record_line(EntryReceived(now, relay, entry.name, entry.build, entry.state, entry.started))
@@ -212,7 +212,7 @@
             ],
             "peers_all": str(addresses.everyone(relay)),
             "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": rollout_state(setup, state)},
-            "known": endpoint_list(setup, self.port_number, relay, roster.told[relay], True, entries),
+            "known": endpoint_list(setup, self.port_number, relay, roster.agent_versions[relay], True, entries),
             "settings": setup.scenario.relay_settings(relay),
         }
 
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -399,7 +399,7 @@
         self.tell(RelayEvent(self.now, relay, "up"))
         roster = self.day.roster
         door.stood()
-        door.listed(roster.whole(roster.told[relay]), "old copy")
+        door.listed(roster.whole(roster.agent_versions[relay]), "old copy")
 
     def end(self, relay: int) -> None:
         """Killed: what it had at hand is lost with it, and its connections end."""
@@ -446,7 +446,7 @@
         """One that did not run for a while asks for what others keep."""
         door, roster = self.doors[relay], self.day.roster
         if door and self.day.network.reaches_service(self.now, relay, "list"):
-            door.listed(roster.whole(roster.told[relay]), "whole")
+            door.listed(roster.whole(roster.agent_versions[relay]), "whole")
         if door:
             self.tell_state(relay)
 
--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -217,7 +217,7 @@
     NO_QUEUE_PART = 0.5  # of the latency target: an answer that takes less met no queue
     LIMIT_STEP = 0.1  # that an answer in time adds to the limit
     LIMIT_CUT = 0.4  # of what is in use, and at most one shot, that a late answer takes off the limit
-    FEW_SHOTS = 3  # under so many the limit stands for a share of invocations that is taken
+    FEW_SHOTS = 3  # a lower limit is a share instead: its part of so many is the share of invocations that is taken
     LEAST_SHARE = 0.15  # of invocations, which is always taken
 
     def __init__(self, relay: "Relay") -> None:
@@ -299,30 +299,32 @@
 
     def update_shares(self) -> None:
         """Works out the share of the build on trial, and the share that cold units may get."""
-        relay, (old, new), capacities, cold = self.relay, self.relay.rows, [], []
+        # By row: its capacity, and the part of the whole weight that its cold units can bear.
+        relay, (old, new), capacities, cold_parts = self.relay, self.relay.rows, [], []
         relay.warm_weight = 0
         for row in (old, new):
             warm, warming = warm_and_cold_capacity(row, relay.now - self.settings["warm_up"], relay.warmth)
             relay.warm_weight += warm
-            capacities.append(warm + warming or 0.01)
-            cold.append(warming / relay.total_weight)
+            capacities.append(warm + warming or 0.01)  # it is divided by
+            cold_parts.append(warming / relay.total_weight)
         old_capacity, new_capacity = capacities
         relay.units_per_machine = 1 + min(1.0, len(relay.draining) / max(1, len(relay.units)))
-        slow, usual = (sum(unit.latency_ratio for unit in row) / max(1, len(row)) for row in (new, old))
+        new_slowness, old_slowness = (sum(unit.latency_ratio for unit in row) / max(1, len(row)) for row in (new, old))
         # Where earlier machines stay, new ones take over the work of their places, as they will have to after the
         # release: what fails under load alone would pass at half of that use.  Cold ones get an even share of the work
         # of all units.
         if relay.beside:
-            new_capacity -= cold[1] * len(new) / max(1, len(new) + len(old)) * relay.total_weight
+            new_capacity -= cold_parts[1] * len(new) / max(1, len(new) + len(old)) * relay.total_weight
         self.share = min(
             1.0,
-            new_capacity / (new_capacity * (not relay.beside) + old_capacity * max(1.0, slow / max(0.01, usual))),
+            new_capacity
+            / (new_capacity * (not relay.beside) + old_capacity * max(1.0, new_slowness / max(0.01, old_slowness))),
         )
         if relay.judge.verdict == BACK or relay.phase == GOING_BACK:  # the other units get what they can bear
             self.share = max(0.0, 1 - RETURN_OVERLOAD * (1 - self.share)) * (not relay.beside)
         relay.cold_share = [
             (each / 2, each / max(0.01, drawn))  # where the other row was drawn, and where this one was
-            for each, drawn in zip(cold, (1 - self.share, self.share))
+            for each, drawn in zip(cold_parts, (1 - self.share, self.share))
         ]
 
     def forward(self, invocation: Invocation) -> bool:
@@ -345,7 +347,10 @@
         return any(self.next.forward(invocation, row) for row in ((new, old) if wanted else (old, new)))
 
     def group_of(self, unit: Unit) -> list[int] | None:
-        """The counts that a shot at the unit goes into, or None.
+        """The group, as its counts, that a shot at the unit goes into, or None if it is no evidence.
+
+        A shot at an earlier unit joins the baseline if the canary is ahead by more than a random threshold between 0
+        and 2, of mean 1.
 
         The groups are matched in distance too, else a far zone would read as a slow build.
         """
@@ -700,14 +705,18 @@
     def is_drawn_for_cold(self, invocation: Invocation, side: bool) -> bool:
         """Whether an invocation falls to the cold units of a side (of the build on trial, or not).
 
-        A flood of what fails at once anywhere says nothing of units, so it counts less: a cold unit was overloaded by
-        its even share of such a flood.
+        Invocations that fail at once at any unit say nothing of units, so they count less: a cold unit was overloaded
+        by its even share of very many of them.
         """
         share = self.relay.cold_share[side][invocation.drawn_for_trial is side]
         return invocation.cold_draw < share * self.answer_rate and not (invocation.repeat and self.answer_rate < 0.9)
 
     def is_within_cap(self, invocation: Invocation, unit: Unit) -> bool:
-        """Rule 5: the exposure to a build on trial stays within its cap."""
+        """Rule 5: the exposure to a build on trial stays within its cap.
+
+        In guarded stages the build gets only invocations that may run twice without harm.  A build newer than the
+        newest that the platform has named is in stage 0.
+        """
         relay = self.relay
         if not relay.on_trial(unit.build):
             return True
@@ -746,7 +755,7 @@
         self.beat = 0  # how many beats there have been
         self.standing_since = 0
         self.no_vote_before = 0
-        self.last_vote = self.standing_vote = (-1, 0, 0)  # the vote last sent, and the one known to stand
+        self.last_vote = self.standing_vote = (-1, 0, 0)  # the vote last sent, and the one that the platform holds
         votes = ("back_votes",) if self.settings["control"] == "timer" else ("on_votes", "back_votes")
         needed = max(int(self.settings[name]) for name in votes)  # under a timer no vote of 'on' moves a stage
         self.voters = JUDGES if needed <= JUDGES else int(needed * VOTER_RESERVE) + 1
@@ -864,8 +873,8 @@
         """Whether, in a workload or in all, so many failures are left unexplained by the baseline that the build goes
         back early.
 
-        Where many are expected they have to be beyond chance too: relays with failures report first, and so a judge
-        hears of many.
+        Where many are expected they have to be beyond chance too (two counts of that mean differ with a variance of
+        twice the mean): relays with failures report first, and so a judge receives many.
         """
         return any(
             failed - expected
@@ -963,7 +972,7 @@
             )
 
     def vote(self) -> None:
-        """Casts the verdict, unless it stands already, can have no effect, or has to wait."""
+        """Casts the verdict, unless the platform holds it already, or it can have no effect, or has to wait."""
         relay, now, ballot = self.relay, self.relay.now, (self.relay.build, self.relay.stage, self.verdict)
         is_standing = self.standing_vote == ballot and now - self.standing_since < self.settings["vote_life"] // 2
         is_useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.settings["control"] == "timer")
@@ -1117,7 +1126,7 @@
         self.gate.backward(shot, outcome, latency)
 
     def on_started(self, number: int, shot_number: int) -> None:
-        """Takes the news that the stream of an answer has begun: nothing more may be sent."""
+        """Records that the stream of an answer has begun: nothing more may be sent."""
         if number in self.known:
             self.known[number].is_over = True
 
@@ -1130,7 +1139,7 @@
         return self.gate.is_listed(unit) and (not self.on_trial(unit.build) or self.cap(unit.build) > 0)
 
     def on_abandoned(self, number: int) -> None:
-        """Takes the news that the client waits no longer."""
+        """Ends an invocation whose client waits no longer, and cancels the one shot that may be open."""
         invocation = self.known.get(number)
         if invocation and not invocation.is_over:
             invocation.is_over = True
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -8,7 +8,7 @@
 from math import ceil, floor
 from typing import Any
 
-# Effects of a workload, from the operators' word to the internal one.
+# Effects of a workload, from the operators' name to the internal one.
 EFFECTS = {"read_like": "harmless", "idempotency_key": "stamped", "non_idempotent": "one-shot"}
 
 # Path, without the indexes of list items -> internal name.
@@ -132,7 +132,7 @@
 
 
 def convert(name: str, value: Any) -> Any:
-    """One setting's value in internal words and units; `name` is the internal one."""
+    """One setting's value as the decision module has it; `name` is the internal one."""
     if name in LIST_SETTINGS:
         if isinstance(value, str):
             return [parse_scalar(part) for part in value.split(",")] if value else []
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -96,7 +96,7 @@
                 )
         self.settle(0)
         for relay in range(len(parts.relay_zones)):  # at the start all relays know the whole list
-            self.roster.told[relay] = self.roster.version
+            self.roster.agent_versions[relay] = self.roster.version
         self.list_versions, self.list_due = [], NEVER
 
     # time, input and output
@@ -280,7 +280,7 @@
         self.list_due = min(self.list_due, now)
 
     def end_service_cut(self, now: int) -> None:
-        """Relays that were cut off are told the list and the platform's state."""
+        """Relays that were cut off receive the list and the platform's state."""
         self.rollout_changed = True
         self.publish_list(now)
 
@@ -316,5 +316,5 @@
                 self.fleet.record(now, unit, "mends")
 
     def end_silence(self, now: int) -> None:
-        """The platform tells its state again."""
+        """The platform sends its state again."""
         self.rollout_changed = True
--- a/tealsail/world/platform.py
+++ b/tealsail/world/platform.py
@@ -37,7 +37,7 @@
     """A state machine without I/O.
 
     `orders` holds what the driver has to do to the units: (launch, build, share of the machines), (back, build, 0) or
-    (release, build, 1).  `state_changed` says that relays have to be told the state.
+    (release, build, 1).  `state_changed` says that the state has to be sent to the relays.
     """
 
     def __init__(self, plan: RolloutPlan, build: int) -> None:
--- a/tealsail/world/unit_list.py
+++ b/tealsail/world/unit_list.py
@@ -32,7 +32,7 @@
         self.lag = [
             least_delay + int(uniform(seed, DELAYS, relay) * (most_delay - least_delay)) for relay in range(relays)
         ]  # tenths of a ms, by relay
-        self.told = [0] * relays  # the version that each relay's agent has
+        self.agent_versions = [0] * relays  # the version that each relay's agent has
         self.frozen_until = self.round_at = 0
         self.relay_frozen_until: dict[int, int] = {}  # relay -> end of its own agent's freeze
 
@@ -62,9 +62,9 @@
     def take_changes(self, relay: int, version: int) -> tuple[int, list[Entry]]:
         """Brings a relay's agent up to `version`; returns the version that it then has, and the latest entry of each
         unit that changed."""
-        since, self.told[relay] = self.told[relay], max(self.told[relay], version)
+        since, self.agent_versions[relay] = self.agent_versions[relay], max(self.agent_versions[relay], version)
         latest = {entry.name: entry for entry in self.log[since:version]}
-        return self.told[relay], list(latest.values())
+        return self.agent_versions[relay], list(latest.values())
 
     def whole(self, version: int) -> list[Entry]:
         """The whole list as of that version."""
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -18,12 +18,12 @@
 
     `due` is when each relay asks first; a relay that is answered asks no more.
     """
-    keeper, asked, answered = DiscoveryServer(), Counter(), 0
+    server, asked, answered = DiscoveryServer(), Counter(), 0
     heap = sorted(zip(due, range(len(due))))
     while heap and heap[0][0] < 40:
         now, number = heapq.heappop(heap)
         asked[int(now * 10)] += 1
-        at, well = keeper.ask(now, whole)
+        at, well = server.ask(now, whole)
         if not well:
             heapq.heappush(heap, (at + backoffs[number].next(), number))
         answered += well
@@ -57,7 +57,7 @@
         )
         self.assertLessEqual(max(tries[at] for at in range(20, 200)), RELAYS // 4)
 
-    def test_a_relay_asks_again_within_the_required_time_whatever_it_is_told_to_wait(self) -> None:
+    def test_a_relay_asks_again_within_the_required_time_whatever_delay_is_advised(self) -> None:
         for relays in (1, 3, 40, 5000):
             backoff, chance = fleet_backoff(RandomGenerator(relays), relays, WITHIN), RandomGenerator(relays)
             self.assertLessEqual(backoff.next(), 1.9 * max(0.1, 0.05 * relays))
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -127,12 +127,14 @@
             )
 
     def test_a_draining_unit_gets_nothing_after_the_grace_until_it_is_open_again(self) -> None:
-        told = EntryReceived(100, 0, "u1", 1, "draining", 0)
+        received = EntryReceived(100, 0, "u1", 1, "draining", 0)
         for at, found in ((100 + SECOND, {}), (101 + SECOND, {"drains": 1})):
-            self.assertEqual(self.broken(told, take(1, at), shot(1, at), InvocationEnded(at, 0, 1, "served")), found)
+            self.assertEqual(
+                self.broken(received, take(1, at), shot(1, at), InvocationEnded(at, 0, 1, "served")), found
+            )
         self.assertEqual(
             self.broken(
-                told,
+                received,
                 EntryReceived(200, 0, "u1", 1, "gone", 0),
                 EntryReceived(300, 0, "u1", 2, "open", 300),
                 take(1, 5 * SECOND),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -284,7 +284,7 @@
         self.assertEqual(story.relay.judge.voters, policy.JUDGES)
 
     def test_judges_stay_for_all_stages_of_a_build(self) -> None:
-        """Drawn anew at each stage, they heard of failures first, and sent a good build back at the last stage."""
+        """Drawn anew at each stage, they received failures first, and sent a good build back at the last stage."""
         story = Story(relays=180)
         story.trial()
         order = story.relay.judge.order
@@ -511,7 +511,7 @@
 
 
 class TrackedLoad(unittest.TestCase):
-    """Units that report no load: the load tracker is told of all shots, and asked which unit to take."""
+    """Units that report no load: the load tracker receives reports of all shots, and is asked which unit to take."""
 
     def story(self, **settings) -> Story:
         trackers = Story(relays=9, load_via="none").relay.load_tracking.order
@@ -569,7 +569,7 @@
         self.assertTrue(set(story.sent()) <= {0, 1})
         self.assertFalse(story.relay.load_tracking.pending)
 
-    def test_cold_units_get_little_of_a_flood_that_fails_everywhere(self) -> None:
+    def test_cold_units_get_little_of_many_invocations_that_fail_everywhere(self) -> None:
         """Two thousand invocations a second failed at once at any unit; their even share overloaded a cold one."""
         story = Story()
         for _ in range(100):
--- a/tests/test_peer_messages.py
+++ b/tests/test_peer_messages.py
@@ -122,19 +122,19 @@
             found[sender] = found.get(sender, 0) + limiter.allows(sender, now)
         return found
 
-    def test_one_flooding_relay_gets_its_part_and_all_others_are_heard(self) -> None:
+    def test_one_flooding_relay_gets_its_part_and_messages_of_all_others_are_taken(self) -> None:
         limiter = RateLimiter(count_message_limits(60))
         messages = [0] * 200 + [sender for sender in range(1, 50) for _ in range(2)] + [0] * 100_000
         found = self.taken(limiter, messages)
         self.assertEqual((found[0], {found[sender] for sender in range(1, 50)}), (28, {2}))
 
-    def test_with_five_flooding_relays_and_too_many_messages_in_all_each_honest_relay_is_heard_once(self) -> None:
+    def test_with_five_flooding_relays_and_too_many_messages_in_all_one_of_each_honest_relay_is_taken(self) -> None:
         limiter = RateLimiter(MessageLimits(100, 400))
         found = self.taken(limiter, [flooding for _ in range(1000) for flooding in range(5)] + list(range(5, 1000)) * 2)
         self.assertEqual({found[sender] for sender in range(5, 1000)}, {1})
         self.assertLess(sum(found[flooding] for flooding in range(5)), 250)
 
-    def test_a_second_later_all_are_heard_again_and_old_entries_are_dropped(self) -> None:
+    def test_a_second_later_messages_of_all_are_taken_again_and_old_entries_are_dropped(self) -> None:
         limiter = RateLimiter(MessageLimits(10, 400))
         self.taken(limiter, [7] * 50)
         self.assertEqual(self.taken(limiter, [7] * 3, SECOND), {7: 3})
@@ -194,10 +194,9 @@
         for how in ({"lost": (0.0, 8.0)}, {"lost": (1.0, 9.0)}, {"restart": 4.0}, {"restart": 0.5}):
             for seed in range(4):
                 found = heard(50, 4.0, 0.05, seed, **how)
-                deaf = (
-                    "lost" in how and found.vote_s < how["lost"][1]
-                )  # decided by what was heard before the loss alone: either way
-                self.assertTrue(found.vote == "back" or deaf, (how, seed))
+                # Decided by what was received before the loss alone: either way.
+                decided_before = "lost" in how and found.vote_s < how["lost"][1]
+                self.assertTrue(found.vote == "back" or decided_before, (how, seed))
 
     def test_a_tenth_of_relays_of_an_older_version_sends_no_good_build_back(self) -> None:
         self.assertEqual([tuple(each) for each in mixed((0.1, 1.0), seeds=2)], [(0.1, 0, 2), (1.0, 2, 2)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -128,7 +128,7 @@
             story.later(SECOND // 100)
         return sum(unit == 3 for unit in story.sent())
 
-    def test_a_build_that_the_platform_has_not_told_of_has_the_cap_of_stage_0(self) -> None:
+    def test_a_build_that_the_platform_has_not_named_has_the_cap_of_stage_0(self) -> None:
         story = Story(caps=[0.1, 1.0])
         story.update_list([story.unit(number, 2 if number == 3 else 1) for number in range(4)])
         shots = self.shots(story)
