--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -27,12 +27,12 @@
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
-from ..traffic import clients_of
+from ..traffic import create_clients
 from . import words
 from .addresses import ScaleAddresses
 from .backends import Backends
-from .real import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
-from .words import RelayCost, decode, encode
+from .director_messages import RelayCost, decode, encode
+from .real_relays import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
 
 TENTHS = 10_000  # in a second
 LEAD = 0.5  # seconds between the last relay's coming up and the day
@@ -147,7 +147,7 @@
         self.port_block = PortBlock(1)  # ports: relays' addresses tell them apart
         self.setup = TrialSetup(reactor, scenario, seed, self.port_block.port, self.tell, self.wrong, self.part_said)
         self.setup.addresses = ScaleAddresses(self.port_block.port)
-        self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
+        self.day = Day(scenario.parts(), seed, create_clients(scenario, seed))
         self.numbers: dict[str, int] = {}
         self.names: list[str] = []
         for name in self.day.fleet.units:
@@ -160,7 +160,7 @@
         self.list = DiscoveryService(self.setup, self.day, self.number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
         own = Day(
-            scenario.parts(), seed, clients_of(scenario, seed)
+            scenario.parts(), seed, create_clients(scenario, seed)
         ).fleet.units  # of real relays; machines of the day idle
         self.backends = Backends(self.setup, own, self.crashed)
         self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
@@ -539,7 +539,7 @@
     """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
     from twisted.internet import reactor
 
-    from .reading import read_run
+    from .results import read_run
 
     told = json.load(sys.stdin)
     raise_descriptor_limit()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -6,11 +6,21 @@
 from hypothesis import assume, given, strategies as st
 
 from tealsail.choices.clock import MIN_GAP_S, Clock, StartTimes
-from tealsail.net.discovery import read_news
+from tealsail.net.discovery import read_list
 from tealsail.net.relay import Relay
 
 from .fake import READY, ROW, Reactor, client_query, message
-from .test_relay import JSONRPC_PORT, LIST_PORT, UNIT_PORT, Story as RelayStory, config, listing, reply, told, unit
+from .test_relay import (
+    JSONRPC_PORT,
+    LIST_PORT,
+    UNIT_PORT,
+    RelayInMemory as RelayStory,
+    config,
+    listing,
+    read_configuration,
+    reply,
+    unit,
+)
 
 SECOND, START = 10_000, 1_700_000_000.0
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
@@ -34,13 +44,13 @@
     def test_a_step_of_the_wall_clock_moves_no_time_and_is_noticed_once(self, step) -> None:
         clocks = FakeClocks()
         clocks.run(3)
-        clocks.clock.look()
+        clocks.clock.measure_step()
         before = clocks.clock()
         clocks.wall += step
         self.assertEqual(clocks.clock(), before)
-        self.assertAlmostEqual(clocks.clock.look(), step, delta=1e-3)
+        self.assertAlmostEqual(clocks.clock.measure_step(), step, delta=1e-3)
         clocks.run(5)
-        self.assertEqual((clocks.clock.look(), clocks.clock() - before, clocks.gaps), (0.0, 5 * SECOND, []))
+        self.assertEqual((clocks.clock.measure_step(), clocks.clock() - before, clocks.gaps), (0.0, 5 * SECOND, []))
 
     def test_a_gap_is_reported_before_the_caller_goes_on(self) -> None:
         clocks = FakeClocks()
@@ -60,7 +70,7 @@
         started = int((clocks.wall - age) * SECOND)
         first = starts.start_time(7, started)
         clocks.wall += step
-        clocks.clock.look()
+        clocks.clock.measure_step()
         self.assertEqual(starts.start_time(7, started), first)  # not restarted
         again = int((clocks.wall - 1) * SECOND)
         assume(again != started)
@@ -84,7 +94,7 @@
 
     def setUp(self) -> None:
         self.reactor, self.ahead = Reactor(), 0.0
-        self.relay = Relay(self.reactor, told(config()), wall=lambda: self.reactor.seconds() + self.ahead)
+        self.relay = Relay(self.reactor, read_configuration(config()), wall=lambda: self.reactor.seconds() + self.ahead)
         self.relay.start()
         self.factory = self.reactor.tcpServers[0][1]
 
@@ -159,7 +169,7 @@
         known = next(iter(self.relay.facade.relay.units.values()))
         self.ahead = -7200.0
         self.wait(2)
-        self.relay.listed(read_news(listing(43, True, entry)))
+        self.relay.listed(read_list(listing(43, True, entry)))
         self.assertIs(next(iter(self.relay.facade.relay.units.values())), known)
 
 
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -14,7 +14,7 @@
 from tealsail.lab import baselines, hunt, runs
 from tealsail.lab.loopback import addresses, clock_offset
 from tealsail.lab.scenario import BadScenario, convert
-from tealsail.lab.script import Unclear, read_script
+from tealsail.lab.script import BadScript, read_script
 from tealsail.record.lines import (
     ConnectionOpened,
     EntryReceived,
@@ -27,7 +27,7 @@
     ShotEnded,
     ShotSent,
     ShotStarted,
-    Unit,
+    UnitEvent,
 )
 from tealsail.world.evenness import Evenness
 from tealsail.world.network import MessageFault, Network, NetworkPaths
@@ -72,7 +72,7 @@
             ("at 1s cut neighbours", "needs a time"),
             ("at 1s kill relays 0", "can't be read"),
         ):
-            with self.assertRaisesRegex(Unclear, said):
+            with self.assertRaisesRegex(BadScript, said):
                 read_script(text)
         for text, said in (
             ("at 1s kill relay 8", "relays 0 to 7"),
@@ -113,7 +113,7 @@
 
 
 class RelayAddresses(unittest.TestCase):
-    @given(st.integers(0, addresses.MOST_RELAYS - 1), st.integers(0, addresses.EVERYONE))
+    @given(st.integers(0, addresses.MAX_RELAYS - 1), st.integers(0, addresses.BROADCAST))
     def test_an_address_names_the_calling_relay_and_the_called_one(self, relay: int, other: int) -> None:
         known = addresses.Addresses(10_000)
         place = known.peer(relay, other)
@@ -123,10 +123,10 @@
 
     def test_two_trials_never_share_ports(self) -> None:
         first, second = addresses.PortBlock(3), addresses.PortBlock(3)
-        self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK)
+        self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK_PORTS)
         first.release(), second.release()
         with self.assertRaises(ValueError):
-            addresses.PortBlock(addresses.MOST_RELAYS + 1)
+            addresses.PortBlock(addresses.MAX_RELAYS + 1)
 
 
 class Clocks(unittest.TestCase):
@@ -147,7 +147,7 @@
     def play(self, script: str, seed: int = 5, **more: object) -> tuple[runs.Result, list, list]:
         scenario = convert(day(**{"fleet": FLEET, "clients": {"rate": 200}, "seconds": 12, "script": script} | more))
         lines: list = []
-        judged = runs.Judged(scenario.plain())
+        judged = runs.RecordEvaluation(scenario.plain())
         runs.Model(scenario, seed, [*judged.listeners, lines.append]).play()
         result = judged.result(0)
         self.assertEqual([str(each) for each in judged.breaches], [])
@@ -229,7 +229,7 @@
         evenness = Evenness()
         evenness(Head(0, 1, "model", "a", 1, {}, {"unit": {"cores": cores}}))
         for number in range(units):
-            evenness(Unit(0, f"u{number}", 1, "a", "runs", cores, 0.3, 1000))
+            evenness(UnitEvent(0, f"u{number}", 1, "a", "runs", cores, 0.3, 1000))
         for line in lines:
             evenness(line)
         evenness.close()
@@ -238,7 +238,7 @@
     def test_waste_is_a_shot_at_a_busy_unit_beside_a_sound_empty_one(self) -> None:
         shots = [(0, 100, "u0"), (10, 100, "u0"), (300, 100, "u0"), (310, 100, "u1"), (320, 100, "u1")]
         self.assertEqual(self.look(lines_of(*shots)).figures()["waste"], 1 / 5)  # at 10; at 320 both are busy
-        hung = [Unit(1, "u1", 1, "a", "hangs", 1.0, 0.3, 1000), *lines_of((5, 100, "u0"), (10, 100, "u0"))]
+        hung = [UnitEvent(1, "u1", 1, "a", "hangs", 1.0, 0.3, 1000), *lines_of((5, 100, "u0"), (10, 100, "u0"))]
         self.assertEqual(self.look(hung).figures()["waste"], 0.0)
         self.assertEqual(self.look(lines_of((0, 100, "u0"), (10, 100, "u0")), cores=2.0).figures()["waste"], 0.0)
 
@@ -265,7 +265,7 @@
     def test_a_unit_without_shots_is_idle_by_its_even_share(self) -> None:
         shots = [(at * 10, 5, f"u{at % 9}") for at in range(900)]
         self.assertAlmostEqual(self.look(lines_of(*shots), 10).figures()["idle"], 90, delta=1)
-        left = self.look([Unit(1, "u9", 1, "a", "drains", 1.0, 0.3, 1000), *lines_of(*shots)], 10)
+        left = self.look([UnitEvent(1, "u9", 1, "a", "drains", 1.0, 0.3, 1000), *lines_of(*shots)], 10)
         self.assertLess(left.figures()["idle"], 3)
 
     def test_owners_are_those_named_by_most_relays_and_handshakes_count_by_second(self) -> None:
@@ -294,7 +294,7 @@
             )
         )
         found = {
-            name: baselines.baseline(scenario, 5, name)
+            name: baselines.play_baseline(scenario, 5, name)
             for name in ("even draws", "two, seen exactly", "all, seen exactly")
         }
         blind, two, bound = found.values()
@@ -302,13 +302,13 @@
         self.assertTrue(0.05 < two["waste"] < blind["waste"] - 0.1)
         self.assertTrue(bound["p99_ms"] < two["p99_ms"] < blind["p99_ms"])
         self.assertLess(blind["herd"], 2 * blind["herd_chance"])
-        self.assertEqual(found["even draws"], baselines.baseline(scenario, 5, "even draws"))  # the same twice
+        self.assertEqual(found["even draws"], baselines.play_baseline(scenario, 5, "even draws"))  # the same twice
 
     def test_subsets_have_different_units_and_round_robin_visits_all(self) -> None:
         units = [mock.Mock(jobs=[], spec_set=["name", "jobs"]) for _ in range(20)]
         choosers = baselines.Choosers(units, 3, 1)
-        self.assertTrue(all(len({id(unit) for unit in subset}) == baselines.FEW for subset in choosers.subsets))
-        self.assertEqual(len({id(choosers.robin(0)) for _ in range(20)}), 20)
+        self.assertTrue(all(len({id(unit) for unit in subset}) == baselines.SUBSET_SIZE for subset in choosers.subsets))
+        self.assertEqual(len({id(choosers.round_robin(0)) for _ in range(20)}), 20)
 
 
 class StoppedRelays(unittest.TestCase):
@@ -367,8 +367,8 @@
     @given(st.integers(0, 1 << 40))
     def test_every_schedule_is_a_script_of_the_language(self, seed: int) -> None:
         scenario = convert(day(fleet=FLEET))
-        lines = hunt.schedule(scenario, seed)
-        self.assertTrue(hunt.FEWEST <= len(lines) <= hunt.MOST)
+        lines = hunt.draw_schedule(scenario, seed)
+        self.assertTrue(hunt.MIN_LINES <= len(lines) <= hunt.MAX_LINES)
         self.assertEqual(len(read_script("\n".join(lines))), len(lines))
 
     def test_a_failing_day_is_reduced_to_its_shortest_script(self) -> None:
@@ -378,10 +378,10 @@
             "from 1s for 4s notes lost 100%",
             "at 2s step clocks of 2 relays by +60s",
         ]
-        calm, worst = (hunt.failing(scenario, 3, each, {"waste": 0.0}).get("waste", 0.0) for each in ([], lines))
+        calm, worst = (hunt.find_failures(scenario, 3, each, {"waste": 0.0}).get("waste", 0.0) for each in ([], lines))
         self.assertGreater(worst, calm)
         limits = {"waste": (calm + worst) / 2}
-        short = hunt.shrink(lines, lambda left: bool(hunt.failing(scenario, 3, left, limits)))
+        short = hunt.shrink(lines, lambda left: bool(hunt.find_failures(scenario, 3, left, limits)))
         self.assertEqual(short, [lines[1]])
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,22 +12,22 @@
 from typing import Any
 
 import msgspec
+from tealsail.lab.scale.hollow_relay import HollowRelay, Outside
+from tealsail.lab.scale.real_relays import CLOCK
+from tealsail.lab.scale.results import windows
 
 from tealsail.lab.scale import hollow, runs
 from tealsail.lab.scale.addresses import ScaleAddresses, backend_number
 from tealsail.lab.scale.director import Plan
-from tealsail.lab.scale.hollow import HollowRelay, Outside
-from tealsail.lab.scale.reading import windows
-from tealsail.lab.scale.real import CLOCK
 from tealsail.lab.scale.runs import MARK
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
 from tealsail.net import messages, statements
-from tealsail.net.discovery import read_news
+from tealsail.net.discovery import read_list
 from tealsail.net.platform import read_state
 from tealsail.net.relay import Relay, unit_number
 from tealsail.peer_messages import answer_message, count_messages, verdict_message
-from tealsail.record.lines import Fault
+from tealsail.record.lines import FaultInjected
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
 from .test_relay import config, listing, state, told
@@ -81,7 +81,7 @@
         self.settle()
 
     def news(self, tree: dict) -> None:
-        self.relay.listed(read_news(tree))
+        self.relay.listed(read_list(tree))
 
     def rollout(self, tree: dict) -> None:
         self.relay.on_rollout_state(read_state(tree))
@@ -287,7 +287,11 @@
     def test_lines_of_the_script_that_say_the_same_are_one_fault_and_all_is_as_before_after_two_calm_seconds(
         self,
     ) -> None:
-        lines = [Fault(30_000, "at 3s kill 3 units"), Fault(50_000, "at 5s kill 3 units"), Fault(90_000, "at 9s x")]
+        lines = [
+            FaultInjected(30_000, "at 3s kill 3 units"),
+            FaultInjected(50_000, "at 5s kill 3 units"),
+            FaultInjected(90_000, "at 9s x"),
+        ]
         seconds = SimpleNamespace(
             shots=[10] * 12,
             asked=[10] * 12,
