--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -38,7 +38,7 @@
             self.on_gap(gap)
         return self.last
 
-    def look(self) -> float:
+    def measure_step(self) -> float:
         """Compares the clocks: the seconds by which the wall clock has stepped ahead since the last call (below zero:
         back), 0 for no step.  Call it about once a second."""
         self()
--- a/tealsail/choices/connection_lifetimes.py
+++ b/tealsail/choices/connection_lifetimes.py
@@ -35,14 +35,14 @@
         self.until = shutdown_deadline(now, deadlines)
         self.empty_checks = 0  # in a row
 
-    def late(self, now: int) -> bool:
+    def is_overdue(self, now: int) -> bool:
         """Whether the relay waits for no client any longer."""
         return now > self.until
 
-    def over(self, now: int, clients: int) -> bool:
+    def is_over(self, now: int, clients: int) -> bool:
         """Whether this check, which found `clients` connections, is the last."""
         self.empty_checks = 0 if clients else self.empty_checks + 1
-        return self.empty_checks >= (1 if self.late(now) else EMPTY_CHECKS)
+        return self.empty_checks >= (1 if self.is_overdue(now) else EMPTY_CHECKS)
 
 
 def accept_delay(request_delay: float | None) -> float | None:
@@ -62,7 +62,7 @@
     return not half and not (new and idle < IDLE_GRACE)
 
 
-def unused(idle: float) -> tuple[float, float]:
+def idle_limits(idle: float) -> tuple[float, float]:
     """The longest time that a connection to a unit stays idle, and the time between checks of that, in seconds, where
     the unit's machine closes connections after `idle` seconds.
 
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -30,7 +30,7 @@
 MAX_EVICTION_CANDIDATES = 8  # idle connections examined to find one that can make room
 MUTE_TIMEOUT = 20_000  # within which something complete must come
 FIRST_QUERY_TIMEOUT = 5_000  # a connection without a query for longer is the first to make room
-CROWDED_SHARE = 0.25  # of `max_connections`: above it, connections that have been idle for UNUSED are ended
+CROWDED_SHARE = 0.25  # of `max_connections`: above it, connections idle for longer than IDLE_GRACE are ended
 HALF_CLOSE_TIMEOUT_S = 0.5  # for the other side's end, after ours
 MAX_HALF_CLOSED = 32  # connections that wait for the other side's end; more are closed at once
 
--- a/tealsail/net/connections.py
+++ b/tealsail/net/connections.py
@@ -39,8 +39,8 @@
     connection stays in use until the one to the new address is up.
     """
 
-    def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Backoff) -> None:
-        self.reactor, self.address, self.counters, self.pauses = reactor, address, counters, pauses
+    def __init__(self, reactor: Any, address: str, counters: Counters, backoff: Backoff) -> None:
+        self.reactor, self.address, self.counters, self.backoff = reactor, address, counters, backoff
         self.connection: Any = None  # the one in use, once it is up
         self.silence_timer: Any = None  # ends the connection if nothing comes over it
         self.retry_timer: Any = None  # starts the next attempt to connect
@@ -89,12 +89,12 @@
         """Connect to another address from now on."""
         if address != self.address and not self.stopped:
             self.address = address
-            self.pauses.reset()
+            self.backoff.reset()
             self.start()
 
     def reconnect(self) -> None:
         """Open a new connection at once, because what is known from the present one may be out of date."""
-        self.pauses.reset()
+        self.backoff.reset()
         self.start()
 
     def expect_data_within(self, seconds: float) -> None:
@@ -125,7 +125,7 @@
 
     def wait(self, code: str) -> float:
         """Seconds until the next attempt, after a connection that ended with this code."""
-        return self.pauses.next()
+        return self.backoff.next()
 
     def stop(self) -> None:
         self.stopped = True
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -278,7 +278,7 @@
 class Discovery(PersistentConnection):
     """Asks for the whole list once, then for changes by a long poll (a watch), again at once after each answer.
 
-    `on_news` gets each list or change.  `refusal_pauses` are those after a refusal, in place of `pauses`.
+    `on_news` gets each list or change.  `refusal_backoff` gives the delays after a refusal, in place of `backoff`.
     """
 
     def __init__(
@@ -288,11 +288,11 @@
         path: str,
         counters: Counters,
         on_news: Callable[[News], None],
-        pauses: Backoff,
-        refusal_pauses: Backoff,
+        backoff: Backoff,
+        refusal_backoff: Backoff,
     ) -> None:
-        super().__init__(reactor, address, counters, pauses)
-        self.path, self.on_news, self.refusal_pauses = path, on_news, refusal_pauses
+        super().__init__(reactor, address, counters, backoff)
+        self.path, self.on_news, self.refusal_backoff = path, on_news, refusal_backoff
         self.version: int | None = None  # None: ask for the whole list
         self.retry_after_s = 0  # what the last refusal asked for
         self.forget_version = False  # on the next connection, ask for the whole list
@@ -321,7 +321,7 @@
         self.retry_timer = self.reactor.callLater(delay, self.start)
 
     def wait(self, code: str) -> float:
-        return self.refusal_pauses.next(self.retry_after_s) if code == "turned_away" else super().wait(code)
+        return self.refusal_backoff.next(self.retry_after_s) if code == "turned_away" else super().wait(code)
 
     def send_request(self) -> None:
         whole = self.version is None
@@ -348,8 +348,8 @@
             return connection.unreadable(str(problem))
         self.counters.add("discovery.answered")
         self.version = news.version
-        self.pauses.reset()
-        self.refusal_pauses.reset()
+        self.backoff.reset()
+        self.refusal_backoff.reset()
         if not connection.code:
             self.send_request()  # first of all: the agent keeps a watch only for 200 ms without its next request
         self.on_news(news)
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -141,9 +141,9 @@
         counters: Counters,
         on_state: Callable[[PlatformState], None],
         on_vote_answer: Callable[[str], None],
-        pauses: Backoff,
+        backoff: Backoff,
     ) -> None:
-        super().__init__(reactor, address, counters, pauses)
+        super().__init__(reactor, address, counters, backoff)
         self.vote_wait, self.on_state, self.on_vote_answer = vote_wait, on_state, on_vote_answer  # wait in seconds
         self.last_call = 0  # the id of the newest call
         self.vote_call: int | None = None  # the id of the call of the pending vote
@@ -170,7 +170,7 @@
             self.end_vote("ok" if message.state else VOTE_ERRORS.get(message.error, "timeout"))
         if connection is not self.connection:
             return
-        self.pauses.reset()
+        self.backoff.reset()
         self.expect_data_within(SILENCE_TIMEOUT_S)
         if isinstance(message, Notification):
             self.counters.add("platform.news" if message.state else "platform.alive")
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -173,10 +173,10 @@
     ) -> None:
         self.reactor, self.configuration, self.counters = reactor, configuration, counters or Counters()
         self.clock, self.tick_at = Clock(reactor.seconds, wall or reactor.seconds, self.on_gap), 0
-        self.stamps = StartTimes(self.clock)
+        self.start_times = StartTimes(self.clock)
         facts = configuration.facts
         self.facade = Facade(facts, configuration.seed, self.clock, document.extra_stages(facts) if document else ())
-        self.switch = LiveSettings(self.facade.relay, facts)
+        self.live_settings = LiveSettings(self.facade.relay, facts)
         max_connections = (
             max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
         )  # to clients, and as many to units
@@ -228,7 +228,7 @@
         self.client_listener: Any = None
         self.hold_timer: Any = None  # of a client listener that is held until the list has come
         self.peer_listener: Any = None
-        self.drain_check: ShutdownWatch | None = None  # whether clients remain, once the relay drains
+        self.shutdown_watch: ShutdownWatch | None = None  # whether clients remain, once the relay drains
         self.timer: Any = None  # of the next tick
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.clock_check_timer: Any = None
@@ -288,7 +288,7 @@
 
     def check_clocks(self) -> None:
         """Count and log a step of the wall clock, which moves no timer; call again after CLOCK_CHECK_S."""
-        step = self.clock.look()
+        step = self.clock.measure_step()
         if step:
             self.counters.add("clock.steps")
             logger.warning("clock: the wall clock stepped by {:+.3f} s; timers and deadlines are not affected", step)
@@ -331,7 +331,7 @@
         if configuration.identity != self.configuration.identity:
             raise ValueError(f"belongs to another relay: {' '.join(configuration.identity)}")
         try:
-            settings_now = ",".join(self.switch.change(configuration.facts)) or "as before"
+            settings_now = ",".join(self.live_settings.change(configuration.facts)) or "as before"
             self.load_fields = configuration.facts.get("load_fields", [])
             self.platform.vote_wait = configuration.facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
             self.counters.add("configuration.taken")
@@ -373,7 +373,7 @@
                 self.units.unlisted(unit_number(entry.id))
         if kind != "changes":
             numbers = {unit_number(entry.id) for entry in entries}
-            self.stamps.retain(numbers)
+            self.start_times.retain(numbers)
             for number in self.units.numbers():
                 if number not in numbers:
                     self.units.unlisted(number)
@@ -394,7 +394,7 @@
             self.zone_indexes.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.start_time(number, settings.tenths(entry.started_ms)),
+            self.start_times.start_time(number, settings.tenths(entry.started_ms)),
         )
 
     def on_rollout_state(self, state: PlatformState) -> None:
@@ -427,7 +427,7 @@
     def on_tick(self) -> None:
         """Carry out what the facade wants by itself."""
         actions = self.facade.tick()
-        self.switch.end_transition()
+        self.live_settings.end_transition()
         for line in actions.lines:
             logger.info("module: {}", line)
         for number, step in actions.steps:
@@ -473,8 +473,8 @@
         """
         self.accept_clients()
         self.clients.stop_sweeping()
-        deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.drain_check = ShutdownWatch(self.clock(), deadlines)
+        deadlines = [each.get("abandon", 0) for each in self.live_settings.facts["workloads"]]
+        self.shutdown_watch = ShutdownWatch(self.clock(), deadlines)
         self.check_drain()
 
     def check_drain(self) -> None:
@@ -483,14 +483,14 @@
         Each check accepts the connections that the kernel has already completed, so that they are served.
         """
         now = self.clock()
-        late = self.drain_check.late(now)
-        if not late:
+        is_overdue = self.shutdown_watch.is_overdue(now)
+        if not is_overdue:
             accept_pending(self.client_listener, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
-        over = self.drain_check.over(now, len(self.clients.connections))
-        if late:  # clients that don't read their answers, or connect again and again, must not keep the relay for ever
+        is_over = self.shutdown_watch.is_over(now, len(self.clients.connections))
+        if is_overdue:  # clients that never read their answers, or keep reconnecting, must not hold the relay for ever
             self.clients.abort_stalled()
-        if not over:
+        if not is_over:
             self.reactor.callLater(DRAIN_CHECK_S, self.check_drain)
             return
         self.client_listener.stopListening()
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.connection_lifetimes import choose_idle_connection, unused
+from ..choices.connection_lifetimes import choose_idle_connection, idle_limits
 from . import messages
 from .connections import OutgoingConnection
 from .counters import Counters
@@ -344,7 +344,7 @@
         machine ends an idle connection.  `max_connections` is for all units together."""
         self.reactor, self.counters = reactor, counters
         self.connect_wait, self.max_connections = connect_wait, max_connections
-        self.max_idle, self.idle_check_interval = unused(idle_time)
+        self.idle_limit, self.idle_check_interval = idle_limits(idle_time)
         self.pools: dict[int, Pool] = {}
         self.identities: dict[int, tuple] = {}  # a listed unit's address, build and start
         self.retired: dict[Pool, None] = {}  # pools of units that have left the list, until their last shot
@@ -405,6 +405,6 @@
         """Close connections well before the unit's machine would end them as idle; repeats itself."""
         now = self.reactor.seconds()
         for pool in self.pools.values():
-            pool.close_idle_since(now - self.max_idle)
+            pool.close_idle_since(now - self.idle_limit)
         self.retired = {pool: None for pool in self.retired if pool.all}
         self.timer = self.reactor.callLater(self.idle_check_interval, self.check_idle)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -34,13 +34,13 @@
     def test_a_step_of_the_wall_clock_moves_no_time_and_is_noticed_once(self, step) -> None:
         clocks = FakeClocks()
         clocks.run(3)
-        clocks.clock.look()
+        clocks.clock.measure_step()
         before = clocks.clock()
         clocks.wall += step
         self.assertEqual(clocks.clock(), before)
-        self.assertAlmostEqual(clocks.clock.look(), step, delta=1e-3)
+        self.assertAlmostEqual(clocks.clock.measure_step(), step, delta=1e-3)
         clocks.run(5)
-        self.assertEqual((clocks.clock.look(), clocks.clock() - before, clocks.gaps), (0.0, 5 * SECOND, []))
+        self.assertEqual((clocks.clock.measure_step(), clocks.clock() - before, clocks.gaps), (0.0, 5 * SECOND, []))
 
     def test_a_gap_is_reported_before_the_caller_goes_on(self) -> None:
         clocks = FakeClocks()
@@ -60,7 +60,7 @@
         started = int((clocks.wall - age) * SECOND)
         first = starts.start_time(7, started)
         clocks.wall += step
-        clocks.clock.look()
+        clocks.clock.measure_step()
         self.assertEqual(starts.start_time(7, started), first)  # not restarted
         again = int((clocks.wall - 1) * SECOND)
         assume(again != started)
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -142,7 +142,7 @@
         self.assertEqual((client.sent(), wire.sent()), (ROW + READY, b""))
         self.relay.reconfigure(told(config()))  # changing back works the same way
         self.wait(1)
-        self.assertEqual((self.relay.facade.relay.beside, self.relay.switch.replacement), (False, None))
+        self.assertEqual((self.relay.facade.relay.beside, self.relay.live_settings.replacement), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
     def test_a_query_that_fails_after_a_change_is_not_retried_beyond_either_limit(self) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -369,7 +369,7 @@
             wire = self.discovery(listing(50, True, malformed))
             self.assertTrue(wire.settle())
             self.assertEqual(len(self.relay.units.pools), 1)
-            self.relay.discovery.pauses.reset()
+            self.relay.discovery.backoff.reset()
             self.wait(0.2)
         wire = self.reactor.complete_connect(LIST_PORT)
         wire.feed(b"[" * 9000)  # the beginning of a head that never ends
@@ -387,7 +387,7 @@
             b"\xff\xfe{}\n",
             b'{"method":"pi',
         ):
-            self.relay.platform.pauses.reset()
+            self.relay.platform.backoff.reset()
             wire = self.platform()
             wire.feed(line)
             self.wait(0.6)
