--- a/tealsail/lab/scale/hollow.py
+++ b/tealsail/lab/scale/hollow.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 
 from ...net import messages, statements
-from ...net.discovery import News
+from ...net.discovery import ListUpdate
 from ...net.platform import PlatformState
 from ...net.relay import Relay
 from ...net.relay_configuration import RelayConfiguration
@@ -207,7 +207,7 @@
         if not self.dead:
             self.meter.run("tick", super().on_tick)
 
-    def listed(self, news: News, kind: str = "") -> None:
+    def listed(self, news: ListUpdate, kind: str = "") -> None:
         if not self.dead:
             self.meter.run("list", super().listed, news, kind)
 
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -13,7 +13,7 @@
 
 from ...net import statements
 from ...net.clients import Rejected
-from ...net.discovery import Entry as Known, News
+from ...net.discovery import Entry as Known, ListUpdate
 from ...net.platform import PlatformState
 from ...net.relay import unit_number
 from ...net.relay_configuration import RelayConfiguration
@@ -76,10 +76,10 @@
         state = STATES[entry.state]
         return Known(entry.name, SOMEWHERE, entry.zone, entry.cell, state, entry.weight, started, entry.build)
 
-    def whole(self) -> News:
-        return News(self.version, True, list(self.entries.values()))
+    def whole(self) -> ListUpdate:
+        return ListUpdate(self.version, True, list(self.entries.values()))
 
-    def change(self, word: words.Listed) -> News:
+    def change(self, word: words.Listed) -> ListUpdate:
         """What relays are told of the changes."""
         self.version = word.version
         told = []
@@ -95,7 +95,7 @@
                 self.closed.pop(entry.name, None)
             else:
                 self.closed.setdefault(entry.name, (word.version, entry))
-        return News(word.version, False, told)
+        return ListUpdate(word.version, False, told)
 
 
 class HollowProcess:
@@ -209,7 +209,7 @@
     def list_anew(self, one: HollowRelay) -> None:
         self.reactor.callLater(0, self.tell_list, one, self.listing.whole(), "whole")
 
-    def tell_list(self, one: HollowRelay, news: News, kind: str) -> None:
+    def tell_list(self, one: HollowRelay, news: ListUpdate, kind: str) -> None:
         if self.relays.get(one.index) is one:
             self.versions[one.index].append((news.version, self.setup.now()))
             one.listed(news, kind)
@@ -273,7 +273,7 @@
         self.looked = now
         self.reactor.callLater(LOOK_EVERY / TENTHS, self.watch)
 
-    def list_changed(self, news: News) -> None:
+    def list_changed(self, news: ListUpdate) -> None:
         for relay, one in self.relays.items():
             self.reactor.callLater(self.lags[relay] / TENTHS, self.tell_list, one, news, "changes")
 
--- a/tealsail/net/connections.py
+++ b/tealsail/net/connections.py
@@ -121,9 +121,9 @@
         cancel(self.retry_timer)
         if not self.stopped:
             self.counters.add(f"kept.again.{code}")
-            self.retry_timer = self.reactor.callLater(self.wait(code), self.start)
+            self.retry_timer = self.reactor.callLater(self.retry_delay(code), self.start)
 
-    def wait(self, code: str) -> float:
+    def retry_delay(self, code: str) -> float:
         """Seconds until the next attempt, after a connection that ended with this code."""
         return self.backoff.next()
 
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -55,7 +55,7 @@
     build: int
 
 
-class News(NamedTuple):
+class ListUpdate(NamedTuple):
     """The list of units, or its changes up to a version."""
 
     version: int
@@ -68,7 +68,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
-def read_news(tree: Any) -> News:
+def read_list(tree: Any) -> ListUpdate:
     """From decoded JSON of discovery, or of `known` in a relay's configuration; raises Unreadable."""
     try:
         entries = [
@@ -84,7 +84,7 @@
             )
             for each in tree["instances"]
         ]
-        news = News(int(tree["generation"]), bool(tree.get("reset", True)), entries)
+        update = ListUpdate(int(tree["generation"]), bool(tree.get("reset", True)), entries)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise Unreadable(f"malformed list of units: {type(problem).__name__} {problem}") from None
     for each in entries:
@@ -96,7 +96,7 @@
             and abs(each.cell) < 1 << 31
         ):  # NaN fails, too
             raise Unreadable(f"entry with a value out of range: {each.id[:40]!r}")
-    return news
+    return update
 
 
 def checked_address(text: str) -> str:
@@ -278,7 +278,8 @@
 class Discovery(PersistentConnection):
     """Asks for the whole list once, then for changes by a long poll (a watch), again at once after each answer.
 
-    `on_news` gets each list or change.  `refusal_backoff` gives the delays after a refusal, in place of `backoff`.
+    `on_update` gets the whole list and each of its changes.  `refusal_backoff` gives the delays after a refusal, in
+    place of `backoff`.
     """
 
     def __init__(
@@ -287,12 +288,12 @@
         address: str,
         path: str,
         counters: Counters,
-        on_news: Callable[[News], None],
+        on_update: Callable[[ListUpdate], None],
         backoff: Backoff,
         refusal_backoff: Backoff,
     ) -> None:
         super().__init__(reactor, address, counters, backoff)
-        self.path, self.on_news, self.refusal_backoff = path, on_news, refusal_backoff
+        self.path, self.on_update, self.refusal_backoff = path, on_update, refusal_backoff
         self.version: int | None = None  # None: ask for the whole list
         self.retry_after_s = 0  # what the last refusal asked for
         self.forget_version = False  # on the next connection, ask for the whole list
@@ -320,8 +321,8 @@
         self.version = version
         self.retry_timer = self.reactor.callLater(delay, self.start)
 
-    def wait(self, code: str) -> float:
-        return self.refusal_backoff.next(self.retry_after_s) if code == "turned_away" else super().wait(code)
+    def retry_delay(self, code: str) -> float:
+        return self.refusal_backoff.next(self.retry_after_s) if code == "turned_away" else super().retry_delay(code)
 
     def send_request(self) -> None:
         whole = self.version is None
@@ -342,14 +343,14 @@
         try:
             if reply.status != 200:
                 raise Unreadable(f"status {reply.status}")
-            news = read_news(json.loads(reply.body))
+            update = read_list(json.loads(reply.body))
         except (Unreadable, ValueError, RecursionError) as problem:
             self.version = None  # changes may have been missed: ask for the whole list next
             return connection.unreadable(str(problem))
         self.counters.add("discovery.answered")
-        self.version = news.version
+        self.version = update.version
         self.backoff.reset()
         self.refusal_backoff.reset()
         if not connection.code:
             self.send_request()  # first of all: the agent keeps a watch only for 200 ms without its next request
-        self.on_news(news)
+        self.on_update(update)
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -32,7 +32,7 @@
 from .clients import Answer, Clients, Forfeited, Rejected
 from .connections import cancel
 from .counters import Counters
-from .discovery import Discovery, Entry, News, unit_number
+from .discovery import Discovery, Entry, ListUpdate, unit_number
 from .kernel import accept_pending, set_accepting_paused
 from .peers import Peers, parse_address
 from .platform import Platform, PlatformState
@@ -361,11 +361,11 @@
         self.schedule_tick()
         return answer
 
-    def listed(self, news: News, kind: str = "") -> None:
-        """Take a list of units or its changes; `kind` is that of facade.Units, by default as `news` says."""
-        kind = kind or ("whole" if news.whole else "changes")
+    def listed(self, update: ListUpdate, kind: str = "") -> None:
+        """Take a list of units or its changes; `kind` is that of facade.Units, by default as `update` says."""
+        kind = kind or ("whole" if update.whole else "changes")
         self.counters.add(f"discovery.list.{kind.replace(' ', '_')}")
-        entries = [entry for entry in news.entries if entry.address or entry.state != "ready"]
+        entries = [entry for entry in update.entries if entry.address or entry.state != "ready"]
         for entry in entries:
             if entry.state == "ready":
                 self.units.listed(unit_number(entry.id), entry.address, entry.build, entry.started_ms)
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -6,7 +6,7 @@
 
 from .. import settings
 from ..setup.validation import InvalidSettings, check_settings
-from .discovery import News, Unreadable, checked_address, read_news
+from .discovery import ListUpdate, Unreadable, checked_address, read_list
 from .platform import PlatformState, Unreadable as UnreadableState, read_state
 
 
@@ -27,7 +27,7 @@
     broadcast: str  # the address that reaches all relays
     platform: str
     state: PlatformState | None  # of the newest build at the start
-    known: News  # the list of units as known at the start
+    known: ListUpdate  # the list of units as known at the start
     facts: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
     identity: tuple[str, ...] = ()  # name, listen and peer_listen as the file has them
 
@@ -78,7 +78,7 @@
     try:
         seed = int(typed_field(tree, "seed", str), 16)
         state = read_state(rollouts["news"]) if rollouts.get("news") else None
-        known = read_news(typed_field(tree, "known", dict, {"generation": 0, "instances": []}))
+        known = read_list(typed_field(tree, "known", dict, {"generation": 0, "instances": []}))
         facts = settings.facts(settings.nested_leaves(typed_field(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise ConfigurationError(f"{path}: {problem}") from None
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -6,7 +6,7 @@
 from hypothesis import assume, given, strategies as st
 
 from tealsail.choices.clock import MIN_GAP_S, Clock, StartTimes
-from tealsail.net.discovery import read_news
+from tealsail.net.discovery import read_list
 from tealsail.net.relay import Relay
 
 from .fake import READY, ROW, Reactor, client_query, message
@@ -159,7 +159,7 @@
         known = next(iter(self.relay.facade.relay.units.values()))
         self.ahead = -7200.0
         self.wait(2)
-        self.relay.listed(read_news(listing(43, True, entry)))
+        self.relay.listed(read_list(listing(43, True, entry)))
         self.assertIs(next(iter(self.relay.facade.relay.units.values())), known)
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -150,7 +150,7 @@
 
     def test_malformed_lists_raise_an_error(self) -> None:
         good = {"generation": 1, "reset": True, "instances": [{"instanceId": "a", "hostPort": "10.0.0.1:5"}]}
-        self.assertEqual(discovery.read_news(good).entries[0].weight, 1.0)
+        self.assertEqual(discovery.read_list(good).entries[0].weight, 1.0)
         for wrong in (
             None,
             [],
@@ -161,7 +161,7 @@
             {"generation": 1, "instances": [{}]},
             {"generation": 1, "instances": [{"instanceId": "a", "hostPort": "nowhere"}]},
         ):
-            self.assertRaises(discovery.Unreadable, discovery.read_news, wrong)
+            self.assertRaises(discovery.Unreadable, discovery.read_list, wrong)
 
 
 class Lines(unittest.TestCase):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
 from tealsail.net import messages, statements
-from tealsail.net.discovery import read_news
+from tealsail.net.discovery import read_list
 from tealsail.net.platform import read_state
 from tealsail.net.relay import Relay, unit_number
 from tealsail.notes import answer_note, count_notes, verdict_note
@@ -81,7 +81,7 @@
         self.settle()
 
     def news(self, tree: dict) -> None:
-        self.relay.listed(read_news(tree))
+        self.relay.listed(read_list(tree))
 
     def rollout(self, tree: dict) -> None:
         self.relay.on_rollout_state(read_state(tree))
