--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -7,7 +7,7 @@
 
 from ..record.lines import (
     AnyLine,
-    Fault,
+    FaultInjected,
     Head,
     InvocationEnded,
     InvocationTaken,
@@ -17,7 +17,7 @@
     ShotSent,
     ShotStarted,
     StageChanged,
-    Unit,
+    UnitEvent,
     Vote,
 )
 
@@ -141,7 +141,7 @@
             self.end(line)
         elif kind is ShotStarted:
             pass
-        elif kind is Unit:
+        elif kind is UnitEvent:
             self.zone_of[line.unit] = line.zone
         elif kind is ShotEnded:
             row = self.at_unit.pop((line.relay, line.number, line.place), None)
@@ -151,7 +151,13 @@
             self.stage(line)
         elif kind is Head:
             self.begin(line)
-        elif kind is Vote and line.answer == "ok" or kind is Fault or kind is Log and line.text.startswith("verdict"):
+        elif (
+            kind is Vote
+            and line.answer == "ok"
+            or kind is FaultInjected
+            or kind is Log
+            and line.text.startswith("verdict")
+        ):
             self.note(line)
 
     def begin(self, head: Head) -> None:
@@ -258,7 +264,7 @@
                     )
                 case Log(at, relay, text):
                     self.notes.append(f"{at / SECOND:7.2f}s relay {relay}: {reason(text)}")
-                case Fault(at, text):
+                case FaultInjected(at, text):
                     self.notes.append(f"{at / SECOND:7.2f}s {text}")
 
     def result(self, breaches: dict[str, int] | None = None, late: int = 0) -> Result:
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -29,7 +29,7 @@
     ShotEnded,
     ShotSent,
     ShotStarted,
-    Unit,
+    UnitEvent,
 )
 from ..world.random_draws import QUANTILE_STEPS
 from .scenario import BadScenario, Scenario, convert, over
@@ -106,7 +106,7 @@
                 self.warm_up = int(line.facts.get("warm_up", 0))
                 self.cores = float(line.day.get("unit", {}).get("cores", 1.0))
                 self.slots = int(line.day.get("unit", {}).get("slots", 1))
-            case Unit(at, unit, build, _, "runs"):
+            case UnitEvent(at, unit, build, _, "runs"):
                 self.warm_from[unit], self.builds[unit] = (at + self.warm_up if at else 0), build
                 self.at_unit[unit] = 0
             case EntryReceived(_, _, unit, build, "open", started) if not self.own:
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from ...record.lines import EntryReceived, News
+from ...record.lines import EntryReceived, StageReceived
 from ...world.day import Day
 from ...world.platform import RolloutState
 from ...world.unit_list import Entry
@@ -243,7 +243,7 @@
         if not self.is_reachable():
             return
         setup, state = self.owner.setup, self.owner.day.platform.state
-        setup.record_line(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
+        setup.record_line(StageReceived(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
         self.send({"method": "stage", "params": rollout_state(setup, state)})
 
     def send(self, tree: dict[str, Any]) -> None:
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages
-from ...record.lines import EntryReceived, Log, News, RelayEvent
+from ...record.lines import EntryReceived, Log, RelayEvent, StageReceived
 from ...world.day import Day, RelayCommand
 from .addresses import LIST, PLATFORM
 from .clock_offset import CLOCK_FILE
@@ -198,7 +198,7 @@
         now = setup.now()
         for entry in entries:
             setup.record_line(EntryReceived(now, relay, entry.name, entry.build, entry.state, entry.started))
-        setup.record_line(News(now, relay, state.build, state.stage, state.phase, state.cap))
+        setup.record_line(StageReceived(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
             "name": f"n{relay}",
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...record.files import Writer, read
-from ...record.lines import VERSION, Close as Closed, Head, Line, ShotSent
+from ...record.lines import VERSION, Head, Line, RecordEnd as Closed, ShotSent
 from ...world.day import Day
 from ...world.rules import Slack
 from ..figures import Result
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -8,7 +8,7 @@
 
 from ..parts import stable_hash
 from ..record.files import Writer, read
-from ..record.lines import AnyLine, Close
+from ..record.lines import AnyLine, RecordEnd
 from ..setup.document import convert
 from ..world.evenness import Evenness
 from ..world.rules import MOST_BREACHES_KEPT, Breach, RuleChecker, Slack
@@ -83,7 +83,7 @@
     for line in read(path):
         if judged is None:  # a record's first line is its head
             judged = Judged(line.day, slack)
-        elif isinstance(line, Close):
+        elif isinstance(line, RecordEnd):
             late = line.late
         judged(line)
     return judged.result(late), judged.breaches
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -18,7 +18,7 @@
 
 from ...facade import Facade, PlatformState
 from ...record.files import read
-from ...record.lines import VERSION, Close, Head, InvocationTaken, Line, RelayEvent, Unit as UnitLine
+from ...record.lines import VERSION, Head, InvocationTaken, Line, RecordEnd, RelayEvent, UnitEvent
 from ...world.day import Day, RelayCommand
 from ...world.unit import Unit
 from ..loopback import process_messages as parts
@@ -397,7 +397,7 @@
         left = self.day.left()
         for line in left.lines:
             self.tell(line)
-        changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitLine) and line.at)
+        changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitEvent) and line.at)
         self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.changed_units))
         if left.list_versions and not self.list_timer:
             self.list_timer = self.reactor.callLater(self.plan.list_every, self.tell_list)
@@ -460,7 +460,7 @@
         lines = list(self.lines)
         for group in self.groups:
             if group.record.exists():
-                lines += [line for line in read(group.record) if not isinstance(line, (Head, Close))]
+                lines += [line for line in read(group.record) if not isinstance(line, (Head, RecordEnd))]
         return sorted(lines, key=lambda line: line.at)
 
     def lost_alive(self) -> list[str]:
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -20,7 +20,7 @@
 from ...net.units import Value
 from ...parts import stable_hash
 from ...record.files import Writer
-from ...record.lines import VERSION, EntryReceived, Head, InvocationEnded, News as NewsLine
+from ...record.lines import VERSION, EntryReceived, Head, InvocationEnded, StageReceived
 from ...world.clients import Arrival
 from ...world.day import Day
 from ...world.unit_list import Entry
@@ -200,7 +200,7 @@
     def tell_rollout(self, relay: int) -> None:
         rollout = self.rollout
         self.setup.record_line(
-            NewsLine(self.setup.now(), relay, rollout.build, rollout.stage, rollout.phase, rollout.cap)
+            StageReceived(self.setup.now(), relay, rollout.build, rollout.stage, rollout.phase, rollout.cap)
         )
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> None:
--- a/tealsail/lab/scale/reading.py
+++ b/tealsail/lab/scale/reading.py
@@ -6,7 +6,7 @@
 import msgspec
 import numpy
 
-from ...record.lines import Fault, InvocationEnded, InvocationTaken, Line, Log, Unit
+from ...record.lines import FaultInjected, InvocationEnded, InvocationTaken, Line, Log, UnitEvent
 from ...world.rules import Slack
 from ..runs import Judged
 from ..scenario import Scenario
@@ -165,18 +165,18 @@
         judged.rules.stops |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
     seconds = Seconds(judged, played.real, int(scenario.seconds))
     duties: Counter[str] = Counter()
-    faults: list[Fault] = []
+    faults: list[FaultInjected] = []
     for line in lines:
         seconds(line)
         if isinstance(line, Log) and line.text.startswith("duties ") and not faults:
             duties[line.text] += 1
-        elif isinstance(line, Fault):
+        elif isinstance(line, FaultInjected):
             faults.append(line)
     while seconds.at < len(seconds.shots):
         seconds.end_second()
     result = judged.result(0)
     tracker, judges = acting(duties)
-    changes = sum(1 for line in lines if isinstance(line, Unit) and line.at > 0 and line.event in LISTED)
+    changes = sum(1 for line in lines if isinstance(line, UnitEvent) and line.at > 0 and line.event in LISTED)
     late = played.late
     total = sum(late.values()) or 1
     messages = [float(played.traffic.get(second, (0, 0))[0]) for second in range(len(seconds.shots))]
@@ -234,12 +234,12 @@
     return 0.0
 
 
-def sentence(fault: Fault) -> str:
+def sentence(fault: FaultInjected) -> str:
     """A line of the script without its time: lines that say the same are one kind of fault."""
     return " ".join(fault.text.split()[2:])
 
 
-def windows(seconds: Seconds, faults: list[Fault], messages: list[float]) -> list[Window]:
+def windows(seconds: Seconds, faults: list[FaultInjected], messages: list[float]) -> list[Window]:
     """One for the calm before the first fault, and one from each kind's first line to the next kind's first."""
     end = len(seconds.shots)
     kinds: list[tuple[str, int, int]] = []  # sentence, seconds of its first and its last line
--- a/tealsail/lab/scale/real.py
+++ b/tealsail/lab/scale/real.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages, statements
-from ...record.lines import ConnectionOpened, News
+from ...record.lines import ConnectionOpened, StageReceived
 from ..loopback.backends import VALUES
 from ..loopback.clients import ClientPool
 from ..loopback.process_fleet import ProcessFleet
@@ -49,7 +49,7 @@
         """What was listed before the day is not recorded: the checker needs what ended alone."""
         tell, self.setup.record_line = (
             self.setup.record_line,
-            lambda line: tell(line) if isinstance(line, News) else None,
+            lambda line: tell(line) if isinstance(line, StageReceived) else None,
         )
         try:
             return super().configuration(relay)
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -34,12 +34,12 @@
     InvocationTaken,
     Line,
     Log,
-    News,
     RelayEvent,
     ShotAnswered,
     ShotEnded,
     ShotSent as ShotLine,
     ShotStarted,
+    StageReceived,
 )
 from ..world.clients import Arrival
 from ..world.day import Day, RelayCommand
@@ -329,7 +329,7 @@
         model, state = self.model, self.model.day.platform.state
         if self.waits(1, self.stood):
             return
-        model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
+        model.tell(StageReceived(model.now, self.index, state.build, state.stage, state.phase, state.cap))
         self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, model.now - state.since))
         self.schedule()
 
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -6,7 +6,16 @@
 from loguru import logger
 
 from .. import __version__, settings
-from ..record.lines import VERSION, EntryReceived, Head, InvocationEnded, InvocationTaken, News, ShotEnded, ShotSent
+from ..record.lines import (
+    VERSION,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    ShotEnded,
+    ShotSent,
+    StageReceived,
+)
 from ..record.recorder import Recorder
 from .clients import Answer, Forfeited, Rejected
 from .discovery import Entry, unit_number
@@ -119,7 +128,7 @@
             )
 
     def rollout_changed(self, state: "PlatformState") -> None:
-        self.recorder.note(News(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
+        self.recorder.note(StageReceived(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
 
     def close(self) -> None:
         """Write what is queued and close the file."""
--- a/tealsail/record/files.py
+++ b/tealsail/record/files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO
 
-from .lines import VERSION, AnyLine, Close, Head, InvalidRecord, Line, decode, encode
+from .lines import VERSION, AnyLine, Head, InvalidRecord, Line, RecordEnd, decode, encode
 
 LONGEST_LINE_BYTES = 1 << 20  # the head is the longest: it may hold a whole scenario
 GZIP_LEVEL = 4
@@ -32,7 +32,7 @@
     def close(self, late: int = 0) -> None:
         """Writes the line that marks the record as complete; `late` goes into it."""
         try:
-            self(Close(self.last_at, self.lines, late))
+            self(RecordEnd(self.last_at, self.lines, late))
             self.stream.close()
             if self.gzip_file:
                 self.gzip_file.close()
@@ -90,7 +90,7 @@
                 if line.at < last_at:
                     report.steps_back += 1
                 last_at = line.at
-                if isinstance(line, Close):
+                if isinstance(line, RecordEnd):
                     report.is_cut_off = False
                 yield line
 
--- a/tealsail/record/lines.py
+++ b/tealsail/record/lines.py
@@ -102,7 +102,7 @@
     outcome: str  # served, wrong, error, full or reset
 
 
-class Unit(Line, tag="unit"):
+class UnitEvent(Line, tag="unit"):
     """A unit changed its state."""
 
     unit: str
@@ -124,7 +124,7 @@
     started: int  # time of the unit's start; 0: long ago
 
 
-class News(Line, tag="news"):
+class StageReceived(Line, tag="news"):
     """A relay received the rollout stage of the newest build."""
 
     relay: int
@@ -160,7 +160,7 @@
     event: str  # up, down, stopped (its process does not run) or on (it runs again)
 
 
-class Fault(Line, tag="fault"):
+class FaultInjected(Line, tag="fault"):
     """A line of the scenario's script of faults was carried out."""
 
     text: str
@@ -173,7 +173,7 @@
     text: str
 
 
-class Close(Line, tag="close"):
+class RecordEnd(Line, tag="close"):
     """The last line of a complete record."""
 
     lines: int  # number of lines before this one
@@ -189,15 +189,15 @@
     | InvocationEnded
     | ShotStarted
     | ShotAnswered
-    | Unit
+    | UnitEvent
     | EntryReceived
-    | News
+    | StageReceived
     | Vote
     | StageChanged
     | RelayEvent
-    | Fault
+    | FaultInjected
     | Log
-    | Close
+    | RecordEnd
 )
 ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyLine)
 
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..record.lines import Fault as FaultLine, StageChanged, Vote
+from ..record.lines import FaultInjected, StageChanged, Vote
 from .builds import Build
 from .clients import ClientBehaviour, Clients, Workload
 from .faults import Fault
@@ -179,7 +179,7 @@
     # faults
     def begin_fault(self, now: int, fault: Fault, index: int) -> None:
         """Carries out a line of the script; its place `index` sets its draws apart from those of other lines."""
-        self.lines.append(FaultLine(now, fault.text))
+        self.lines.append(FaultInjected(now, fault.text))
         match fault.kind:
             case "kill" | "hang" | "silence" | "slow" | "fail" | "drain":
                 units = self.fleet.select(fault.many, fault.part, fault.zone, fault.build, index)
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -14,7 +14,17 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from ..record.lines import ConnectionOpened, Head, Line, Log, RelayEvent, ShotAnswered, ShotEnded, ShotStarted, Unit
+from ..record.lines import (
+    ConnectionOpened,
+    Head,
+    Line,
+    Log,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotStarted,
+    UnitEvent,
+)
 from .random_draws import PoissonGaps
 
 WIDE_WINDOW = 50_000  # tenths of a ms, for evenness
@@ -78,7 +88,7 @@
         self.latest_at = 0  # time of the latest line
         self.handlers = {
             Head: self.read_head,
-            Unit: self.read_unit,
+            UnitEvent: self.read_unit,
             ShotStarted: self.read_ran,
             ShotAnswered: self.read_done,
             ShotEnded: self.read_done,
@@ -98,7 +108,7 @@
         self.cores = float(line.day.get("unit", {}).get("cores", 2.0))
 
     # units
-    def read_unit(self, line: Unit) -> None:
+    def read_unit(self, line: UnitEvent) -> None:
         """A unit runs, ends, drains, becomes unsound or mends."""
         name = line.unit
         if line.event == "runs":
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..record.lines import Unit as UnitLine
+from ..record.lines import UnitEvent
 from . import random_draws
 from .builds import Build
 from .random_draws import QuantileTable, uniform
@@ -228,7 +228,7 @@
     def record(self, now: int, unit: Unit, event: str) -> None:
         """A line for the record."""
         self.lines.append(
-            UnitLine(
+            UnitEvent(
                 now,
                 unit.name,
                 unit.build.number,
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -21,12 +21,12 @@
     InvocationEnded,
     InvocationTaken,
     Line,
-    News,
     RelayEvent,
     ShotEnded,
     ShotSent,
     ShotStarted,
-    Unit,
+    StageReceived,
+    UnitEvent,
 )
 
 NEVER_RAN = ("full", "unreachable", "moot")  # outcomes of shots that certainly had no effect
@@ -71,7 +71,7 @@
 class ColdUnit:
     """The work that a unit which has just started was sent in the latest span, as (when, work)."""
 
-    def __init__(self, line: Unit) -> None:
+    def __init__(self, line: UnitEvent) -> None:
         self.line, self.sent, self.total, self.peak_fraction = line, deque(), 0, 0.0
 
 
@@ -94,7 +94,7 @@
         self.answered: deque[tuple[int, tuple[int, int]]] = deque()  # when, and relay and number
         self.leaving: dict[int, dict[str, int]] = {}  # relay -> unit that drains or is gone -> told when
         self.listed: dict[int, dict[str, int]] = {}  # relay -> unit -> build as last listed
-        self.news: dict[int, News] = {}  # relay -> the rollout state that it was last told
+        self.news: dict[int, StageReceived] = {}  # relay -> the rollout state that it was last told
         self.lowered: dict[int, tuple[int, float]] = {}  # relay -> when its cap was lowered, and from what
         self.taken: dict[int, deque[int]] = {}  # relay -> times at which it took invocations, in the span
         self.trial_shots: dict[tuple[int, int], deque[int]] = {}  # relay and build -> times of shots in the span
@@ -108,9 +108,9 @@
             ShotEnded: self.read_came,
             InvocationEnded: self.read_end,
             ShotStarted: self.read_ran,
-            Unit: self.read_unit,
+            UnitEvent: self.read_unit,
             EntryReceived: self.read_told,
-            News: self.read_news,
+            StageReceived: self.read_news,
             RelayEvent: self.read_life,
         }
 
@@ -246,7 +246,7 @@
             )
 
     # rule 4: cold
-    def read_unit(self, line: Unit) -> None:
+    def read_unit(self, line: UnitEvent) -> None:
         if line.event == "runs" and line.at > 0:
             self.cold_units[line.unit] = ColdUnit(line)
         elif line.event in ("dies", "fell", "gone"):
@@ -277,7 +277,7 @@
             self.add_breach(line.at, "cold", f"{line.unit} was sent {fraction:.2f} times its limit while cold")
 
     # rule 5: exposure
-    def read_news(self, line: News) -> None:
+    def read_news(self, line: StageReceived) -> None:
         before = self.news.get(line.relay)
         if before and before.build == line.build and line.cap < before.cap:
             self.lowered[line.relay] = line.at, before.cap
--- a/tealsail/world/spill.py
+++ b/tealsail/world/spill.py
@@ -6,7 +6,7 @@
 
 from collections import deque
 
-from ..record.lines import Head, InvocationTaken, Line, ShotSent, Unit
+from ..record.lines import Head, InvocationTaken, Line, ShotSent, UnitEvent
 
 SECOND = 10_000  # tenths of a ms
 
@@ -39,7 +39,7 @@
             case Head():
                 zones = line.day["fleet"]["zones"]
                 self.relay_zones = [zones[relay % len(zones)] for relay in range(line.day["fleet"]["relays"])]
-            case Unit(_, unit, _, zone):
+            case UnitEvent(_, unit, _, zone):
                 self.zone_of[unit] = zone
             case InvocationTaken(at, relay):
                 taken = self.taken.setdefault(self.relay_zones[relay], deque())
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,12 +7,12 @@
     Head,
     InvocationEnded,
     InvocationTaken,
-    News,
     RelayEvent,
     ShotEnded,
     ShotSent,
     ShotStarted,
-    Unit,
+    StageReceived,
+    UnitEvent,
 )
 from tealsail.world.rules import Slack, check
 
@@ -143,18 +143,18 @@
         )
 
     def test_a_cold_unit_sent_more_than_its_limit_within_the_span_is_a_breach(self) -> None:
-        runs = Unit(100, "u1", 1, "a", "runs", 2.0, 0.5, 4 * SECOND)  # can do 1.0 then: 40,000 in a second
+        runs = UnitEvent(100, "u1", 1, "a", "runs", 2.0, 0.5, 4 * SECOND)  # can do 1.0 then: 40,000 in a second
         for each, found in ((3900, {}), (4200, {"cold": 1})):
             self.assertEqual(
                 self.broken(runs, *(ShotStarted(100 + 10 * n, 0, n, 0, "u1", each) for n in range(10))), found
             )
         self.assertEqual(self.broken(runs, *(ShotStarted(100 + 1200 * n, 0, n, 0, "u1", 4200) for n in range(10))), {})
         self.assertEqual(self.broken(runs, ShotStarted(5 * SECOND, 0, 1, 0, "u1", 900_000)), {})  # warm by then
-        self.assertEqual(self.broken(runs, Unit(200, "u1", 1, "a", "fell", 2.0, 0.5, 4 * SECOND)), {"cold": 1})
+        self.assertEqual(self.broken(runs, UnitEvent(200, "u1", 1, "a", "fell", 2.0, 0.5, 4 * SECOND)), {"cold": 1})
 
     def test_exposure_beyond_the_cap_in_the_span_is_a_breach(self) -> None:
         lines = [take(number) for number in range(20)]
-        news = [News(0, 0, 2, 0, "on trial", 0.2), EntryReceived(0, 0, "u2", 2, "open", 0)]
+        news = [StageReceived(0, 0, 2, 0, "on trial", 0.2), EntryReceived(0, 0, "u2", 2, "open", 0)]
         for many, found in ((5, {}), (6, {"exposure": 1})):
             self.assertEqual(
                 self.broken(
@@ -174,18 +174,18 @@
             *(shot(number, 10, unit="u2", build=2) for number in (1, 2, 3)),
             *(InvocationEnded(20, 0, number, "served") for number in (1, 2, 3)),
         ]
-        self.assertEqual(self.broken(News(0, 0, 2, 0, "released", 1.0), *lines), {})
-        self.assertEqual(self.broken(News(0, 0, 2, 0, "on trial", 0.0), *lines), {"exposure": 2})
-        self.assertEqual(self.broken(News(0, 1, 2, 0, "on trial", 0.0), *lines), {})
+        self.assertEqual(self.broken(StageReceived(0, 0, 2, 0, "released", 1.0), *lines), {})
+        self.assertEqual(self.broken(StageReceived(0, 0, 2, 0, "on trial", 0.0), *lines), {"exposure": 2})
+        self.assertEqual(self.broken(StageReceived(0, 1, 2, 0, "on trial", 0.0), *lines), {})
 
     def test_a_lowered_cap_binds_after_the_grace_for_shots_sent_from_then_on(self) -> None:
-        news = [News(0, 0, 2, 0, "on trial", 1.0)]
+        news = [StageReceived(0, 0, 2, 0, "on trial", 1.0)]
         early = [
             line
             for number in range(5)
             for line in (take(number, 100), shot(number, 100, build=2), InvocationEnded(120, 0, number, "served"))
         ]
-        lower = News(200, 0, 2, 0, "going back", 0.0)
+        lower = StageReceived(200, 0, 2, 0, "going back", 0.0)
         late = [
             line
             for number in (10, 11)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -27,7 +27,7 @@
     ShotEnded,
     ShotSent,
     ShotStarted,
-    Unit,
+    UnitEvent,
 )
 from tealsail.world.evenness import Evenness
 from tealsail.world.network import Network, NetworkPaths, NoteFault
@@ -229,7 +229,7 @@
         evenness = Evenness()
         evenness(Head(0, 1, "model", "a", 1, {}, {"unit": {"cores": cores}}))
         for number in range(units):
-            evenness(Unit(0, f"u{number}", 1, "a", "runs", cores, 0.3, 1000))
+            evenness(UnitEvent(0, f"u{number}", 1, "a", "runs", cores, 0.3, 1000))
         for line in lines:
             evenness(line)
         evenness.close()
@@ -238,7 +238,7 @@
     def test_waste_is_a_shot_at_a_busy_unit_beside_a_sound_empty_one(self) -> None:
         shots = [(0, 100, "u0"), (10, 100, "u0"), (300, 100, "u0"), (310, 100, "u1"), (320, 100, "u1")]
         self.assertEqual(self.look(lines_of(*shots)).figures()["waste"], 1 / 5)  # at 10; at 320 both are busy
-        hung = [Unit(1, "u1", 1, "a", "hangs", 1.0, 0.3, 1000), *lines_of((5, 100, "u0"), (10, 100, "u0"))]
+        hung = [UnitEvent(1, "u1", 1, "a", "hangs", 1.0, 0.3, 1000), *lines_of((5, 100, "u0"), (10, 100, "u0"))]
         self.assertEqual(self.look(hung).figures()["waste"], 0.0)
         self.assertEqual(self.look(lines_of((0, 100, "u0"), (10, 100, "u0")), cores=2.0).figures()["waste"], 0.0)
 
@@ -265,7 +265,7 @@
     def test_a_unit_without_shots_is_idle_by_its_even_share(self) -> None:
         shots = [(at * 10, 5, f"u{at % 9}") for at in range(900)]
         self.assertAlmostEqual(self.look(lines_of(*shots), 10).figures()["idle"], 90, delta=1)
-        left = self.look([Unit(1, "u9", 1, "a", "drains", 1.0, 0.3, 1000), *lines_of(*shots)], 10)
+        left = self.look([UnitEvent(1, "u9", 1, "a", "drains", 1.0, 0.3, 1000), *lines_of(*shots)], 10)
         self.assertLess(left.figures()["idle"], 3)
 
     def test_owners_are_those_named_by_most_relays_and_handshakes_count_by_second(self) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -16,7 +16,7 @@
 from tealsail.record import files
 from tealsail.record.lines import (
     EntryReceived,
-    Fault,
+    FaultInjected,
     InvocationEnded,
     InvocationTaken,
     Line,
@@ -54,7 +54,7 @@
         self.assertEqual(
             sorted(answers), sorted({(line.relay, line.number) for line in lines if isinstance(line, InvocationTaken)})
         )
-        self.assertEqual(sum(isinstance(line, Fault) for line in lines), len(script.strip().splitlines()))
+        self.assertEqual(sum(isinstance(line, FaultInjected) for line in lines), len(script.strip().splitlines()))
         self.assertGreater(result.figures["service"], AT_LEAST)
         return result, lines
 
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -11,11 +11,11 @@
 from tealsail.lab import imports
 from tealsail.record import files, lines
 from tealsail.record.lines import (
-    Close,
     Head,
     InvalidRecord,
     InvocationEnded,
     InvocationTaken,
+    RecordEnd,
     ShotEnded,
     ShotSent,
     Vote,
@@ -63,7 +63,7 @@
         ends = [InvocationEnded(at, 0, at, "served") for at in range(100)]
         for name in ("a.record", "a.record.gz"):
             path = self.write_record(name, *ends)
-            self.assertEqual(list(files.read(path)), [HEAD, *ends, Close(99, 101, 3)])
+            self.assertEqual(list(files.read(path)), [HEAD, *ends, RecordEnd(99, 101, 3)])
             self.assertEqual(path.read_bytes(), self.write_record("again" + path.suffix, *ends).read_bytes())
         self.assertEqual((self.folder / "a.record.gz").read_bytes()[:2], b"\x1f\x8b")
 
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -14,14 +14,14 @@
 from tealsail.record import files
 from tealsail.record.lines import (
     VERSION,
-    Close,
     EntryReceived,
     Head,
     InvocationEnded,
     InvocationTaken,
-    News,
+    RecordEnd,
     ShotEnded,
     ShotSent,
+    StageReceived,
 )
 from tealsail.record.recorder import Recorder
 from tealsail.setup import document
@@ -140,9 +140,9 @@
         self.assertEqual((came.outcome, came.at - shot.at), ("served", 300))
         self.assertEqual([line.answer for line in self.lines(InvocationEnded)][0], "served")
         self.assertEqual([(line.unit, line.state) for line in self.lines(EntryReceived)], [("s-1", "open")])
-        self.assertEqual([(line.build, line.phase) for line in self.lines(News)], [(41, "released")])
+        self.assertEqual([(line.build, line.phase) for line in self.lines(StageReceived)], [(41, "released")])
         self.assertEqual(self.lines(Head)[0].facts["workloads"][0]["name"], "basket")
-        self.assertEqual(self.lines(Close)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
+        self.assertEqual(self.lines(RecordEnd)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
 
     def test_client_that_leaves_and_failed_shot_are_recorded(self) -> None:
         relay = self.relay(keys="none")
@@ -194,7 +194,7 @@
             recorder.note(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertLess(path.stat().st_size, 80_000)
-        self.assertIsInstance(list(files.read(path))[-1], Close)
+        self.assertIsInstance(list(files.read(path))[-1], RecordEnd)
         recorder.note(InvocationEnded(1, 0, 1, "served"))
         self.assertGreater(self.counters.counts["record.dropped"], 0)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,7 @@
 from tealsail.net.platform import read_state
 from tealsail.net.relay import Relay, unit_number
 from tealsail.notes import answer_note, count_notes, verdict_note
-from tealsail.record.lines import Fault
+from tealsail.record.lines import FaultInjected
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
 from .test_relay import config, listing, state, told
@@ -287,7 +287,11 @@
     def test_lines_of_the_script_that_say_the_same_are_one_fault_and_all_is_as_before_after_two_calm_seconds(
         self,
     ) -> None:
-        lines = [Fault(30_000, "at 3s kill 3 units"), Fault(50_000, "at 5s kill 3 units"), Fault(90_000, "at 9s x")]
+        lines = [
+            FaultInjected(30_000, "at 3s kill 3 units"),
+            FaultInjected(50_000, "at 5s kill 3 units"),
+            FaultInjected(90_000, "at 9s x"),
+        ]
         seconds = SimpleNamespace(
             shots=[10] * 12,
             asked=[10] * 12,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,7 @@
 from tealsail.lab.figures import Figures
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.virtual import Model
-from tealsail.record.lines import InvocationEnded, InvocationTaken, Log, ShotSent, StageChanged, Unit
+from tealsail.record.lines import InvocationEnded, InvocationTaken, Log, ShotSent, StageChanged, UnitEvent
 from tealsail.setup.document import InvalidDocument, Zones, convert as document
 from tealsail.world.rules import RuleChecker
 from tealsail.world.spill import SpillChecker
@@ -40,7 +40,7 @@
         rules.close()
         self.assertEqual(([str(each) for each in rules.breaches], model.faults), ([], 0))
         self.assertLess(rules.peak_fraction["cold"], 1)
-        self.zone_of = {line.unit: line.zone for line in lines if type(line) is Unit}
+        self.zone_of = {line.unit: line.zone for line in lines if type(line) is UnitEvent}
         return figures.result(), lines, spill, model
 
     def shots_into(self, lines: list, zone: str, first: float, last: float, own: bool) -> int:
