--- a/tests/fake.py
+++ b/tests/fake.py
@@ -33,7 +33,7 @@
         return [call[1:] for call in self.calls if call[0] == name]
 
 
-class Story:
+class RelayFixture:
     """A `policy.Relay` with its units, on a clock that only the test moves; times are in tenths of a millisecond.
 
     At the start there are `units` units, all warm and of build 1, which is released.
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,7 +10,17 @@
 from tealsail.net.relay import Relay
 
 from .fake import READY, ROW, Reactor, client_query, message
-from .test_relay import JSONRPC_PORT, LIST_PORT, UNIT_PORT, Story as RelayStory, config, listing, reply, told, unit
+from .test_relay import (
+    JSONRPC_PORT,
+    LIST_PORT,
+    UNIT_PORT,
+    RelayInMemory,
+    config,
+    listing,
+    read_configuration,
+    reply,
+    unit,
+)
 
 SECOND, START = 10_000, 1_700_000_000.0
 STEPS = st.one_of(st.floats(1, 86_400), st.floats(-86_400, -1))
@@ -79,12 +89,12 @@
         self.assertEqual(set(starts.known), {3})
 
 
-class ClockSteps(RelayStory):
+class ClockSteps(RelayInMemory):
     """The whole relay, its reactor on a steady clock, and a wall clock that a test sets."""
 
     def setUp(self) -> None:
         self.reactor, self.ahead = Reactor(), 0.0
-        self.relay = Relay(self.reactor, told(config()), wall=lambda: self.reactor.seconds() + self.ahead)
+        self.relay = Relay(self.reactor, read_configuration(config()), wall=lambda: self.reactor.seconds() + self.ahead)
         self.relay.start()
         self.factory = self.reactor.tcpServers[0][1]
 
@@ -163,7 +173,7 @@
         self.assertIs(next(iter(self.relay.facade.relay.units.values())), known)
 
 
-del RelayStory
+del RelayInMemory
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,7 +26,7 @@
 from tealsail.net.relay import DRAIN_CHECK_S, STOP_GRACE_S, Relay
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, client_query, message
-from .test_relay import config, listing, reply, told, unit
+from .test_relay import config, listing, read_configuration, reply, unit
 
 EMPTY = message(b"Q", b"\0")  # an empty query
 NOTHING = message(b"I", b"") + READY  # the answer to it
@@ -78,7 +78,7 @@
             | more
         )
         self.tree = tree
-        self.relay = Relay(self.reactor, told(tree))
+        self.relay = Relay(self.reactor, read_configuration(tree))
         self.relay.start()
         self.addCleanup(self.reactor.removeAll)
         self.addCleanup(self.close_sockets)
@@ -714,7 +714,7 @@
     """A new configuration of a running relay."""
 
     def change(self, **more: object) -> None:
-        self.relay.reconfigure(told(self.tree | more))
+        self.relay.reconfigure(read_configuration(self.tree | more))
 
     def test_configuration_of_another_relay_or_customer_changes_nothing(self) -> None:
         self.start_relay()
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -16,7 +16,7 @@
     verdict_note,
 )
 from tealsail.parts import rank_test, stable_hash
-from tests.fake import ONE_SHOT, SECOND, Story
+from tests.fake import ONE_SHOT, SECOND, RelayFixture
 
 BACK, ON = [policy.BACK], [policy.ON]
 
@@ -24,7 +24,7 @@
 class Verdicts(unittest.TestCase):
     def votes_on(self, canary: dict, baseline: dict, age: int = 10 * SECOND, **facts) -> list[int]:
         """The votes after one beat of a judge that has received this evidence on a stage of that age."""
-        story = Story(**facts)
+        story = RelayFixture(**facts)
         story.trial(age=age)
         story.relay.on_note(1, story.evidence(canary, baseline))
         story.beat()
@@ -47,7 +47,7 @@
     def test_units_that_share_their_machines_with_draining_ones_may_be_slower(self) -> None:
         """Where three of five units are replaced at once, the new ones share their machines: good builds went back."""
         for state, votes in (("gone", BACK), ("draining", ON)):
-            story = Story()
+            story = RelayFixture()
             story.trial()
             story.update_list([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
             story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
@@ -58,7 +58,7 @@
         alike = dict(served=60, bucket=3)
         self.assertEqual(self.votes_on(alike, alike), ON)
         self.assertEqual(self.votes_on(alike, alike, control="timer"), [])  # a timer moves the stages
-        story = Story()
+        story = RelayFixture()
         story.trial()
         story.update_list([story.unit(3, 2, started=story.relay.now)], kind="changes")
         story.relay.on_note(1, story.evidence(alike, alike))
@@ -77,12 +77,12 @@
 
     def test_the_horizon_is_a_second_later_while_a_unit_is_still_to_be_listed(self) -> None:
         for many, more in ((3, SECOND), (4, 0)):
-            story = Story(units=8, stage_shares=[0.5, 1.0])
+            story = RelayFixture(units=8, stage_shares=[0.5, 1.0])
             story.trial(age=0, many=many)
             self.assertEqual(story.relay.judge.due_at(), story.relay.now + policy.HORIZON + more)
 
     def test_lost_reordered_and_repeated_notes_do_not_falsify_the_pool(self) -> None:
-        story = Story()
+        story = RelayFixture()
         story.trial(age=0)
         early, late = (story.evidence(dict(served=n), dict(served=n)) for n in (5, 30))
         for data in (early, late, early, b"junk", late[:-1]):
@@ -96,7 +96,7 @@
 
         `failing`: the canary's share of failures; the baseline had 0.3%.
         """
-        story = Story(units=40, relays=5, index=max(range(5), key=lambda at: stable_hash(2, at)))  # a judge
+        story = RelayFixture(units=40, relays=5, index=max(range(5), key=lambda at: stable_hash(2, at)))  # a judge
         story.trial(many=20)
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
         size = len(story.relay.judge.pooled.sums)
@@ -132,7 +132,7 @@
     def test_a_relay_that_is_no_judge_judges_only_in_place_of_a_silent_one(self) -> None:
         judges = with_stand_in = 0
         for index in range(8):
-            story = Story(relays=8, index=index)
+            story = RelayFixture(relays=8, index=index)
             story.trial(age=2 * SECOND)
             story.relay.judge.heard = {other: story.relay.now for other in range(8)}
             judges += story.relay.judge.is_judging()
@@ -142,7 +142,7 @@
         self.assertEqual((judges, with_stand_in), (3, 4))
 
     def test_a_vote_is_cast_again_if_it_did_not_count_or_expires_and_never_for_an_old_stage(self) -> None:
-        story = Story(vote_life=6 * SECOND, vote_wait=SECOND)
+        story = RelayFixture(vote_life=6 * SECOND, vote_wait=SECOND)
         story.trial()
         story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
         story.beat()
@@ -161,7 +161,7 @@
         self.assertEqual([stage for _, stage, _ in story.host.of("vote")], [0, 0, 0])
 
     def test_a_released_build_that_fails_is_sent_back(self) -> None:
-        story = Story()
+        story = RelayFixture()
         story.trial()
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
         story.relay.on_note(1, story.evidence(dict(served=100, failed=20), dict(served=100)))
@@ -169,7 +169,7 @@
         self.assertEqual(story.votes(), BACK)
 
     def test_a_build_without_a_baseline_gets_no_verdict(self) -> None:
-        story = Story()
+        story = RelayFixture()
         for _ in range(60):
             story.serve("error")
         story.beat()
@@ -190,7 +190,7 @@
             self.assertAlmostEqual(erfc(over / sqrt(2 * variance)) / 2, expected.pvalue)
 
     def test_the_baseline_is_as_large_as_the_canary(self) -> None:
-        story = Story(units=8, free_shots=100)
+        story = RelayFixture(units=8, free_shots=100)
         story.trial()
         for _ in range(400):
             story.serve()
@@ -199,7 +199,7 @@
         self.assertLessEqual(abs(canary[0] - baseline[0]), 3)
 
     def test_shots_that_are_open_when_a_build_comes_are_not_its_canary(self) -> None:
-        story = Story()
+        story = RelayFixture()
         out = [story.take() for _ in range(6)]
         story.trial(many=0)
         for number in out:
@@ -207,7 +207,7 @@
         self.assertEqual(sum(story.relay.trial.groups["canary"]), 0)
 
     def test_a_cold_units_latencies_count_by_its_warmth_and_not_at_all_at_first(self) -> None:
-        story = Story(units=1)
+        story = RelayFixture(units=1)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 1.0, 0)
         story.update_list([story.unit(0, 2, started=story.relay.now)])
         story.relay.cold_share = [(1.0, 1.0)] * 2
@@ -229,7 +229,7 @@
             (0, 0.5, 0.06, 0, False),
             (0, 0.15, 0.0, 0, False),
         ):
-            story = Story(units=6)
+            story = RelayFixture(units=6)
             story.trial(many=many)
             *rest, unit = story.relay.units.values()
             unit.error_rate, rest[0].error_rate = errors, elsewhere
@@ -241,7 +241,7 @@
 
     def test_wrong_answers_reported_by_clients_count_alike_for_both_builds(self) -> None:
         """Some reports are false.  Counted for the build on trial alone, they sent good builds back."""
-        story = Story()
+        story = RelayFixture()
         story.trial(many=2)
         for _ in range(20):
             for unit in (0, 3):  # of the earlier build, and of that on trial
@@ -251,7 +251,7 @@
     def test_beside_idle_machines_a_build_may_be_as_slow_as_they_were_under_load(self) -> None:
         """New machines take over the work of those that stay, and run at two thirds of their use beside idle ones."""
         for layout, before, votes in (("beside", 5, ON), ("beside", 3, BACK), ("in_place", 5, BACK)):
-            story = Story(layout=layout)
+            story = RelayFixture(layout=layout)
             story.trial()
             story.relay.trial.groups["before"][2 + before] = 60
             story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
@@ -261,7 +261,7 @@
     def test_where_earlier_machines_stay_they_alone_count_as_places_of_the_stage(self) -> None:
         """Places were counted over both builds' machines, so from half of them on the list looked stale for 19 s."""
         for layout, votes in (("beside", ON), ("in_place", [])):
-            story = Story(8, layout=layout, stage_shares=[1.0])
+            story = RelayFixture(8, layout=layout, stage_shares=[1.0])
             story.trial(many=4)
             story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
             story.beat()
@@ -270,7 +270,7 @@
     def test_where_earlier_machines_stay_new_ones_get_all_of_the_work(self) -> None:
         """At half of that use no build shows what fails under load alone.  While it goes back, it gets nothing."""
         for layout, share, back in (("beside", 1.0, 0.0), ("in_place", 0.5, 0.35)):
-            story = Story(8, layout=layout, stage_shares=[1.0])
+            story = RelayFixture(8, layout=layout, stage_shares=[1.0])
             story.trial(many=4)
             self.assertEqual(story.relay.trial.share, share)
             story.relay.on_stage(2, 0, policy.GOING_BACK, 0.5, 0)
@@ -278,12 +278,12 @@
 
     def test_under_a_timer_only_votes_of_back_decide_the_number_of_voters(self) -> None:
         """Eighteen votes of hold stop the timer, so as many relays were to cast a 'back' for which one is enough."""
-        story = Story(relays=180, control="timer", on_votes=0, hold_votes=18, back_votes=1)
+        story = RelayFixture(relays=180, control="timer", on_votes=0, hold_votes=18, back_votes=1)
         self.assertEqual(story.relay.judge.voters, policy.JUDGES)
 
     def test_judges_stay_for_all_stages_of_a_build(self) -> None:
         """Drawn anew at each stage, they heard of failures first, and sent a good build back at the last stage."""
-        story = Story(relays=180)
+        story = RelayFixture(relays=180)
         story.trial()
         order = story.relay.judge.order
         story.relay.on_stage(2, 1, policy.ON_TRIAL, 1.0, 0)
@@ -300,7 +300,7 @@
             (dict(served=60_000), sixty, fails, BACK),
             (sixty, dict(served=10, failed=60_000), fails, BACK),
         ):
-            story = Story()
+            story = RelayFixture()
             story.trial()
             for sender, reported in ((1, honest), (2, honest), (3, honest), (5, (canary, baseline))):
                 story.relay.on_note(sender, story.evidence(*reported))
@@ -310,7 +310,7 @@
 
 class LargeFleets(unittest.TestCase):
     def test_voters_cast_the_verdict_of_any_judge_and_back_overrides_on(self) -> None:
-        story = Story(relays=40, on_votes=20, votes_per_second=100)
+        story = RelayFixture(relays=40, on_votes=20, votes_per_second=100)
         story.trial()
         judge = story.relay.judge
         judges = judge.order[:2]  # place 10 votes and is no judge, 39 does not
@@ -329,7 +329,7 @@
 
     def test_a_judge_sends_its_verdict_to_all_where_many_votes_are_needed(self) -> None:
         for needed, sent in ((20, 1), (1, 0)):
-            story = Story(relays=40, on_votes=needed)
+            story = RelayFixture(relays=40, on_votes=needed)
             story.trial()
             judge = story.relay.judge
             judge.place, judge.verdict, judge.order, judge.beat = 0, policy.BACK, [0, *judge.order], 1
@@ -337,7 +337,7 @@
             self.assertEqual(sum(to == -1 for to, _ in story.host.of("send_note")), sent)
 
     def test_a_relay_with_nothing_new_sends_nothing_but_all_counts_every_fourth_second(self) -> None:
-        story = Story(relays=40)
+        story = RelayFixture(relays=40)
         story.trial()
         judge = story.relay.judge
         judge.place, story.relay.trial.groups["canary"][0] = 30, 5
@@ -357,7 +357,7 @@
             (10_000, 6, False, 2),
             (10_000, 6, True, 16),
         ):
-            story = Story(relays=relays, index=index)
+            story = RelayFixture(relays=relays, index=index)
             story.trial()
             judge, sent = story.relay.judge, []
             judge.place = 0 if judges else 30
@@ -372,7 +372,7 @@
 
     def test_counts_of_weeks_do_not_overflow(self) -> None:
         """Two cells of 16 bits hold 16 days of 3,000 outcomes a second; then the count of served stood still."""
-        story = Story(relays=40)
+        story = RelayFixture(relays=40)
         story.trial()
         judge = story.relay.judge
         pool = CountPool(len(judge.pooled.sums))
@@ -392,7 +392,7 @@
 
     def test_new_failures_of_the_canary_are_sent_each_half_second(self) -> None:
         """Guards against a build that turns bad late and is sent back only after the next one is due."""
-        story = Story()
+        story = RelayFixture()
         story.trial()
         judge, sent = story.relay.judge, []
         for judge.beat, cell in ((2, 0), (2, 1), (2, 1), (3, 0), (4, 0)):
@@ -404,7 +404,7 @@
     def test_recent_failures_on_several_units_give_back_and_those_of_one_unit_do_not(self) -> None:
         """Guards against a build that turns bad late, and whose failures are few beside what it served before."""
         for failing, votes in ((1, []), (3, BACK)):
-            story = Story(units=8)
+            story = RelayFixture(units=8)
             story.trial(age=60 * SECOND, many=8)
             judge = story.relay.judge
             judge.verdict, judge.order = policy.ON, [0, *judge.order]
@@ -424,7 +424,7 @@
     def test_failures_beyond_chance_on_a_quarter_of_the_units_give_back_also_after_the_release(self) -> None:
         """Guards against a build that turns bad so slowly that the next one is due before the early margin is met."""
         for failing, failed, votes in ((2, 30, []), (3, 30, BACK), (3, 8, [])):
-            story = Story(units=8)
+            story = RelayFixture(units=8)
             story.trial(age=60 * SECOND, many=8)
             judge = story.relay.judge
             judge.verdict, judge.order = policy.ON, [0, *judge.order]
@@ -438,7 +438,7 @@
 
     def test_a_recent_rise_of_failures_gives_back_unless_the_baselines_rise_too(self) -> None:
         for baseline, votes in ((1, BACK), (8, [])):
-            story = Story(units=8)
+            story = RelayFixture(units=8)
             story.trial(age=60 * SECOND, many=5)
             judge, groups = story.relay.judge, story.relay.trial.groups
             judge.verdict, judge.order = policy.ON, [0, *judge.order]
@@ -456,7 +456,7 @@
             self.assertEqual(story.votes()[-1:], votes)
 
     def test_short_stages_have_a_short_horizon_and_a_beat_falls_on_it(self) -> None:
-        story = Story(bake=SECOND // 2)
+        story = RelayFixture(bake=SECOND // 2)
         story.trial(age=SECOND)
         story.relay.judge.order = [0, *story.relay.judge.order]
         due = story.relay.judge.due_at()
@@ -470,7 +470,7 @@
 
     def test_no_on_while_notes_of_most_relays_are_missing(self) -> None:
         for heard, votes in ((0, []), (25, ON)):
-            story = Story(relays=40)
+            story = RelayFixture(relays=40)
             story.trial(age=60 * SECOND)
             story.relay.judge.order.insert(0, 0)
             story.later(9 * SECOND)
@@ -480,7 +480,7 @@
             self.assertEqual(story.votes(), votes)
 
     def test_a_relay_uses_few_units_and_one_more_when_all_are_busy(self) -> None:
-        story = Story(units=40, may_tell=False)
+        story = RelayFixture(units=40, may_tell=False)
         for _ in range(60):
             story.serve()
         self.assertEqual(len(set(story.sent())), policy.UnitChoice.FEW_UNITS)
@@ -499,7 +499,7 @@
     def test_cold_units_get_their_share_from_hundreds_of_relays_with_one_shot_each(self) -> None:
         shots = []
         for index in range(300):
-            story = Story(units=10, relays=300, index=index, may_tell=False)
+            story = RelayFixture(units=10, relays=300, index=index, may_tell=False)
             story.relay.random.state = stable_hash(index)
             story.update_list([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
             story.serve()
@@ -511,9 +511,9 @@
 class TrackedLoad(unittest.TestCase):
     """Units that report no load: the load tracker is told of all shots, and asked which unit to take."""
 
-    def story(self, **facts) -> Story:
-        trackers = Story(relays=9, load_via="none").relay.load_tracking.order
-        return Story(relays=9, index=min({*range(9)} - {*trackers}), load_via="none", **facts)
+    def story(self, **facts) -> RelayFixture:
+        trackers = RelayFixture(relays=9, load_via="none").relay.load_tracking.order
+        return RelayFixture(relays=9, index=min({*range(9)} - {*trackers}), load_via="none", **facts)
 
     def test_the_tracker_names_the_least_loaded_unit_and_the_shot_goes_there(self) -> None:
         story = self.story()
@@ -523,7 +523,7 @@
         self.assertEqual(read_tracker_note(asked)[:2], (number, 4))
         story.relay.on_note(tracker, answer_note(number, 2))
         self.assertEqual(story.sent(number), [read_tracker_note(asked)[2 + 2]])
-        other = Story(relays=9, index=tracker, load_via="none")
+        other = RelayFixture(relays=9, index=tracker, load_via="none")
         for count, (unit, out) in enumerate(((0, 2), (1, 1), (2, 0), (3, 1))):
             other.relay.on_note(5, load_note(count, unit, out, 0))
         other.relay.on_note(5, load_note(1, 1, 9, 0))  # an older note that comes late
@@ -569,7 +569,7 @@
 
     def test_cold_units_get_little_of_a_flood_that_fails_everywhere(self) -> None:
         """Two thousand invocations a second failed at once at any unit; their even share overloaded a cold one."""
-        story = Story()
+        story = RelayFixture()
         for _ in range(100):
             story.serve("error")
         story.update_list([story.unit(9, started=story.relay.now - SECOND)], kind="changes")
@@ -579,7 +579,7 @@
 
     def test_where_any_unit_would_be_late_the_asker_rejects_at_once_with_advice(self) -> None:
         """Each of a hundred relays learnt of an overload from its own few answers, and a fifth of all were late."""
-        story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
+        story = RelayFixture(relays=9, index=self.story().relay.load_tracking.order[0])
         story.relay.on_note(7, ask_note(75, [0, 1, 2, 3]))  # asked before any report
         for count in range(100):  # 50 completions a second at four units with 20 shots each
             story.later(200)
@@ -610,7 +610,7 @@
         story.take()
         asked = read_tracker_note(story.host.of("send_note")[-1][1])[2:]
         self.assertEqual([unit % 2 for unit in asked], [1, 1, 1, 0, 0, 0])
-        tracker = Story(relays=9, index=story.relay.load_tracking.order[0])
+        tracker = RelayFixture(relays=9, index=story.relay.load_tracking.order[0])
         tracker.relay.on_note(7, ask_note(1, list(asked)))
         self.assertEqual(tracker.host.of("send_note")[-1], (7, answer_note(1, 0)))
 
@@ -618,7 +618,7 @@
         """Shots were led away from the first units of a build that turned bad.  Half of the failures were seen, and the
         build went back 0.5 to 0.7 s later (simulated), often only after the next build was offered."""
         for every, kept in ((5, True), (1, False)):
-            story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
+            story = RelayFixture(relays=9, index=self.story().relay.load_tracking.order[0])
             places = []
             for count in range(400):
                 story.later(100)
@@ -633,7 +633,7 @@
     def test_a_reported_shot_is_not_counted_as_an_assigned_one_too(self) -> None:
         """For a tenth of a second each shot counted twice, and its unit as busy after it had ended.  At 70% of use a
         third of all shots went to a busy unit while another was idle (simulated: 0.35, and 0.23 since)."""
-        story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
+        story = RelayFixture(relays=9, index=self.story().relay.load_tracking.order[0])
 
         def place_for(number: int, sender: int) -> int:
             story.relay.on_note(sender, ask_note(number, [0, 1]))
@@ -662,14 +662,14 @@
     def test_a_unit_a_little_slower_than_usual_keeps_its_shots_and_a_slow_one_is_avoided(self) -> None:
         """A unit whose last answers happened to be long got no shot for twenty times its mean interval."""
         for times, first in ((20, 0), (80, 1)):
-            story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
+            story = RelayFixture(relays=9, index=self.story().relay.load_tracking.order[0])
             for count in range(60):
                 story.relay.on_note(5, load_note(count + 1, 0, 0, times))
             story.relay.on_note(7, ask_note(1, [0, 1]))
             self.assertEqual(read_tracker_note(story.host.of("send_note")[-1][1])[1], first)
 
     def test_the_tracker_forgets_reports_of_relays_that_have_gone(self) -> None:
-        story = Story(relays=9, index=self.story().relay.load_tracking.order[0], load_via="none")
+        story = RelayFixture(relays=9, index=self.story().relay.load_tracking.order[0], load_via="none")
         for sender in range(5):
             story.relay.on_note(sender, load_note(1, 3, 7, 0))
         self.assertEqual(story.relay.load_tracking.loads[3].open_shots, 35)
@@ -682,19 +682,19 @@
     def test_a_second_reset_in_a_row_ejects_a_unit_and_a_single_one_does_not(self) -> None:
         """Guards against connections that break everywhere: all units were ejected, and the rest overloaded."""
         for outcome in ("reset", "unreachable"):
-            story = Story(units=1, workloads=(ONE_SHOT,))
+            story = RelayFixture(units=1, workloads=(ONE_SHOT,))
             for _ in range(5):
                 story.serve()
                 story.serve(outcome, latency=500)
                 self.assertTrue(story.relay.choice.is_available(story.relay.units[0]))
             story.report_outcome(story.take(), outcome, latency=500)
             self.assertFalse(story.relay.choice.is_available(story.relay.units[0]))
-        story = Story(units=1, workloads=(ONE_SHOT,))
+        story = RelayFixture(units=1, workloads=(ONE_SHOT,))
         story.serve("unreachable", latency=SECOND // 4)  # no answer at all: out of reach
         self.assertFalse(story.relay.choice.is_available(story.relay.units[0]))
 
     def test_a_silent_unit_is_ejected_and_tried_again_with_one_shot(self) -> None:
-        story = Story(units=2)
+        story = RelayFixture(units=2)
         unit, story.relay.admission.limit_cut_at = story.relay.units[0], 1 << 60
         for _ in range(30):
             number = story.take()
@@ -708,7 +708,7 @@
         self.assertFalse(story.relay.choice.is_available(unit))
 
     def test_late_answers_cut_the_limit_once_an_overload_and_it_grows_again(self) -> None:
-        story = Story(units=8, may_tell=False)
+        story = RelayFixture(units=8, may_tell=False)
         out = [story.take() for _ in range(40)]
         story.later(2 * SECOND)
         for number in out:
@@ -727,14 +727,14 @@
     def test_heavy_work_that_is_answered_within_the_promise_does_not_cut_the_limit(self) -> None:
         """With one answer in twenty at nine tenths of the promise, relays with few shots rejected a tenth while units
         were idle."""
-        story = Story(units=8)
+        story = RelayFixture(units=8)
         for at in range(200):
             story.serve(latency=9 * SECOND // 10 if at % 20 == 0 else SECOND // 5)
             story.later(SECOND // 20)
         self.assertEqual((len(story.sent()), story.relay.admission.limit), (200, 40))
 
     def test_while_a_build_goes_back_few_earlier_units_do_not_get_all_of_the_work(self) -> None:
-        story = Story(units=4, free_shots=100, relays=9, may_tell=False)
+        story = RelayFixture(units=4, free_shots=100, relays=9, may_tell=False)
         story.trial(many=3)
         story.relay.judge.verdict = policy.BACK
         for _ in range(60):
@@ -742,7 +742,7 @@
         self.assertTrue(10 < story.sent().count(0) < 40)
 
     def test_a_drained_unit_that_is_still_listed_is_ejected_and_does_not_cut_the_limit(self) -> None:
-        story = Story(units=2)
+        story = RelayFixture(units=2)
         limit = story.relay.admission.limit
         for _ in range(40):
             number = story.take()
@@ -754,7 +754,7 @@
         self.assertLess(story.sent().count(0), 5)
 
     def test_a_customer_beyond_its_share_gets_less_of_the_limit(self) -> None:
-        story = Story(customers=[dict(share=0.5), dict(share=0.5)])
+        story = RelayFixture(customers=[dict(share=0.5), dict(share=0.5)])
         for each in range(100):
             story.serve(customer=int(each < 10))
         first, second = (story.take(customer=customer) for customer in (0, 1))
@@ -763,10 +763,10 @@
 
     def test_missing_settings_and_unknown_values_are_accepted(self) -> None:
         for facts in (dict(control="quorum", caps=[]), dict(stage_shares=[]), dict(relays=1)):
-            story = Story(workloads=(dict(),), **facts)
+            story = RelayFixture(workloads=(dict(),), **facts)
             story.trial()
             for _ in range(10):
                 story.serve()
                 story.beat()
             self.assertTrue(story.sent())
-        policy.Relay(Story().host, {}, 1, 0).on_wake(policy.Relay.WAKE_BEAT)
+        policy.Relay(RelayFixture().host, {}, 1, 0).on_wake(policy.Relay.WAKE_BEAT)
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -8,8 +8,8 @@
 from tealsail.setup.validation import InvalidSettings, check_settings
 
 from . import test_relay
-from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, Story, client_query, error_response
-from .test_relay import config, told
+from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, RelayFixture, client_query, error_response
+from .test_relay import config, read_configuration
 
 TIMER_BESIDE = dict(
     control="timer",
@@ -55,12 +55,12 @@
                 self.subTest(more),
                 self.assertRaisesRegex(relay_configuration.ConfigurationError, f"settings: {said}"),
             ):
-                told(config(settings=settings(**more)))
+                read_configuration(config(settings=settings(**more)))
         late = [dict(each, aim=4000) for each in settings()["requestClasses"]]
         with self.assertRaisesRegex(
             relay_configuration.ConfigurationError, "requestClasses.0.aim: later than its deadline"
         ):
-            told(config(settings=settings(requestClasses=late)))
+            read_configuration(config(settings=settings(requestClasses=late)))
 
     def test_settings_of_both_kinds_of_deployment_are_accepted(self) -> None:
         for facts in (TIMER_BESIDE, SHARE_IN_PLACE, {}):
@@ -70,12 +70,12 @@
 
 
 class ChangedSettings(unittest.TestCase):
-    def story(self, **facts) -> tuple[Story, LiveSettings]:
-        story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **facts)
+    def story(self, **facts) -> tuple[RelayFixture, LiveSettings]:
+        story = RelayFixture(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **facts)
         return story, LiveSettings(story.relay, self.now(story))
 
     @staticmethod
-    def now(story: Story, **more: object) -> dict:
+    def now(story: RelayFixture, **more: object) -> dict:
         return dict(story.relay.facts, **more)
 
     def test_changes_there_and_back_during_a_trial_keep_the_evidence(self) -> None:
@@ -123,7 +123,7 @@
         self.assertEqual(story.relay.facts, before)
 
 
-class OnSockets(test_relay.Story):
+class OnSockets(test_relay.RelayInMemory):
     """The relay of tests/test_relay.py, in memory, with the same fakes."""
 
     def timer_beside(self, **more: object) -> dict:
@@ -135,19 +135,19 @@
         client = self.client(client_query(wait=3000, workload="order"))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
-        self.relay.reconfigure(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
-        self.relay.reconfigure(told(config(settings=self.timer_beside())))  # two in a row
+        self.relay.reconfigure(read_configuration(config(settings=self.timer_beside(limits__maxAttempts=1))))
+        self.relay.reconfigure(read_configuration(config(settings=self.timer_beside())))  # two in a row
         self.assertTrue(self.relay.facade.relay.beside)
         wire.feed(ROW + READY)
         self.assertEqual((client.sent(), wire.sent()), (ROW + READY, b""))
-        self.relay.reconfigure(told(config()))  # changing back works the same way
+        self.relay.reconfigure(read_configuration(config()))  # changing back works the same way
         self.wait(1)
         self.assertEqual((self.relay.facade.relay.beside, self.relay.live_settings.replacement), (False, None))
         self.assertEqual((self.relay.counters.counts["configuration.taken"], len(self.relay.serving)), (3, 0))
 
     def test_a_query_that_fails_after_a_change_is_not_retried_beyond_either_limit(self) -> None:
         client = self.client(client_query(wait=3000))
-        self.relay.reconfigure(told(config(settings=self.timer_beside(limits__maxAttempts=1))))
+        self.relay.reconfigure(read_configuration(config(settings=self.timer_beside(limits__maxAttempts=1))))
         wire = self.unit()
         self.assertEqual(wire.sent().count(b"SELECT"), 1)
         wire.feed(error_response("XX000") + READY)
@@ -155,9 +155,9 @@
 
     def test_a_refused_configuration_changes_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
-            self.assertRaises(RestartNeeded, self.relay.reconfigure, told(tree))
+            self.assertRaises(RestartNeeded, self.relay.reconfigure, read_configuration(tree))
         self.assertEqual(self.reactor.pending_connects(8600), [])
 
 
-for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
+for name in [name for name in dir(test_relay.RelayInMemory) if name.startswith("test_")]:
     setattr(OnSockets, name, None)  # its own tests run in that module
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -13,7 +13,7 @@
 from tealsail.parts import excess_in_deviations
 from tealsail.policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES
 
-from .fake import Story
+from .fake import RelayFixture
 
 SIZE = 12
 
@@ -205,7 +205,7 @@
     def test_the_simulated_notes_are_those_of_the_module(self) -> None:
         """A relay's own judge sends the same notes at the same beats for the same counts."""
         fleet = Fleet(40, 5.0, 0.1, 3)
-        story = Story(relays=40, index=7)
+        story = RelayFixture(relays=40, index=7)
         story.trial()
         judge = story.relay.judge
         judge.place = 30
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -27,7 +27,7 @@
 from tealsail.setup import document
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
-from .test_relay import UNIT_PORT, config, told
+from .test_relay import UNIT_PORT, config, read_configuration
 
 NET = Path(__file__).parent.parent / "tealsail" / "net"
 HEAD = Head(0, VERSION, "relay", "n0", 0, {})
@@ -97,7 +97,7 @@
     def relay(self, **recording) -> Relay:
         self.reactor = Reactor()
         converted = document.convert({"recording": {"file": str(self.path)} | recording})
-        relay = Relay(self.reactor, told(config()), document=converted)
+        relay = Relay(self.reactor, read_configuration(config()), document=converted)
         relay.start()
         return relay
 
@@ -207,7 +207,11 @@
 
     def test_record_that_can_not_be_opened_raises_at_the_start(self) -> None:
         with self.assertRaises(OSError):
-            Relay(Reactor(), told(config()), document=document.convert({"recording": {"file": "/nowhere/at/all"}}))
+            Relay(
+                Reactor(),
+                read_configuration(config()),
+                document=document.convert({"recording": {"file": "/nowhere/at/all"}}),
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -74,7 +74,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
 
-def told(tree: object) -> relay_configuration.RelayConfiguration:
+def read_configuration(tree: object) -> relay_configuration.RelayConfiguration:
     """The configuration read from a file with that JSON, or with that text."""
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         file.write(tree if isinstance(tree, str) else json.dumps(tree))
@@ -82,12 +82,12 @@
         return relay_configuration.read({"EDGE_CONFIG": file.name})
 
 
-class Story(unittest.TestCase):
+class RelayInMemory(unittest.TestCase):
     """One relay; a test plays its clients, units, discovery and platform."""
 
     def setUp(self) -> None:
         self.reactor = Reactor()
-        self.relay = Relay(self.reactor, told(config()))
+        self.relay = Relay(self.reactor, read_configuration(config()))
         self.relay.start()
         self.factory = self.reactor.tcpServers[0][1]
 
@@ -209,7 +209,8 @@
     def test_list_on_request_is_first_asked_for_changes_and_after_a_delay(self) -> None:
         self.reactor = Reactor()
         Relay(
-            self.reactor, told(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40}))
+            self.reactor,
+            read_configuration(config(settings=config()["settings"] | {"discovery": "on_request", "fleetSize": 40})),
         ).start()
         self.assertFalse(self.reactor.pending_connects(LIST_PORT))
         self.wait(4.1)
@@ -274,8 +275,10 @@
     def test_new_address_of_discovery_takes_over_from_a_pending_watch(self) -> None:
         old = self.discovery(listing(42, True, unit(UNIT_PORT)))
         old.sent()
-        self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
-        self.relay.reconfigure(told(config(discovery="127.0.0.1:8700")))  # the last of two in a row counts
+        self.relay.reconfigure(read_configuration(config(discovery="127.0.0.1:8600")))
+        self.relay.reconfigure(
+            read_configuration(config(discovery="127.0.0.1:8700"))
+        )  # the last of two in a row counts
         old.feed(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
         superseded = self.reactor.complete_connect(8600)
@@ -294,7 +297,7 @@
 
     def test_former_discovery_that_closes_first_is_not_connected_again(self) -> None:
         old = self.discovery(listing(42, True, unit(UNIT_PORT)))
-        self.relay.reconfigure(told(config(discovery="127.0.0.1:8600")))
+        self.relay.reconfigure(read_configuration(config(discovery="127.0.0.1:8600")))
         old.drop()
         self.reactor.refuse_connect(8600)  # the new agent does not listen yet
         self.wait(0.3)
@@ -306,7 +309,7 @@
         self.relay.platform.on_vote_answer = answers.append
         self.relay.platform.vote(41, 0, "back")
         number = json.loads(old.sent())["id"]
-        self.relay.reconfigure(told(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
+        self.relay.reconfigure(read_configuration(config(rollouts={"address": "127.0.0.1:6500", "news": state()})))
         new = self.reactor.complete_connect(6500)
         self.assertEqual(json.loads(new.sent())["method"], "subscribe")
         self.send_state(new, build=42, phase="canary", cap=0.28)
@@ -436,7 +439,7 @@
             (config(settings=config()["settings"] | {"fleetSize": "x"}), "fleetSize"),
         ):
             with self.assertRaisesRegex(relay_configuration.ConfigurationError, expected):
-                told(tree)
+                read_configuration(tree)
         for environment in ({}, {"EDGE_CONFIG": "/nowhere/at/all"}):
             self.assertRaises(relay_configuration.ConfigurationError, relay_configuration.read, environment)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,24 +4,24 @@
 
 from tealsail import policy
 from tealsail.parts import RandomGenerator
-from tests.fake import HARMLESS, ONE_SHOT, SECOND, STAMPED, Story
+from tests.fake import HARMLESS, ONE_SHOT, SECOND, STAMPED, RelayFixture
 
 
 class EveryInvocationIsAnswered(unittest.TestCase):
     def test_a_timeout_at_the_abandon_time_is_a_forfeit(self) -> None:
-        story = Story(workloads=(ONE_SHOT,))
+        story = RelayFixture(workloads=(ONE_SHOT,))
         number = story.take()
         story.later(4 * SECOND)
         story.report_outcome(number, "timeout", latency=4 * SECOND)
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_without_a_unit_an_invocation_is_rejected_at_once(self) -> None:
-        story = Story(units=0)
+        story = RelayFixture(units=0)
         number = story.take()
         self.assertEqual([each[0] for each in story.host.of("reject")], [number])
 
     def test_nothing_is_sent_after_the_client_has_gone(self) -> None:
-        story = Story()
+        story = RelayFixture()
         number = story.take()
         story.relay.on_abandoned(number)
         story.beat()  # the shot's outcome is still to come
@@ -31,7 +31,7 @@
         self.assertFalse(story.host.of("forfeit") + story.host.of("reject"))
 
     def test_nothing_is_sent_again_after_the_abandon_time(self) -> None:
-        story = Story()
+        story = RelayFixture()
         number = story.take()
         story.later(4 * SECOND)
         story.report_outcome(number, "full")
@@ -41,14 +41,14 @@
 class NoEffectTwice(unittest.TestCase):
     def test_a_one_shot_invocation_that_may_have_run_is_neither_repeated_nor_rejected(self) -> None:
         for outcome in ("error", "reset", "timeout"):
-            story = Story(workloads=(ONE_SHOT,))
+            story = RelayFixture(workloads=(ONE_SHOT,))
             number = story.take()
             story.report_outcome(number, outcome)
             self.assertEqual(len(story.sent(number)), 1)
             self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_a_one_shot_invocation_that_did_not_run_is_sent_again(self) -> None:
-        story = Story(workloads=(ONE_SHOT,))
+        story = RelayFixture(workloads=(ONE_SHOT,))
         number = story.take()
         story.report_outcome(number, "full")
         self.assertEqual(len(story.sent(number)), 2)
@@ -56,7 +56,7 @@
         self.assertEqual(story.host.of("forfeit"), [(number,)])
 
     def test_a_stamped_invocation_is_repeated_only_in_its_group_and_within_its_memory(self) -> None:
-        story = Story(workloads=(STAMPED,))
+        story = RelayFixture(workloads=(STAMPED,))
         story.update_list([story.unit(number, zone=number) for number in range(4)])
         number = story.take()
         story.report_outcome(number, "error")
@@ -68,7 +68,7 @@
         self.assertEqual(story.host.of("forfeit"), [(late,)])
 
     def test_a_late_shot_at_a_silent_unit_is_cancelled_before_another_is_sent(self) -> None:
-        story = Story(two_shots=False)
+        story = RelayFixture(two_shots=False)
         number = story.take()
         invocation, unit = story.relay.known[number], story.relay.units[0]
         self.assertFalse(story.relay.gate.forward(invocation, unit))  # never two open shots
@@ -84,7 +84,7 @@
 
 class DrainsAreKept(unittest.TestCase):
     def test_draining_gone_and_unlisted_units_get_nothing(self) -> None:
-        story = Story(units=4)
+        story = RelayFixture(units=4)
         story.update_list([story.unit(0, state="draining"), story.unit(1, state="gone")], kind="changes")
         story.update_list([story.unit(0, state="draining"), story.unit(2)])
         for _ in range(20):
@@ -94,7 +94,7 @@
 
 class NoColdUnitIsOverloaded(unittest.TestCase):
     def test_a_cold_unit_gets_less_than_warm_ones_and_no_burst(self) -> None:
-        story = Story(units=4, may_tell=False)
+        story = RelayFixture(units=4, may_tell=False)
         for _ in range(60):
             story.serve()
         story.update_list([story.unit(number, started=story.relay.now * (number == 3)) for number in range(4)])
@@ -109,7 +109,7 @@
         self.assertLess(len(story.sent()), 120 + 120)  # with cold units alone most is rejected
 
     def test_while_a_build_goes_back_the_first_cold_earlier_unit_does_not_get_everything(self) -> None:
-        story = Story(units=20)
+        story = RelayFixture(units=20)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
         story.update_list(
             [story.unit(number, 1 + (number > 0), started=story.relay.now * (number == 0)) for number in range(20)]
@@ -122,14 +122,14 @@
 
 
 class ExposureStaysWithinTheCap(unittest.TestCase):
-    def shots(self, story: Story, many: int = 100) -> int:
+    def shots(self, story: RelayFixture, many: int = 100) -> int:
         for _ in range(many):
             story.serve()
             story.later(SECOND // 100)
         return sum(unit == 3 for unit in story.sent())
 
     def test_a_build_that_the_platform_has_not_told_of_has_the_cap_of_stage_0(self) -> None:
-        story = Story(caps=[0.1, 1.0])
+        story = RelayFixture(caps=[0.1, 1.0])
         story.update_list([story.unit(number, 2 if number == 3 else 1) for number in range(4)])
         shots = self.shots(story)
         self.assertLessEqual(shots, 1 + 10)
@@ -137,7 +137,7 @@
 
     def test_no_window_exceeds_the_cap_wherever_it_begins_and_a_cap_of_one_rejects_nothing(self) -> None:
         for cap in (0.3, 0.7, 1.0):
-            story, taken, chance = Story(stage_shares=[0.25]), [], RandomGenerator(5)
+            story, taken, chance = RelayFixture(stage_shares=[0.25]), [], RandomGenerator(5)
             story.relay.on_stage(2, 1, policy.ON_TRIAL, cap, 10 * SECOND)
             story.update_list([story.unit(number, 2) for number in range(4)])
             for _ in range(900):
@@ -157,13 +157,13 @@
 
     def test_at_cap_0_and_in_guarded_stages_nothing_is_sent_to_the_build(self) -> None:
         for cap, guarded in ((0.0, 0), (0.5, 1)):
-            story = Story(workloads=(ONE_SHOT,), guarded_stages=guarded)
+            story = RelayFixture(workloads=(ONE_SHOT,), guarded_stages=guarded)
             story.relay.on_stage(2, 0, policy.ON_TRIAL, cap, 0)
             story.update_list([story.unit(number, 2) for number in range(4)])
             self.assertEqual((self.shots(story), story.sent()), (0, []))
 
     def test_a_lowered_cap_binds_after_the_grace_where_no_earlier_unit_is_left(self) -> None:
-        story = Story()
+        story = RelayFixture()
         story.update_list([story.unit(number, 2) for number in range(4)])
         story.relay.on_stage(2, 1, policy.ON_TRIAL, 1.0, 0)
         story.relay.on_stage(2, 1, policy.GOING_BACK, 0.0, 0)
@@ -172,7 +172,7 @@
         self.assertEqual(story.serve(), -1)
 
     def test_exposure_is_counted_by_workload_where_the_settings_say_so(self) -> None:
-        story = Story(workloads=(HARMLESS, HARMLESS), exposure_per="class", free_shots=0)
+        story = RelayFixture(workloads=(HARMLESS, HARMLESS), exposure_per="class", free_shots=0)
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.5, 0)
         story.update_list([])
         for _ in range(40):
@@ -181,7 +181,7 @@
         self.assertEqual([story.serve(workload=1) == -1 for _ in range(4)], [True, False, True, False])
 
     def test_a_tenth_of_the_allowance_is_kept_back_while_earlier_units_can_take_the_rest(self) -> None:
-        story = Story(free_shots=0, caps=[0.2, 1.0])
+        story = RelayFixture(free_shots=0, caps=[0.2, 1.0])
         story.relay.on_stage(2, 0, policy.ON_TRIAL, 0.2, 0)
         story.update_list([story.unit(number, 1 if number == 0 else 2) for number in range(4)])
         for _ in range(100):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -30,7 +30,7 @@
 from tealsail.record.lines import FaultInjected
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
-from .test_relay import config, listing, state, told
+from .test_relay import config, listing, read_configuration, state
 
 RELAYS, OWN, BACKENDS = 5, 3, 12
 SMALL = Path(__file__).parent.parent / "examples" / "scale-small.toml"
@@ -59,7 +59,7 @@
         known=listing(41, True, *(backend(place) for place in range(BACKENDS))),
     )
     tree["settings"] |= {"fleetSize": RELAYS, "index": OWN}
-    return told(tree)
+    return read_configuration(tree)
 
 
 class Driven:
