--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -396,7 +396,7 @@
             None,
             "not measured",
             "half of the descriptors",
-            Place("net.units", "Units.room"),
+            Place("net.units", "Units.has_room"),
         ),
         State(
             Role.JUDGE,
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -275,7 +275,7 @@
     def open(self) -> Deferred[Connection]:
         """A new connection, once it is set up; fails with ConnectionError `unreachable` or `full`."""
         connection = Connection(self)
-        if not self.units.room():
+        if not self.units.has_room():
             self.counters.add("units.no_room")
             connection.is_set_up = True
             connection.ready.errback(ConnectionError("unreachable"))
@@ -382,7 +382,7 @@
         """The number of open connections, those being set up included."""
         return sum(len(pool.all) for pool in (*self.pools.values(), *self.retired))
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """Whether one more connection may be opened; at the limit the one that is idle longest is closed for it."""
         if self.held() < self.max_connections:
             return True
