--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -73,7 +73,7 @@
         facade = self.relay.facade
         customer = facade.place(statement.customer)
         at -= self.zero
-        self.recorder.note(
+        self.recorder.enqueue(
             InvocationTaken(
                 self.now(),
                 self.index,
@@ -90,14 +90,14 @@
     def shot_sent(self, number: int, shot_number: int, unit: int, wait: int) -> None:
         """`wait`: the shot's time-out in tenths of a millisecond."""
         name, build = self.units.get(unit, ("", 0))
-        self.recorder.note(ShotSent(self.now(), self.index, number, shot_number, name, build, wait))
+        self.recorder.enqueue(ShotSent(self.now(), self.index, number, shot_number, name, build, wait))
 
     def shot_ended(self, number: int, shot_number: int, outcome: str) -> None:
-        self.recorder.note(ShotEnded(self.now(), self.index, number, shot_number, outcome))
+        self.recorder.enqueue(ShotEnded(self.now(), self.index, number, shot_number, outcome))
 
     def invocation_ended(self, number: int, answer: Answer | None) -> None:
         """`answer` None: the client left before it was answered."""
-        word = (
+        recorded_answer = (
             "left"
             if answer is None
             else "rejected"
@@ -106,7 +106,7 @@
             if isinstance(answer, Forfeited)
             else "served"
         )
-        self.recorder.note(InvocationEnded(self.now(), self.index, number, word))
+        self.recorder.enqueue(InvocationEnded(self.now(), self.index, number, recorded_answer))
 
     def units_listed(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -116,7 +116,7 @@
             else:
                 self.units[number] = entry.id, entry.build
             started = max(0, settings.tenths(entry.started_ms) - self.zero) if entry.started_ms else 0
-            self.recorder.note(
+            self.recorder.enqueue(
                 EntryReceived(
                     self.now(),
                     self.index,
@@ -128,7 +128,7 @@
             )
 
     def rollout_changed(self, state: "PlatformState") -> None:
-        self.recorder.note(StageReceived(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
+        self.recorder.enqueue(StageReceived(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
 
     def close(self) -> None:
         """Write what is queued and close the file."""
--- a/tealsail/record/recorder.py
+++ b/tealsail/record/recorder.py
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """Takes lines from the reactor's thread with `note`, and writes them to `path` after `head`.
+    """Takes lines from the reactor's thread with `enqueue`, and writes them to `path` after `head`.
 
     `max_bytes` limits the size of the file, `max_queued_lines` the queue.  `keys` is plain, hashed or none, as in the
     operator's document.  `add` increments the relay's counters `record.lines` and `record.dropped`.  Raises OSError if
@@ -37,7 +37,7 @@
         self.thread = threading.Thread(target=self.write_queued_lines, name="record", daemon=True)
         self.thread.start()
 
-    def note(self, line: Line) -> None:
+    def enqueue(self, line: Line) -> None:
         """Queues a line, or drops it if there is no room; never blocks."""
         if not self.is_full:
             try:
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -178,7 +178,7 @@
 
         recorder.writer = StalledWriter()
         for number in range(500):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         dropped = self.counters.counts["record.dropped"]
         self.assertTrue(399 <= dropped <= 400, dropped)
         gate.set()
@@ -191,17 +191,17 @@
         path = self.path.with_name("n0.record")
         recorder = self.recorder(path, most_bytes=50_000, most_waiting=100_000)
         for number in range(20_000):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertLess(path.stat().st_size, 80_000)
         self.assertIsInstance(list(files.read(path))[-1], RecordEnd)
-        recorder.note(InvocationEnded(1, 0, 1, "served"))
+        recorder.enqueue(InvocationEnded(1, 0, 1, "served"))
         self.assertGreater(self.counters.counts["record.dropped"], 0)
 
     def test_full_disk_ends_the_record_and_not_the_relay(self) -> None:
         recorder = self.recorder("/dev/full", most_waiting=100_000)
         for number in range(50_000):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertIn("No space left", recorder.problem)
 
