--- a/tealsail/adapter/protocol.py
+++ b/tealsail/adapter/protocol.py
@@ -241,7 +241,10 @@
 
 
 def handle_line(session: WireSession, name: str, fields: Fields) -> None:
-    """Carries out a line; tells a malformed line (ProtocolError) from a failure of the decision module (FAULT)."""
+    """Carries out a line.
+
+    A malformed line raises ProtocolError; a failure of the decision module becomes a FAULT line.
+    """
     try:
         session.handle(name, fields)
     except ProtocolError:
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -22,12 +22,13 @@
 def run(arguments: dict[str, Any], environment: Mapping[str, str]) -> int:
     """Carries out `serve` or `check` and returns the exit code: 0, or 2 for a configuration that can't be used."""
     try:
-        assignment = read(environment)
-        document = read_document(arguments["--document"], assignment.facts)
+        configuration = read(environment)
+        document = read_document(arguments["--document"], configuration.facts)
         if arguments["check"]:
             print(
-                f"{assignment.name}: listens at {assignment.listen}; {len(assignment.known.entries)} units known; "
-                f"{len(assignment.facts['workloads'])} workloads; {len(assignment.peers)} relays"
+                f"{configuration.name}: listens at {configuration.listen}; "
+                f"{len(configuration.known.entries)} units known; "
+                f"{len(configuration.facts['workloads'])} workloads; {len(configuration.peers)} relays"
             )
             return 0
         logger.remove()
@@ -38,7 +39,7 @@
             diagnose=False,
             format="{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}",
         )
-        return serve(assignment, document)
+        return serve(configuration, document)
     except (ConfigurationError, CannotListenError, ValueError, OSError) as problem:
         print(f"tealsail: {' '.join(str(problem).split())}", file=sys.stderr)
     return 2
@@ -53,8 +54,8 @@
 class ConfigurationReloader:
     """Reads the configuration file again on request.
 
-    A file that can't be used changes nothing.  One that is half written is read again after the pauses of AGAIN, for as
-    long as the former addresses may still answer.
+    A file that can't be used changes nothing.  One that is half written is read again after the delays
+    of REREAD_DELAYS_S, for as long as the former addresses may still answer.
     """
 
     def __init__(self, reactor: Any, relay: Relay) -> None:
@@ -66,7 +67,7 @@
         self.reload(0)
 
     def reload(self, attempts: int) -> None:
-        """Reads the file and assigns it to the relay; `attempts` were made before."""
+        """Reads the file and reconfigures the relay with it; `attempts` were made before."""
         retry_note = ""
         try:
             self.relay.reconfigure(reread(os.environ))
@@ -81,8 +82,8 @@
 def read_document(path: str, facts: dict[str, Any]) -> Any:
     """Reads the operator's document, and returns None if there is no file.
 
-    The module for documents is imported only if there is one.  Raises BadStart for a document that can't be used, or
-    does not fit the platform's settings `facts`.
+    The module for documents is imported only if there is one.  Raises ConfigurationError for a document that can't be
+    used, or does not fit the platform's settings `facts`.
     """
     if not os.path.exists(path):
         return None
@@ -109,10 +110,10 @@
     return lambda: time.clock_gettime(boot_clock)
 
 
-def serve(assignment: Any, document: Any = None) -> int:
+def serve(configuration: Any, document: Any = None) -> int:
     """Runs one relay until SIGTERM or SIGINT; SIGUSR1 logs the counters, SIGHUP reads the configuration file again.
 
-    Raises BadStart for settings that the relay can't use.
+    Raises ConfigurationError for settings that the relay can't use.
     """
     from twisted.internet import reactor
 
@@ -128,13 +129,14 @@
             relay.stop().addCallback(lambda _: reactor.stop())
 
     try:
-        relay = Relay(reactor, assignment, Counters(), document, time.time)
+        relay = Relay(reactor, configuration, Counters(), document, time.time)
+        # Set before the relay accepts clients, so that it ends in an orderly way from then on.
         handlers = {
             signal.SIGHUP: ConfigurationReloader(reactor, relay).start,
             signal.SIGUSR1: log_counters,
             signal.SIGTERM: stop,
             signal.SIGINT: stop,
-        }  # set before the relay accepts clients, so that it ends in an orderly way from then on
+        }
         SIGNALS.set_handlers(handlers, reactor.callFromThread)
         relay.start()
     except (ArithmeticError, AttributeError, LookupError, TypeError) as problem:
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -23,7 +23,7 @@
 from .kernel import half_close, has_unread_bytes
 from .messages import Value
 
-MAX_HELD_BYTES = 64 * 1024  # of one connection's queries that wait; reading pauses above it, and goes on below half
+MAX_HELD_BYTES = 64 * 1024  # of one connection's waiting queries; reading pauses above it and resumes below half
 ENTRY_BYTES = 256  # counted for each queue entry, besides its text
 MAX_QUEUED_QUERIES = 32  # of one connection; a well-behaved client does not send so many at once
 SWEEP_INTERVAL_S = 0.1
@@ -78,11 +78,11 @@
 
 
 class Ending(NamedTuple):
-    """The connection's end, queued behind the answers still due: its code, a last message, and a note for the log."""
+    """The connection's end, queued behind the answers still due: its code, a last message, and a detail for the log."""
 
     code: str
     last_message: bytes = b""
-    note: str = ""
+    detail: str = ""
 
 
 @dataclass(slots=True)
@@ -123,7 +123,7 @@
         self.idle_since = clients.clock()
         self.queued_queries, self.has_queried = 0, False  # `has_queried`: a complete query has come
         self.partial_since: int | None = None  # when the first part of a message that is still incomplete came
-        self.code, self.note = "", ""
+        self.code, self.detail = "", ""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -136,6 +136,7 @@
             return
         self.counters.add("clients.bytes_in", len(data))
         self.splitter.feed(data)
+        # The time of the message that is still incomplete is kept unless this data completes a message.
         partial_since, self.partial_since = self.partial_since, None
         try:
             for kind, body in self.splitter:
@@ -218,7 +219,7 @@
         while self.queue and not self.code and not self.write_paused and self.may_begin_first():
             first = self.queue.popleft()
             if isinstance(first, Ending):
-                self.end(first.code, first.last_message, first.note)
+                self.end(first.code, first.last_message, first.detail)
                 break
             self.begin(first)
         self.is_processing = False
@@ -337,7 +338,7 @@
         """Whether it is idle and nothing waits unread in the kernel; otherwise its end would reset a query."""
         return self.is_idle() and not has_unread_bytes(self.transport)
 
-    def end(self, code: str, last_message: bytes = b"", note: str = "") -> None:
+    def end(self, code: str, last_message: bytes = b"", detail: str = "") -> None:
         """End the connection behind what was written.
 
         With a last message, or at shutdown, only our half ends, and what still comes is read and dropped until the
@@ -346,7 +347,7 @@
         """
         if self.code:
             return
-        self.code, self.note = code, note
+        self.code, self.detail = code, detail
         if last_message:
             self.write(last_message)
         self.transport.unregisterProducer()  # the transport asks a paused producer for more, and never ends
@@ -385,7 +386,7 @@
             request.cancel()
         self.pending.clear()
         self.add_answer_bytes(-self.answer_bytes)
-        self.counters.connection_ended("client", code, peer_address(self.transport), self.note)
+        self.counters.connection_ended("client", code, peer_address(self.transport), self.detail)
 
 
 def peer_address(transport: object) -> str:
@@ -446,7 +447,7 @@
         return ClientConnection(self)
 
     def admit(self, client: ClientConnection) -> bool:
-        """Register a new connection, and tell whether there is room for it.
+        """Register a new connection, and return whether there is room for it.
 
         At the limit an idle connection makes room: one that should have sent its first query by now, or else the one
         that is idle longest.  A new connection is about to query, and its query may have come already, unread.
--- a/tealsail/net/counters.py
+++ b/tealsail/net/counters.py
@@ -18,7 +18,7 @@
     def add(self, name: str, amount: int = 1) -> None:
         self.counts[name] += amount
 
-    def connection_ended(self, side: str, code: str, peer: str, note: str = "") -> None:
+    def connection_ended(self, side: str, code: str, peer: str, detail: str = "") -> None:
         """Count and log the end of a connection to `side` (client, unit, discovery, platform) for the reason `code`."""
         self.counts[f"{side}.ended.{code}"] += 1
         second = int(monotonic())
@@ -30,7 +30,7 @@
         if self.lines > MAX_LINES_PER_SECOND:
             self.suppressed += 1
         else:
-            logger.info("ended {} {} {} {}", side, code, peer, note)
+            logger.info("ended {} {} {} {}", side, code, peer, detail)
 
     def show(self) -> str:
         """All counters as `name=count`, sorted by name and separated by spaces."""
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -88,13 +88,14 @@
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise Unreadable(f"malformed list of units: {type(problem).__name__} {problem}") from None
     for each in entries:
+        # Each comparison is false for NaN too.
         if not (
             each.state in UNIT_STATES
             and 0 <= each.weight < 1e6
             and 0 <= each.started_ms < 1e15
             and 0 <= each.build < 1 << 16
             and abs(each.cell) < 1 << 31
-        ):  # NaN fails, too
+        ):
             raise Unreadable(f"entry with a value out of range: {each.id[:40]!r}")
     return update
 
@@ -268,7 +269,7 @@
         self.end("unreadable")
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
-        if not self.code:
+        if not self.code:  # the other side ended it, which completes a reply without a length
             for reply in self.parser.at_end():
                 self.discovery.on_reply(self, reply)
         self.discovery.counters.connection_ended("discovery", self.why(reason), self.discovery.address)
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -15,12 +15,13 @@
 MAX_LINE_BYTES = 8 * 1024
 SILENCE_TIMEOUT_S = 3.5  # without any message from the platform
 LINE_TIMEOUT_S = 0.5  # for the rest of a line that has begun
+# By the platform's state.
 PHASES = {
     "canary": "on trial",
     "reverting": "going back",
     "stable": "released",
     "reverted": "withdrawn",
-}  # by the platform's state
+}
 DECISIONS = {"none": "blank", "on": "go", "hold": "stay", "back": "stop"}  # by the decision module's verdict
 VOTE_ERRORS = {"BUSY": "full", "STALE": "moot", "FAILED": "error", "SYNTAX": "error"}  # by the platform's message
 
@@ -30,7 +31,7 @@
 
 
 class PlatformState(NamedTuple):
-    """Where the rollout of the newest build stands, and since when."""
+    """The state of the newest build's rollout, and its age."""
 
     build: int
     stage: int
@@ -65,9 +66,8 @@
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as problem:
         raise Unreadable(f"malformed rollout state: {type(problem).__name__} {problem}") from None
-    if not (
-        0 <= state.build < 1 << 16 and 0 <= state.stage < 256 and 0 <= state.cap <= 1 and 0 <= state.age < 1e12
-    ):  # the ranges of the fields of messages between relays; NaN fails, too
+    # The ranges of the fields of messages between relays; each comparison is false for NaN too.
+    if not (0 <= state.build < 1 << 16 and 0 <= state.stage < 256 and 0 <= state.cap <= 1 and 0 <= state.age < 1e12):
         raise Unreadable("rollout state out of range")
     return state
 
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -114,17 +114,17 @@
         shot.done.addCallback(self.on_outcome, shot_number)
         shot.done.addErrback(relay.log_fault)
 
-    def on_outcome(self, came: ShotResult, shot_number: int) -> None:
+    def on_outcome(self, result: ShotResult, shot_number: int) -> None:
         """Report a shot's outcome; a served one answers the client before the next step."""
         self.shots.pop(shot_number, None)
-        self.relay.counters.add(f"units.{came.outcome}")
+        self.relay.counters.add(f"units.{result.outcome}")
         fields = self.relay.load_fields
-        load = {name: figure for name, figure in (came.load or {}).items() if name in fields}
+        load = {name: figure for name, figure in (result.load or {}).items() if name in fields}
         if self.relay.record:
-            self.relay.record.shot_ended(self.number, shot_number, came.outcome)
-        step = self.relay.facade.report(Outcome(self.number, shot_number, came.outcome, load or None))
-        if came.outcome == "served" and came.value:
-            self.finish(came.value)
+            self.relay.record.shot_ended(self.number, shot_number, result.outcome)
+        step = self.relay.facade.report(Outcome(self.number, shot_number, result.outcome, load or None))
+        if result.outcome == "served" and result.value:
+            self.finish(result.value)
         self.execute(step)
         self.relay.schedule_tick()
 
@@ -177,9 +177,8 @@
         facts = configuration.facts
         self.facade = Facade(facts, configuration.seed, self.clock, document.extra_stages(facts) if document else ())
         self.live_settings = LiveSettings(self.facade.relay, facts)
-        max_connections = (
-            max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
-        )  # to clients, and as many to units
+        # To clients, and as many to units.
+        max_connections = max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
         self.units = Units(
             reactor,
             self.counters,
@@ -189,7 +188,7 @@
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, max_connections)
         jitter = RandomGenerator(stable_hash(configuration.seed, facts.get("index", 0)))
-        # the number of relays, and the seconds within which each asks for the list
+        # The number of relays, and the seconds within which each asks for the list.
         self.fleet_pacing = (
             facts.get("relays", 1),
             facts.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
@@ -230,7 +229,7 @@
         self.peer_listener: Any = None
         self.shutdown_watch: ShutdownWatch | None = None  # whether clients remain, once the relay drains
         self.timer: Any = None  # of the next tick
-        self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
+        self.duties: tuple[int, ...] = ()  # the indexes of the load tracker and the judges, as last logged
         self.clock_check_timer: Any = None
         self.shutdown: Deferred[None] | None = None  # fires when a requested stop is complete
         self.record: Any = None  # a tealsail.net.recording.Record if the operator's document asks for one
@@ -262,7 +261,10 @@
         self.schedule_tick()
 
     def start_discovery(self) -> None:
-        """Ask for the list now or soon; clients may wait in the kernel until it has come (`door_held`)."""
+        """Ask for the list at once, or after a delay that spreads the requests of a fleet that starts together.
+
+        Clients that connect before the list has come may have to wait in the kernel's backlog, see `accept_delay`.
+        """
         known = self.configuration.known
         delay = initial_request_delay(
             self.jitter,
@@ -352,10 +354,13 @@
         )
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
-        """Begin an invocation that came at `at`; cancel the Deferred if the client leaves.  Raises Unclear."""
+        """Begin an invocation that came at `at`, in tenths of a millisecond by the relay's clock.
+
+        The caller cancels the Deferred if the client leaves.  Raises StatementError.
+        """
         if statement.workload not in self.facade.workloads:
             raise StatementError("no such workload")
-        if statement.id in self.open_ids:  # else units could not tell the two apart
+        if statement.id in self.open_ids:  # units tell invocations apart by it
             raise StatementError("the id of an open invocation")
         answer = ActiveInvocation(self, statement, at).answer
         self.schedule_tick()
@@ -433,7 +438,7 @@
         for number, step in actions.steps:
             if number in self.serving:
                 self.serving[number].execute_safely(step)
-            elif isinstance(step, SendShot):  # its client has left since
+            elif isinstance(step, SendShot):  # its client has left meanwhile
                 self.facade.report(Outcome(number, step.place, "moot"))
         for number, data in actions.notes:
             self.peers.send(number, data)
@@ -451,9 +456,9 @@
         logger.error("fault: {}", reason.getTraceback())
 
     def collect_choice_counts(self) -> None:
-        """Copy the counts of the stages of other choices (tealsail/choices/) into the counters."""
-        for seat in self.facade.relay.extra_stages:
-            for name, count in seat.counts.items():
+        """Copy the counts of the stages that the operator's document adds (tealsail/choices/) into the counters."""
+        for stage in self.facade.relay.extra_stages:
+            for name, count in stage.counts.items():
                 self.counters.counts[f"zones.{name}"] = count
 
     def stop(self) -> Deferred[None]:
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -22,7 +22,7 @@
 USER = b"backend"
 DATABASE = b"store"
 LOAD_PARAMETER = b"stats"  # the parameter in which a unit reports its load
-LOAD_LIMIT = 1e6  # figures of a load report are below it
+LOAD_LIMIT = 1e6  # every figure of a load report is below it
 
 
 class ShotResult(NamedTuple):
@@ -34,7 +34,10 @@
 
 
 def load_report(text: bytes) -> dict[str, float] | None:
-    """The figures of `name=figure,...`; None if the text is malformed or a figure is out of bounds."""
+    """A unit's load as it reports it in the form `name=figure,...`.
+
+    None if the text is malformed, or a figure is negative, not a number, or LOAD_LIMIT or more.
+    """
     try:
         pairs = (pair.split("=") for pair in text.decode().split(","))
         load = {name: float(figure) for name, figure in pairs}
@@ -100,7 +103,7 @@
             case messages.ReadyForQuery() if self.probe_answered:
                 shot, self.probing_shot, self.probe_answered = self.probing_shot, None, False
                 shot.on_connection(self)
-            case _:  # more of an earlier answer: it can't be told from an answer to the next query
+            case _:  # more of an earlier answer, which could be taken for the answer to the next query
                 raise messages.ProtocolError(f"{type(message).__name__} was not expected")
 
     def on_setup_message(self, message: Any) -> None:
@@ -169,11 +172,11 @@
         if not self.is_set_up:
             self.is_set_up = True
             self.ready.errback(ConnectionError(self.setup_outcome or "unreachable"))
-        if self.probing_shot:
+        if self.probing_shot:  # nothing of its query was written, so it goes over another connection
             shot, self.probing_shot = self.probing_shot, None
             self.counters.add("units.stale")
             shot.begin()
-        # a query may have run only if its last byte was written
+        # A query may have run only if its last byte was written.
         self.finish_shot(self.stop_result or ShotResult("reset" if self.written else "unreachable"))
         self.counters.connection_ended("unit", self.why(reason), self.pool.address)
 
@@ -181,12 +184,14 @@
 class Shot:
     """One attempt at a unit; `done` fires once, with its ShotResult.
 
-    `text` gives the query at the moment in which it is sent.  `stands` is asked before that, if the shot had to wait
-    for a new connection: it tells whether the choice of this unit still holds.
+    `text` gives the query at the moment in which it is sent.  `may_still_send` is asked just before: whether the choice
+    of this unit still holds after the wait for a connection or its probe.
     """
 
-    def __init__(self, pool: "Pool", text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> None:
-        self.pool, self.text, self.stands = pool, text, stands
+    def __init__(
+        self, pool: "Pool", text: Callable[[], bytes], wait: float, may_still_send: Callable[[], bool]
+    ) -> None:
+        self.pool, self.text, self.may_still_send = pool, text, may_still_send
         self.done: Deferred[ShotResult] = Deferred()
         self.connection: Connection | None = None
         self.opening: Deferred | None = None  # the new connection that it waits for
@@ -219,7 +224,7 @@
         self.cancel_probe_timer()
         if self.is_over:
             self.pool.release(connection)
-        elif self.pool.closed or not self.stands():  # closed: the unit may be at another address by now
+        elif self.pool.closed or not self.may_still_send():  # a closed pool: the unit may be at another address by now
             self.pool.release(connection)
             self.finish(ShotResult("moot"))
         else:
@@ -244,7 +249,7 @@
             return
         if not self.connection:
             return self.finish(ShotResult("moot"))
-        # delivered once the connection has ended: the next shot must not be sent while this one's connection is open
+        # Delivered once the connection has ended: the next shot must not be sent while this one's connection is open.
         self.connection.stop_result = ShotResult(outcome if self.connection.written else "moot")
         self.connection.end(outcome)
 
@@ -263,7 +268,7 @@
         self.units, self.address = units, address
         self.reactor, self.counters = units.reactor, units.counters
         self.load: dict[str, float] | None = None  # the unit's latest report
-        self.idle: list[Connection] = []  # the one used last stands last
+        self.idle: list[Connection] = []  # in the order of their last use, the latest last
         self.all: dict[Connection, None] = {}
         self.closed = False
 
@@ -369,12 +374,14 @@
         """The numbers of the listed units."""
         return list(self.pools)
 
-    def shoot(self, number: int, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]) -> Shot | None:
+    def shoot(
+        self, number: int, text: Callable[[], bytes], wait: float, may_still_send: Callable[[], bool]
+    ) -> Shot | None:
         """Begin a shot that may last `wait` seconds; see `Shot`.  None if the unit is not listed."""
         pool = self.pools.get(number)
         if pool is None:
             return None
-        shot = Shot(pool, text, wait, stands)
+        shot = Shot(pool, text, wait, may_still_send)
         shot.begin()
         return shot
 
@@ -402,7 +409,11 @@
             pool.close_idle_since(self.reactor.seconds())
 
     def check_idle(self) -> None:
-        """Close connections well before the unit's machine would end them as idle; repeats itself."""
+        """Close connections well before the unit's machine would end them as idle; repeats itself.
+
+        The two times of `idle_limits` together leave a margin before that end, in which no connection is used.  The
+        pools of units that have left the list are dropped once their last connection has ended.
+        """
         now = self.reactor.seconds()
         for pool in self.pools.values():
             pool.close_idle_since(now - self.idle_limit)
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -94,7 +94,7 @@
 
 
 class Document(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole document; None stands for a table that is absent."""
+    """The whole document; None is a table that is absent."""
 
     recording: Recording | None = None
     zones: Zones | None = None
--- a/tealsail/setup/validation.py
+++ b/tealsail/setup/validation.py
@@ -8,9 +8,8 @@
 
 from ..settings import NAMES_BY_PATH
 
-PLATFORM_PATHS = {
-    name: path for path, name in NAMES_BY_PATH.items()
-}  # the decision module's name -> the platform's path
+# The decision module's name -> the platform's path.
+PLATFORM_PATHS = {name: path for path, name in NAMES_BY_PATH.items()}
 LARGEST = 1e9  # of a time in tenths of a millisecond, a count or a price
 
 
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -168,7 +168,7 @@
     abortConnection = loseWriteConnection = loseConnection  # the other side ends its half at once
 
     def settle(self) -> bool:
-        """Complete a close that is under way, and tell whether the connection has ended."""
+        """Complete a close that is under way, and return whether the connection has ended."""
         if self.closing and not self.ended:
             self.drop(ConnectionDone())
         return self.ended
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -390,7 +390,7 @@
         self.assertEqual(self.receive_until(client, READY), ROW + READY)
 
     def test_query_in_the_kernel_is_served_though_connections_are_many(self) -> None:
-        """Guards, as the next two, against closing a connection that only looks idle: its query would be reset."""
+        """Guards, as the next two, against closing a connection that only seems idle: its query would be reset."""
         self.query_in_kernel("crowded")
 
     def test_query_in_the_kernel_is_served_though_the_connection_looks_mute(self) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -148,10 +148,11 @@
         self.assertTrue(wire.settle())
         self.assertEqual(self.relay.serving, {})
 
-    def discovery(self, news: dict) -> MemoryTransport:
+    def discovery(self, tree: dict) -> MemoryTransport:
+        """Answer the relay's request for the list with this JSON."""
         wire = self.reactor.complete_connect(LIST_PORT)
         wire.sent()
-        wire.feed(reply(news))
+        wire.feed(reply(tree))
         return wire
 
     def test_list_is_watched_again_at_once_after_each_answer(self) -> None:
@@ -276,9 +277,8 @@
         old = self.discovery(listing(42, True, unit(UNIT_PORT)))
         old.sent()
         self.relay.reconfigure(read_configuration(config(discovery="127.0.0.1:8600")))
-        self.relay.reconfigure(
-            read_configuration(config(discovery="127.0.0.1:8700"))
-        )  # the last of two in a row counts
+        # The last of two in a row counts.
+        self.relay.reconfigure(read_configuration(config(discovery="127.0.0.1:8700")))
         old.feed(reply(listing(43, False, unit(7002, "s-2"))))
         self.assertIn(7002, [int(pool.address[-4:]) for pool in self.relay.units.pools.values()])
         superseded = self.reactor.complete_connect(8600)
@@ -333,14 +333,14 @@
         self.assertEqual(self.relay.facade.relay.judge.heard, {})
         self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(list(self.relay.facade.relay.judge.heard), [1])
-        for _ in range(1000):  # a flood
+        for _ in range(1000):  # far above the limit
             self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 900)
         self.assertEqual(self.relay.counters.counts["peers.dropped"], 2)
 
     def test_messages_of_a_fully_loaded_relay_are_taken_and_a_flood_is_bounded(self) -> None:
-        """Guards against a limit that a relay under full load exceeds: its messages were shed, so it took its keeper
-        for silent and chose without one when it was busiest."""
+        """Guards against a limit that a relay under full load exceeds: its messages were shed, so it took the load
+        tracker for silent and chose units without it when it was busiest."""
         attempts = 900  # a second; a relay on a whole core makes fewer than 700
         for number in range(attempts):
             beginning = load_note(2 * number, 7, 1, 0)
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -19,11 +19,11 @@
         self.reactor = Reactor()
         self.units = units.Units(self.reactor, Counters(), 0.25, 30.0, 3)
         self.units.listed(1, "127.0.0.9:7001", 5, 0)
-        self.stands = True
+        self.may_still_send = True
 
     def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.ShotResult]:
         self.reactor.advance(ANSWER_REST_S)  # a connection that has just answered is not reused at once
-        shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
+        shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.may_still_send)
         self.shot, results = shot, []
         shot.done.addCallback(results.append)
         return results
@@ -184,7 +184,7 @@
     def test_query_is_not_sent_if_the_choice_of_the_unit_no_longer_holds(self) -> None:
         results, transport = self.shoot(), self.reactor.complete_connect(7001)
         transport.sent()
-        self.stands = False
+        self.may_still_send = False
         transport.feed(STARTUP_RESPONSE)
         self.assertEqual((transport.sent(), results[0].outcome), (b"", "moot"))
 
