--- a/tealsail/net/messages.py
+++ b/tealsail/net/messages.py
@@ -197,7 +197,7 @@
     | EmptyQueryResponse
     | IgnoredMessage
 ):
-    """A unit's message.  Raises ProtocolError; a malformed parameter status is ignored instead."""
+    """A unit's message.  Raises ProtocolError; a malformed parameter status is ignored, since it spoils no answer."""
     try:
         match kind:
             case b"R":
