--- a/tealsail/lab/capacity/incidents.py
+++ b/tealsail/lab/capacity/incidents.py
@@ -56,7 +56,7 @@
         price.alone.error + further.error,
         f"{price.alone.slope}, and {further.slope} for each further entry",
         price.alone.beyond or further.beyond,
-        price.alone.missing or further.missing,
+        price.alone.is_missing or further.is_missing,
     )
     return Incident(
         name,
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -30,7 +30,7 @@
 
 
 def extent(found: Extent) -> str:
-    return UNKNOWN if found.missing else with_error(found.value, found.error)
+    return UNKNOWN if found.is_missing else with_error(found.value, found.error)
 
 
 def run(slopes: Slopes, plan: sizing.Plan) -> str:
@@ -299,7 +299,7 @@
 }
 
 
-def filled(text: str, slopes: Slopes, plan: sizing.Plan) -> str:
+def fill(text: str, slopes: Slopes, plan: sizing.Plan) -> str:
     """The page with its tables.  Raises ValueError unless it has exactly the sections that there are."""
     found = MARKED.findall(text)
     if sorted(found) != sorted(SECTIONS):
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -48,7 +48,7 @@
     error: float
     slope: str
     beyond: bool = False
-    missing: bool = False  # not measured: the value stands for nothing
+    is_missing: bool = False  # not measured: the value stands for nothing
 
 
 class RoleCost(msgspec.Struct, frozen=True):
@@ -62,7 +62,9 @@
 
     def total(self, cost: Cost, side: Side | None = None) -> tuple[float, float]:
         """The sum over terms of one cost, of both sides if none is given, and its error."""
-        chosen = [term for term in self.terms if term.cost == cost and side in (None, term.side) and not term.missing]
+        chosen = [
+            term for term in self.terms if term.cost == cost and side in (None, term.side) and not term.is_missing
+        ]
         return sum(term.value for term in chosen), hypot(*(term.error for term in chosen))
 
     def core_part(self, side: Side | None = None) -> float:
@@ -73,7 +75,7 @@
         return self.total(Cost.MEMORY)[0]
 
 
-def foretell(size: FleetSize, slopes: Slopes) -> list[RoleCost]:
+def forecast_role_costs(size: FleetSize, slopes: Slopes) -> list[RoleCost]:
     """What one process of each role costs in a fleet of that size."""
     path = relay_terms(size, slopes)
     return [
@@ -90,20 +92,20 @@
     error: float
     slope: str
     beyond: bool
-    missing: bool = False
+    is_missing: bool = False
 
     def times(self, factor: float) -> "Extent":
         return self._replace(value=factor * self.value, error=factor * self.error)
 
     def less(self, other: "Extent") -> "Extent":
         """What is left without the other's part, never under zero."""
-        missing = self.missing or other.missing
+        is_missing = self.is_missing or other.is_missing
         value = max(0.0, self.value - other.value)
         text = f"{self.slope} less {other.slope}"
-        return Extent(value, hypot(self.error, other.error), text, self.beyond or other.beyond, missing)
+        return Extent(value, hypot(self.error, other.error), text, self.beyond or other.beyond, is_missing)
 
     def term(self, name: str, side: Side, cost: Cost) -> Term:
-        return Term(name, side, cost, self.value, self.error, self.slope, self.beyond, self.missing)
+        return Term(name, side, cost, self.value, self.error, self.slope, self.beyond, self.is_missing)
 
 
 def name_of(slope: Slope, x: float) -> str:
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -12,7 +12,7 @@
 from ...notes import UINT16_MAX
 from .causes import Place
 from .points import Axis, Cost, Name, Side
-from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, foretell, more, tellings
+from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, forecast_role_costs, more, tellings
 from .slopes import Slopes
 
 DAY = 86_400  # seconds
@@ -187,11 +187,11 @@
     """A row for each term that the other role does not have, too."""
     known = set(without.terms) if without else set()
     for term in cost.terms:
-        if term in known or (term.value < NOTHING and not term.missing):
+        if term in known or (term.value < NOTHING and not term.is_missing):
             continue
         word, unit = WORDS[term.cost]
         source = term.slope + (" (beyond what was measured)" if term.beyond else "")
-        value = None if term.missing else term.value
+        value = None if term.is_missing else term.value
         what = f"{word}, {term.side}: {term.name}"
         allowance = allowed(plan, term.cost, term.side)
         yield Need(cost.role, what, value, term.error, unit, allowance, source, CARRIED[term.name])
@@ -228,7 +228,7 @@
         hypot(tenants.error, listed.error),
         f"{tenants.slope}, and {listed.slope}",
         tenants.beyond or listed.beyond,
-        tenants.missing or listed.missing,
+        tenants.is_missing or listed.is_missing,
     )
     seconds = DAY / fleet.settings_changes_per_day
     for what, found, mechanism, note in (
@@ -237,7 +237,7 @@
         ("a whole list", whole, LIST, "at a start, and after a list that was lost"),
         ("a change of settings", both, SWITCH, f"one in {seconds:.0f} s"),
     ):
-        value = None if found.missing else found.value
+        value = None if found.is_missing else found.value
         allowance = plan.allowance.added_ms
         yield Need(Role.RELAY, f"{HELD}{what}", value, found.error, "ms", allowance, found.slope, mechanism, note)
 
@@ -266,7 +266,7 @@
 def busiest(plan: Plan, slopes: Slopes) -> Iterator[Need]:
     """A relay with several times the mean of requests."""
     times = plan.assumed.busiest_relay
-    one = foretell(plan.size(times), slopes)[0]
+    one = forecast_role_costs(plan.size(times), slopes)[0]
     served, error = one.total(Cost.PROCESSOR, Side.SERVING)
     role = f"{Role.RELAY}, {times:g} times the mean"
     rate = times * plan.fleet.requests_per_second / plan.fleet.relays
@@ -310,7 +310,7 @@
         (settings, "bytes of the whole file, to all relays", file.times(rate * fleet.relays), "B/s", None),
     )
     for role, what, found, unit, mechanism in rows:
-        value = None if found.missing else found.value
+        value = None if found.is_missing else found.value
         yield Need(role, what, value, found.error, unit, None, found.slope, mechanism)
     what, limit = "until settings are in force everywhere", plan.allowance.settings_in_force_s
     yield Need(settings, what, None, 0.0, "s", limit, "nothing hands them out", None)
@@ -330,12 +330,12 @@
         ("of each: whole files of configuration, bytes out", file.times(fleet.relays * rate / many), "B/s"),
         ("of each: the load tracker's messages, processor time", tracked.times(1 / many), "ms/s"),
     ):
-        yield Need(role, what, None if found.missing else found.value, found.error, unit, None, found.slope, None)
+        yield Need(role, what, None if found.is_missing else found.value, found.error, unit, None, found.slope, None)
 
 
 def needs(plan: Plan, slopes: Slopes) -> list[Need]:
     """All rows of all roles."""
-    relay, judge, tracker = foretell(plan.size(), slopes)
+    relay, judge, tracker = forecast_role_costs(plan.size(), slopes)
     return [
         *terms_of(plan, relay),
         *sums_of(plan, relay),
--- a/tealsail/lab/scale/foretold.py
+++ b/tealsail/lab/scale/foretold.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from ..capacity.points import Cost, Side
-from ..capacity.roles import FleetSize, Role, RoleCost, Term, foretell
+from ..capacity.roles import FleetSize, Role, RoleCost, Term, forecast_role_costs
 from ..capacity.slopes import Slopes
-from .reading import RoleSeen, Run
+from .results import RoleSeen, Run
 
 NEAR = 0.2  # of what was foretold: within it the page's slope holds
 MILLISECONDS = 1000  # in a second
@@ -47,7 +47,7 @@
 
 def compare(run: Run, slopes: Slopes) -> list[Compared]:
     """For each role seen: processor time, memory, and datagrams with their bytes."""
-    costs = {cost.role: cost for cost in foretell(size_of(run), slopes)}
+    costs = {cost.role: cost for cost in forecast_role_costs(size_of(run), slopes)}
     known = [seen for seen in run.roles if seen.role in ROLES]  # who is next in line has no row of its own
     return [each for seen in known for each in of_role(seen, costs[ROLES[seen.role]])]
 
@@ -72,7 +72,7 @@
 
 
 def of(cost: RoleCost, which: Cost, side: Side | None = None) -> list[Term]:
-    return [term for term in cost.terms if term.cost == which and side in (None, term.side) and not term.missing]
+    return [term for term in cost.terms if term.cost == which and side in (None, term.side) and not term.is_missing]
 
 
 def compared(seen: RoleSeen, name: str, terms: list[Term], figure: float) -> Compared:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,7 +7,7 @@
 from tealsail.lab.capacity import causes, incidents, measure, page, sizing, slopes
 from tealsail.lab.capacity.fit import Sample, Shape, fit
 from tealsail.lab.capacity.points import Axis, Column, Cost, Found, Name, Point, Problem, Side
-from tealsail.lab.capacity.roles import FleetSize, Role, foretell
+from tealsail.lab.capacity.roles import FleetSize, Role, forecast_role_costs
 
 ROOT = Path(__file__).parents[1]
 PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "docs/capacity.toml"
@@ -82,17 +82,19 @@
             (Name.REQUESTS, Axis.REQUESTS, Cost.PROCESSOR, Side.SERVING, 0.0, 1.5),
             (Name.ASKING, Axis.REQUESTS, Cost.PROCESSOR, Side.BOTH, 0.0, 2.5),
         )
-        relay = foretell(FleetSize(100, 1000, 10_000.0, 140, 0.5), found)[0]
+        relay = forecast_role_costs(FleetSize(100, 1000, 10_000.0, 140, 0.5), found)[0]
         self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.SERVING)[0], 150.0, 4)
         beats, tenants, changes, messages = 11.0, 0.001 * (140 - 40), 0.5 * 1.5, 100.0
         self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.CONTROL)[0], beats + tenants + changes + messages, 4)
         self.assertTrue(
-            any(term.missing for term in relay.terms)
+            any(term.is_missing for term in relay.terms)
         )  # bytes were not measured, and are not taken for none
 
     def test_without_questions_to_a_tracker_there_are_no_messages_for_requests(self) -> None:
         found = run((Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.1))
-        asked, silent = (foretell(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False))
+        asked, silent = (
+            forecast_role_costs(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False)
+        )
         self.assertAlmostEqual(asked[2].total(Cost.PROCESSOR)[0], 300.0, 4)
         self.assertTrue(next(term for term in asked[2].terms if term.name == "messages of loads").beyond)
         self.assertEqual(silent[2].total(Cost.PROCESSOR)[0], 0.0)
@@ -129,12 +131,12 @@
 class ThePage(unittest.TestCase):
     def test_its_tables_are_those_of_the_run_and_of_the_plan(self) -> None:
         text = PAGE.read_text()
-        again = page.filled(text, slopes.read(FOUND), sizing.read_plan(PLAN))
+        again = page.fill(text, slopes.read(FOUND), sizing.read_plan(PLAN))
         self.assertEqual(text, again, "write it anew: tealsail capacity --page=docs/CAPACITY.md")
 
     def test_a_page_without_one_of_its_sections_is_refused(self) -> None:
         with self.assertRaises(ValueError):
-            page.filled("<!-- capacity: run -->\n<!-- end of run -->", slopes.read(FOUND), sizing.read_plan(PLAN))
+            page.fill("<!-- capacity: run -->\n<!-- end of run -->", slopes.read(FOUND), sizing.read_plan(PLAN))
 
     def test_every_function_that_carries_a_role_exists(self) -> None:
         found, plan = slopes.read(FOUND), sizing.read_plan(PLAN)
