--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/facade_measurements.py
@@ -1,7 +1,7 @@
 """Measures the decisions of one relay alone, without sockets; a process of its own (`python -m` it), for each size that
 is a matter of memory.
 
-The same events as on sockets (rig.py), handed to the facade; time is a number that this program moves.
+The same events as on sockets (process_measurements.py), handed to the facade; time is a number that this program moves.
 """
 
 import sys
--- a/tealsail/lab/capacity/measure.py
+++ b/tealsail/lab/capacity/measure.py
@@ -85,11 +85,11 @@
     collector.total = len(parts) + repeats * points * len(axes)
     for done, (axis, sizes) in enumerate(parts):
         show(done, collector.total, f"facade alone: {axis} {' '.join(sizes)}")
-        for line in lines(["tealsail.lab.capacity.alone", axis, *sizes], until):
+        for line in lines(["tealsail.lab.capacity.facade_measurements", axis, *sizes], until):
             collector.take(line)
     collector.before = len(parts)
     seconds = f"{max(1.0, until - WAIT - time.monotonic()):.1f}"
-    for line in lines(["tealsail.lab.capacity.rig", seconds, str(repeats), str(points), *axes], until):
+    for line in lines(["tealsail.lab.capacity.process_measurements", seconds, str(repeats), str(points), *axes], until):
         if isinstance(line, Progress):
             collector.total = len(parts) + line.total
         collector.take(line)
--- a/tealsail/lab/capacity/rig.py
+++ b/tealsail/lab/capacity/process_measurements.py
@@ -20,6 +20,7 @@
 from twisted.internet.task import deferLater
 
 from .events import SIZES, STATE, Setup, judges, of_request, order, plain, settings, told, trackers
+from .measured_relay import Subject, configuration, save
 from .points import Axis, Column, Cost, Disturbed, Found, Line, Name, Point, Problem, Progress, Side
 from .stand_ins import (
     HOST,
@@ -33,7 +34,6 @@
     UnitsStandIn,
     free_port,
 )
-from .subject import Subject, configuration, save
 
 STEAL = 8  # the column of a processor's row in /proc/stat
 LONGEST = 290.0  # seconds, all in all
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -158,7 +158,7 @@
         return [line.point for line in said if isinstance(line, Found)]
 
     def test_a_real_relay_takes_a_changed_entry_and_its_cost_is_read(self) -> None:
-        points = self.points("rig", "60", "1", "1", Axis.LIST_CHANGES)
+        points = self.points("process_measurements", "60", "1", "1", Axis.LIST_CHANGES)
         found = {(point.cost, point.side): point.value for point in points}
         self.assertGreater(found[Cost.MEMORY, Side.CONTROL], 10)
         self.assertGreater(found[Cost.BYTES_IN, Side.CONTROL], 150)
@@ -166,7 +166,7 @@
         self.assertIn((Cost.PROCESSOR, Side.CONTROL), found)
 
     def test_the_facade_alone_has_the_same_costs_along_units(self) -> None:
-        points = self.points("alone", Axis.UNITS, "120")
+        points = self.points("facade_measurements", Axis.UNITS, "120")
         names = {Name.STANDING, Name.IDLE, Name.CHANGE, Name.WHOLE, Name.RELOAD, Name.REQUEST, Name.TRACKED}
         self.assertEqual({point.name for point in points}, names)
         self.assertTrue(all(point.value > 0 for point in points))
