--- a/tealsail/lab/capacity/__init__.py
+++ b/tealsail/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What one process costs as the fleet grows: measured slopes, and the roles of a fleet sized by them."""
+"""Measures what one process costs as the fleet grows, and sizes the roles of a fleet by the measured slopes."""
--- a/tealsail/lab/capacity/causes.py
+++ b/tealsail/lab/capacity/causes.py
@@ -1,20 +1,23 @@
-"""The lines of code behind what grows: named by module, function and a piece of the line, found again at each run."""
+"""The lines of code that make costs grow, named by module, function and a part of the line.
+
+Each run looks up their numbers, so that the page names the lines as they are in the measured commit.
+"""
 
 import importlib
 import inspect
 from typing import Any, NamedTuple
 
-from .points import Axis, Cost, Name
+from .points import Activity, Axis, Cost
 
 
 class Place(NamedTuple):
-    """A function of a module of this package."""
+    """A function of this package; `module` is its path below `tealsail`, `function` may hold a class name."""
 
     module: str
     function: str
 
-    def found(self) -> Any:
-        """The function.  Raises AttributeError or ModuleNotFoundError if it is there no more."""
+    def resolve(self) -> Any:
+        """Imports the function; raises AttributeError or ModuleNotFoundError if it does not exist."""
         owner = importlib.import_module(f"tealsail.{self.module}")
         for part in self.function.split("."):
             owner = getattr(owner, part)
@@ -25,15 +28,15 @@
 
 
 class Cause(NamedTuple):
-    """A line of code; `text` is a part of it that occurs in that function alone."""
+    """A line of code; `text` is a part of it that occurs nowhere else in the function."""
 
     module: str
     function: str
     text: str
 
     def line(self) -> int:
-        """Raises ValueError if the function has no such line."""
-        rows, first = inspect.getsourcelines(Place(self.module, self.function).found())
+        """The number of the line in its file; raises ValueError if the function has no such line."""
+        rows, first = inspect.getsourcelines(Place(self.module, self.function).resolve())
         for place, row in enumerate(rows):
             if self.text in row:
                 return first + place
@@ -43,42 +46,42 @@
         return f"{self.module.replace('.', '/')}.py:{self.line()} {self.function}: {self.text}"
 
 
-BEAT = Cause("parts", "warm_and_cold_capacity", "for unit in row")
-LIST = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
-READING = Cause("net.relay", "unit_number", "blake2b(")
-CUSTOMERS = Cause("settings", "facts", "items[int(parts[1])][name] =")
-RINGS = Cause("policy", "Admission.__init__", "self.by_customer =")
-POOL = Cause("notes", "CountPool.add", "for cell, count in zip")
-SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
-SERVING = Cause("net.relay", "ActiveInvocation.shoot", "relay.units.shoot(")
-TELLING = Cause("policy", "LoadTracking.report_shot", "self.send(tracker_index")
-HEARING = Cause("net.relay", "Relay.on_peer_message", "self.schedule_tick()")
-LOADS = Cause("policy", "Relay.on_wake", "self.load_tracking.loads = drop_stale_senders(")
-UNITS = Cause("parts", "Unit.__init__", "self.number = number")
-
-CAUSES: dict[tuple[Name, Axis, Cost], Cause] = {
-    (Name.STANDING, Axis.UNITS, Cost.MEMORY): UNITS,
-    (Name.STANDING, Axis.TENANTS, Cost.MEMORY): RINGS,
-    (Name.IDLE, Axis.UNITS, Cost.PROCESSOR): BEAT,
-    (Name.CHANGE, Axis.UNITS, Cost.PROCESSOR): LIST,
-    (Name.WHOLE, Axis.UNITS, Cost.PROCESSOR): READING,
-    (Name.WHOLE, Axis.UNITS, Cost.BYTES_IN): READING,
-    (Name.RELOAD, Axis.UNITS, Cost.PROCESSOR): LIST,
-    (Name.RELOAD, Axis.TENANTS, Cost.PROCESSOR): CUSTOMERS,
-    (Name.REQUESTS, Axis.REQUESTS, Cost.PROCESSOR): SERVING,
-    (Name.ASKING, Axis.REQUESTS, Cost.PROCESSOR): TELLING,
-    (Name.ASKING, Axis.REQUESTS, Cost.DATAGRAMS_OUT): TELLING,
-    (Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR): HEARING,
-    (Name.TRACKED, Axis.UNITS, Cost.PROCESSOR): LOADS,
-    (Name.COUNTS, Axis.MESSAGES, Cost.PROCESSOR): HEARING,
-    (Name.JUDGING, Axis.RELAYS, Cost.PROCESSOR): SENDERS,
-    (Name.JUDGING, Axis.RELAYS, Cost.MEMORY): POOL,
-    (Name.CHANGES, Axis.LIST_CHANGES, Cost.PROCESSOR): LIST,
-    (Name.WHOLES, Axis.WHOLE_LISTS, Cost.PROCESSOR): READING,
-    (Name.RELOADS, Axis.SETTINGS, Cost.PROCESSOR): CUSTOMERS,
+SUM_CAPACITY = Cause("parts", "warm_and_cold_capacity", "for unit in row")
+ARRANGE_UNITS = Cause("policy", "Relay.arrange", "sorted(self.units.values()")
+HASH_UNIT_NUMBER = Cause("net.relay", "unit_number", "blake2b(")
+PARSE_TENANTS = Cause("settings", "facts", "items[int(parts[1])][name] =")
+COUNT_TENANTS = Cause("policy", "Admission.__init__", "self.by_customer =")
+ADD_COUNTS = Cause("notes", "CountPool.add", "for cell, count in zip")
+COMPARE_SENDERS = Cause("parts", "is_uncorroborated", "min(most, many)")
+SEND_SHOT = Cause("net.relay", "ActiveInvocation.shoot", "relay.units.shoot(")
+REPORT_SHOT = Cause("policy", "LoadTracking.report_shot", "self.send(tracker_index")
+RECEIVE_MESSAGE = Cause("net.relay", "Relay.on_peer_message", "self.schedule_tick()")
+DROP_LOADS = Cause("policy", "Relay.on_wake", "self.load_tracking.loads = drop_stale_senders(")
+CREATE_UNIT = Cause("parts", "Unit.__init__", "self.number = number")
+
+CAUSES: dict[tuple[Activity, Axis, Cost], Cause] = {
+    (Activity.STANDING_STATE, Axis.UNITS, Cost.MEMORY): CREATE_UNIT,
+    (Activity.STANDING_STATE, Axis.TENANTS, Cost.MEMORY): COUNT_TENANTS,
+    (Activity.IDLE_SECOND, Axis.UNITS, Cost.PROCESSOR): SUM_CAPACITY,
+    (Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR): ARRANGE_UNITS,
+    (Activity.WHOLE_LIST, Axis.UNITS, Cost.PROCESSOR): HASH_UNIT_NUMBER,
+    (Activity.WHOLE_LIST, Axis.UNITS, Cost.BYTES_IN): HASH_UNIT_NUMBER,
+    (Activity.SETTINGS_CHANGE, Axis.UNITS, Cost.PROCESSOR): ARRANGE_UNITS,
+    (Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.PROCESSOR): PARSE_TENANTS,
+    (Activity.REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR): SEND_SHOT,
+    (Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR): REPORT_SHOT,
+    (Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.DATAGRAMS_OUT): REPORT_SHOT,
+    (Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR): RECEIVE_MESSAGE,
+    (Activity.TRACKER_MESSAGE, Axis.UNITS, Cost.PROCESSOR): DROP_LOADS,
+    (Activity.JUDGE_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR): RECEIVE_MESSAGE,
+    (Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR): COMPARE_SENDERS,
+    (Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY): ADD_COUNTS,
+    (Activity.CHANGED_ENTRY_SERIES, Axis.LIST_CHANGES, Cost.PROCESSOR): ARRANGE_UNITS,
+    (Activity.WHOLE_LIST_SERIES, Axis.WHOLE_LISTS, Cost.PROCESSOR): HASH_UNIT_NUMBER,
+    (Activity.SETTINGS_CHANGE_SERIES, Axis.SETTINGS_CHANGES, Cost.PROCESSOR): PARSE_TENANTS,
 }
 
 
-def causes() -> dict[tuple, str]:
-    """As text with the line's number now."""
+def describe_causes() -> dict[tuple, str]:
+    """The causes as texts with the current line numbers, by activity, axis and cost."""
     return {key: str(cause) for key, cause in CAUSES.items()}
--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -1,4 +1,4 @@
-"""The sizes that are measured, and the events that both columns play: the same list, settings and messages."""
+"""The sizes that are measured, and the settings, lists and messages that both columns send to the measured relay."""
 
 import os
 from collections.abc import Sequence
@@ -9,23 +9,24 @@
 from ...settings import facts, nested_leaves
 from .points import Axis
 
-PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
-BUILD, EARLIER = 2, 1  # on trial, and before
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+CANARY_BUILD = 2
+BASELINE_BUILD = 1
 SIZES: dict[Axis, tuple[float, ...]] = {
-    Axis.REQUESTS: (3, 14, 65, 300),
-    Axis.MESSAGES: (12, 54, 250, 1200),
+    Axis.REQUEST_RATE: (3, 14, 65, 300),
+    Axis.MESSAGE_RATE: (12, 54, 250, 1200),
     Axis.UNITS: (120, 560, 2600, 12_000),
     Axis.TENANTS: (380, 1760, 8200, 38_000),
     Axis.RELAYS: (13, 60, 280, 1300),
     Axis.LIST_CHANGES: (1, 5, 22, 100),
     Axis.WHOLE_LISTS: (1, 5, 22, 100),
-    Axis.SETTINGS: (1, 5, 22, 100),
+    Axis.SETTINGS_CHANGES: (1, 5, 22, 100),
 }
-STATE = (Axis.UNITS, Axis.TENANTS, Axis.RELAYS)  # each size needs a process of its own
+STATE_AXES = (Axis.UNITS, Axis.TENANTS, Axis.RELAYS)  # each of their sizes needs a process of its own
 
 
 class Setup(NamedTuple):
-    """The size of the fleet that the measured relay is told of."""
+    """The fleet around the measured relay, and the relay's index in it; `classes` counts request classes."""
 
     units: int = 120
     relays: int = 13
@@ -36,7 +37,7 @@
 
 
 def settings(setup: Setup, advice_ms: int = 100) -> dict[str, Any]:
-    """As the platform writes them; `advice_ms` is what a change of settings changes."""
+    """The settings as the platform writes them; each change of settings sets another `advice_ms`."""
     return {
         "fleetSize": setup.relays,
         "index": setup.index,
@@ -67,8 +68,8 @@
     }
 
 
-def entry(place: int, address: str) -> dict[str, Any]:
-    """One of a list's units, as the list has it; one in ten is of the build on trial."""
+def list_entry(place: int, address: str) -> dict[str, Any]:
+    """The entry of one unit in the list of units; every tenth unit has the canary build."""
     return {
         "instanceId": f"service-{place % 530:03d}-{place:08x}",
         "hostPort": address,
@@ -77,39 +78,44 @@
         "lifecycle": "ready",
         "weight": 1.0,
         "startedAtMs": 0,
-        "build": BUILD if place % 10 == 0 else EARLIER,
+        "build": CANARY_BUILD if place % 10 == 0 else BASELINE_BUILD,
     }
 
 
-def order(relays: int) -> Any:
-    """The decisions of some relay of that fleet, for who judges and who tracks load."""
+def relay_decisions(relays: int) -> Any:
+    """The decision module of a relay in a fleet of that size, which knows the orders of judges and load trackers."""
     relay = Facade(facts(nested_leaves(settings(Setup(relays=relays)))), 0, lambda: 0).relay
-    relay.on_stage(BUILD, 0, 0, 0.5, 0)
+    relay.on_stage(CANARY_BUILD, 0, 0, 0.5, 0)
     return relay
 
 
-def judges(relays: int) -> list[int]:
-    return order(relays).judge.order
+def judge_order(relays: int) -> list[int]:
+    """The indexes of the relays in the order in which they judge, the judges first."""
+    return relay_decisions(relays).judge.order
 
 
-def trackers(relays: int) -> list[int]:
-    return order(relays).load_tracking.order
+def tracker_order(relays: int) -> list[int]:
+    """The indexes of the load trackers, the one in charge first."""
+    return relay_decisions(relays).load_tracking.order
 
 
-def plain(relays: int) -> int:
-    """The last in the judges' order that is no tracker."""
-    relay = order(relays)
+def plain_relay(relays: int) -> int:
+    """The index of a relay that is neither judge nor load tracker: the last in the order of judges."""
+    relay = relay_decisions(relays)
     return next(number for number in reversed(relay.judge.order) if number not in relay.load_tracking.order)
 
 
-def told(sender: int, count: int, classes: int) -> list[bytes]:
-    """All cells of a relay's counts, as messages."""
-    cells = 30 * classes
-    return notes.count_notes(BUILD, sender, [(cell, 1 + count % 60_000) for cell in range(cells)], cells)
+def count_messages(sender: int, count: int, classes: int) -> list[bytes]:
+    """The messages with all cells of a relay's counts."""
+    cells = 30 * classes  # three groups of ten cells for each request class
+    return notes.count_notes(CANARY_BUILD, sender, [(cell, 1 + count % 60_000) for cell in range(cells)], cells)
 
 
-def of_request(number: int, units: Sequence[int] = range(1200)) -> bytes:
-    """The three messages of a request, one after the other, of units of these numbers."""
+def request_message(number: int, units: Sequence[int] = range(1200)) -> bytes:
+    """Message `number` of a sequence to the load tracker, where each request sends three: start, question, end.
+
+    `units` holds the numbers of the units that the requests are for.
+    """
     request, place = divmod(number, 3)
     unit = units[request * 7919 % len(units)]
     if place == 1:
--- a/tealsail/lab/capacity/facade_measurements.py
+++ b/tealsail/lab/capacity/facade_measurements.py
@@ -1,7 +1,7 @@
-"""Measures the decisions of one relay alone, without sockets; a process of its own (`python -m` it), for each size that
-is a matter of memory.
+"""Measures the facade of one relay without sockets, in a process of its own (`python -m` this module).
 
-The same events as on sockets (process_measurements.py), handed to the facade; time is a number that this program moves.
+The facade gets the same events that process_measurements.py sends over sockets; its clock is a number that this program
+moves.  Axes that are a matter of memory need a process for each size.
 """
 
 import sys
@@ -16,62 +16,87 @@
 from ...facade import Facade, NoteReceived, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
 from ...parts import stable_hash
 from ...settings import facts, nested_leaves
-from .events import BUILD, EARLIER, PAGE, Setup, judges, of_request, plain, settings, told, trackers
-from .points import Axis, Column, Cost, Found, Name, Point, Side
-
-REPEATS = 3  # of each measurement but that of memory
-BEATS, REQUESTS, MESSAGES = 6, 200, 500  # of one
+from .events import (
+    BASELINE_BUILD,
+    CANARY_BUILD,
+    PAGE_BYTES,
+    Setup,
+    count_messages,
+    judge_order,
+    plain_relay,
+    request_message,
+    settings,
+    tracker_order,
+)
+from .points import Activity, Axis, Column, Cost, Point, PointMeasured, Side
+
+REPEATS = 3  # of each measurement of processor time
+BEATS = 6  # of one repeat
+REQUESTS = 200  # of one repeat
+MESSAGES = 500  # of one repeat
 SECOND = 10_000  # tenths of a ms
-BEAT = SECOND // 2
-WAITS = 3 * SECOND
-ROUND_TRIP = 20  # tenths of a ms until an answer
+BEAT = SECOND // 2  # between two beats, in tenths of a ms
+DEADLINE = 3 * SECOND  # of a request, in tenths of a ms
+ROUND_TRIP = 20  # tenths of a ms until a unit answers
 
 
 def memory_mb() -> float:
+    """The resident memory of this process; 1 MB = 10^6 bytes."""
     with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * PAGE / 1e6
+        return int(file.read().split()[1]) * PAGE_BYTES / 1e6
 
 
-def listed(units: int) -> list[UnitEntry]:
-    """The same list as on sockets, as the facade has it."""
-    builds = (EARLIER if place % 10 else BUILD for place in range(units))
+def unit_entries(units: int) -> list[UnitEntry]:
+    """The list of units that the other column gets over a socket, as the facade takes it."""
+    builds = (BASELINE_BUILD if place % 10 else CANARY_BUILD for place in range(units))
     return [UnitEntry(stable_hash(place) >> 8, build, "open", 0, 0, 1.0, 0) for place, build in enumerate(builds)]
 
 
-class Alone:
-    """One relay's decisions, with a clock of this program's."""
+class SocketlessRelay:
+    """The facade of one relay with the clock `now`, in tenths of a ms.
+
+    Methods that take `number` are called with the number of the repetition.
+    """
 
     def __init__(self, setup: Setup) -> None:
-        self.setup, self.now = setup, 100 * SECOND
+        self.setup = setup
+        self.now = 100 * SECOND
         self.known = facts(nested_leaves(settings(setup)))
         self.facade = Facade(self.known, 7, lambda: self.now)
-        self.switch = LiveSettings(self.facade.relay, self.known)
-        self.facade.report(RolloutState(BUILD, 0, "on trial", 0.5, 60 * SECOND))
-        self.list = listed(setup.units)
+        self.live_settings = LiveSettings(self.facade.relay, self.known)
+        self.facade.report(RolloutState(CANARY_BUILD, 0, "on trial", 0.5, 60 * SECOND))
+        self.list = unit_entries(setup.units)
         self.facade.report(Units("whole", self.list))
-        self.sent = 0
+        self.requests_sent = 0
 
     def change(self, number: int = 0) -> None:
+        """One entry of the list changes: its unit has been restarted."""
         place = number % len(self.list)
         self.list[place] = self.list[place]._replace(started=self.now)
         self.facade.report(Units("changes", [self.list[place]]))
 
     def whole(self, number: int = 0) -> None:
+        """The whole list arrives again."""
         self.facade.report(Units("whole", self.list))
 
     def reload(self, number: int = 0) -> None:
-        self.switch.change(facts(nested_leaves(settings(self.setup, 110 + number % 2))))
+        """The settings change."""
+        self.live_settings.change(facts(nested_leaves(settings(self.setup, 110 + number % 2))))
 
     def beat(self, number: int = 0) -> None:
+        """Half a second passes without events."""
         self.now += BEAT
         self.facade.tick()
 
     def request(self, step_tenths: int) -> None:
-        """One request and all that it sets off; a tracker that is asked names the first."""
+        """Sends a request after that time and has a unit serve it; a load tracker that is asked names the first unit.
+
+        Raises ValueError if the request is rejected or gets no unit.
+        """
         self.now += step_tenths
-        self.sent += 1
-        name = f"t{self.sent * 7919 % self.setup.tenants}"
-        number, step = self.facade.pick(f"w{self.sent % self.setup.classes}", name, "k", self.now + WAITS)
+        self.requests_sent += 1
+        name = f"t{self.requests_sent * 7919 % self.setup.tenants}"
+        number, step = self.facade.pick(f"w{self.requests_sent % self.setup.classes}", name, "k", self.now + DEADLINE)
         if step is None:
             self.facade.report(
                 NoteReceived(self.facade.relay.load_tracking.tracker_index(), notes.answer_note(number, 0))
@@ -79,141 +104,150 @@
             steps = [each for at, each in self.facade.tick().steps if at == number]
             step = steps[0] if steps else None
         if isinstance(step, Reject) or not isinstance(step, SendShot):
-            raise ValueError(f"a request got {step}")
+            raise ValueError(f"a request got no shot but {step}")
         self.now += ROUND_TRIP
         self.facade.report(Outcome(number, step.place, "served"))
         self.facade.tick()
 
-    def hear(self, sender: int, data: bytes) -> None:
+    def receive(self, sender: int, data: bytes) -> None:
+        """A message arrives from the relay with the index `sender`."""
         self.facade.report(NoteReceived(sender, data))
 
 
-def took(act: Callable[[int], Any], many: int) -> list[float]:
-    """Milliseconds of processor time, each; of some repeats."""
-    found = []
+def measure_ms(act: Callable[[int], Any], many: int) -> list[float]:
+    """The processor time of one call of `act` in milliseconds, for each repeat of `many` calls."""
+    measured = []
     for repeat in range(REPEATS):
         before = time.process_time()
         for number in range(repeat * many, (repeat + 1) * many):
             act(number)
-        found.append(1e3 * (time.process_time() - before) / many)
-    return found
+        measured.append(1e3 * (time.process_time() - before) / many)
+    return measured
 
 
-class Findings:
-    """Says points of one axis."""
+class PointWriter:
+    """Writes points of one axis to the standard output."""
 
     def __init__(self, axis: Axis) -> None:
         self.axis = axis
 
     def __call__(
-        self, name: Name, x: float, values: list[float], cost: Cost = Cost.PROCESSOR, times: float = 1.0
+        self, name: Activity, x: float, values: list[float], cost: Cost = Cost.PROCESSOR, times: float = 1.0
     ) -> None:
+        """Writes a point for each value, multiplied by `times`."""
         side = Side.CONTROL
-        if name in (Name.REQUEST, Name.ASKING):
+        if name in (Activity.REQUEST, Activity.TRACKED_REQUEST_SECOND):
             side = Side.BOTH
-        elif name == Name.REQUESTS:
+        elif name == Activity.REQUEST_SECOND:
             side = Side.SERVING
         for value in values:
             point = Point(name, self.axis, Column.FACADE, cost, side, x, value * times)
-            sys.stdout.buffer.write(msgspec.json.encode(Found(point)) + b"\n")
-
-
-def of_units(x: float, found: Findings) -> None:
-    one = Alone(Setup(units=int(x), index=plain(13)))
-    found(Name.STANDING, x, [memory_mb()], Cost.MEMORY)
-    found(Name.IDLE, x, took(one.beat, BEATS), times=2)
-    found(Name.CHANGE, x, took(one.change, BEATS))
-    found(Name.WHOLE, x, took(one.whole, 1))
-    found(Name.RELOAD, x, took(one.reload, 1))
-    found(Name.REQUEST, x, took(lambda number: one.request(100), REQUESTS))
-    tracker = Alone(Setup(units=int(x), index=trackers(13)[0]))
+            sys.stdout.buffer.write(msgspec.json.encode(PointMeasured(point)) + b"\n")
+
+
+def measure_units(x: float, write: PointWriter) -> None:
+    """A relay with `x` units in its list, and a load tracker of as many."""
+    relay = SocketlessRelay(Setup(units=int(x), index=plain_relay(13)))
+    write(Activity.STANDING_STATE, x, [memory_mb()], Cost.MEMORY)
+    write(Activity.IDLE_SECOND, x, measure_ms(relay.beat, BEATS), times=2)
+    write(Activity.CHANGED_ENTRY, x, measure_ms(relay.change, BEATS))
+    write(Activity.WHOLE_LIST, x, measure_ms(relay.whole, 1))
+    write(Activity.SETTINGS_CHANGE, x, measure_ms(relay.reload, 1))
+    write(Activity.REQUEST, x, measure_ms(lambda number: relay.request(100), REQUESTS))
+    tracker = SocketlessRelay(Setup(units=int(x), index=tracker_order(13)[0]))
     numbers = [each.unit for each in tracker.list]
     sender = next(number for number in range(13) if number != tracker.setup.index)
 
     def track(number: int) -> None:
         tracker.now += 10
-        tracker.hear(sender, of_request(number, numbers))
+        tracker.receive(sender, request_message(number, numbers))
         tracker.facade.tick()
 
-    found(Name.TRACKED, x, took(track, MESSAGES))
+    write(Activity.TRACKER_MESSAGE, x, measure_ms(track, MESSAGES))
 
 
-def of_tenants(x: float, found: Findings) -> None:
-    one = Alone(Setup(tenants=int(x), index=plain(13)))
-    found(Name.STANDING, x, [memory_mb()], Cost.MEMORY)
-    found(Name.IDLE, x, took(one.beat, BEATS), times=2)
-    found(Name.RELOAD, x, took(one.reload, 1))
-    found(Name.REQUEST, x, took(lambda number: one.request(100), REQUESTS))
+def measure_tenants(x: float, write: PointWriter) -> None:
+    """A relay with `x` tenants in its settings."""
+    relay = SocketlessRelay(Setup(tenants=int(x), index=plain_relay(13)))
+    write(Activity.STANDING_STATE, x, [memory_mb()], Cost.MEMORY)
+    write(Activity.IDLE_SECOND, x, measure_ms(relay.beat, BEATS), times=2)
+    write(Activity.SETTINGS_CHANGE, x, measure_ms(relay.reload, 1))
+    write(Activity.REQUEST, x, measure_ms(lambda number: relay.request(100), REQUESTS))
 
 
-def of_relays(x: float, found: Findings) -> None:
-    one = Alone(Setup(relays=int(x), index=plain(int(x))))
-    found(Name.STANDING, x, [memory_mb()], Cost.MEMORY)
-    found(Name.IDLE, x, took(one.beat, BEATS), times=2)
-    judge = Alone(Setup(relays=int(x), index=judges(int(x))[0]))
+def measure_relays(x: float, write: PointWriter) -> None:
+    """A relay in a fleet of `x`, and a judge that has the counts of all of them."""
+    relay = SocketlessRelay(Setup(relays=int(x), index=plain_relay(int(x))))
+    write(Activity.STANDING_STATE, x, [memory_mb()], Cost.MEMORY)
+    write(Activity.IDLE_SECOND, x, measure_ms(relay.beat, BEATS), times=2)
+    judge = SocketlessRelay(Setup(relays=int(x), index=judge_order(int(x))[0]))
     for sender in range(int(x)):
         if sender != judge.setup.index:
-            for data in told(sender, 1, judge.setup.classes):
-                judge.hear(sender, data)
-    found(Name.JUDGING, x, [memory_mb()], Cost.MEMORY)
-    found(Name.JUDGING, x, took(judge.beat, BEATS), times=2)
+            for data in count_messages(sender, 1, judge.setup.classes):
+                judge.receive(sender, data)
+    write(Activity.JUDGE_IDLE_SECOND, x, [memory_mb()], Cost.MEMORY)
+    write(Activity.JUDGE_IDLE_SECOND, x, measure_ms(judge.beat, BEATS), times=2)
 
 
-def of_requests(x: float, found: Findings) -> None:
+def measure_requests(x: float, write: PointWriter) -> None:
+    """`x` requests a second: without messages between relays, then with a load tracker that is asked."""
     step = max(1, int(SECOND / x) - ROUND_TRIP)
-    silent = Alone(Setup(may_tell=False, index=plain(13)))
-    found(Name.REQUESTS, x, took(lambda number: silent.request(step), REQUESTS), times=x)
-    telling = Alone(Setup(index=plain(13)))
-    found(Name.ASKING, x, took(lambda number: telling.request(step), REQUESTS), times=x)
+    silent = SocketlessRelay(Setup(may_tell=False, index=plain_relay(13)))
+    write(Activity.REQUEST_SECOND, x, measure_ms(lambda number: silent.request(step), REQUESTS), times=x)
+    telling = SocketlessRelay(Setup(index=plain_relay(13)))
+    write(Activity.TRACKED_REQUEST_SECOND, x, measure_ms(lambda number: telling.request(step), REQUESTS), times=x)
 
 
-def of_messages(x: float, found: Findings) -> None:
-    tracker = Alone(Setup(units=1200, index=trackers(13)[0]))
+def measure_messages(x: float, write: PointWriter) -> None:
+    """`x` messages a second to a load tracker, and to a judge of 1,300 relays."""
+    tracker = SocketlessRelay(Setup(units=1200, index=tracker_order(13)[0]))
     senders = [number for number in range(13) if number != tracker.setup.index]
     step = int(SECOND / x)
 
     def track(number: int) -> None:
         tracker.now += step
-        tracker.hear(senders[number // 3 % len(senders)], of_request(number))
+        tracker.receive(senders[number // 3 % len(senders)], request_message(number))
         tracker.facade.tick()
 
-    found(Name.TRACKING, x, took(track, MESSAGES), times=x)
-    judge = Alone(Setup(relays=1300, index=judges(1300)[0]))
+    write(Activity.TRACKER_SECOND, x, measure_ms(track, MESSAGES), times=x)
+    judge = SocketlessRelay(Setup(relays=1300, index=judge_order(1300)[0]))
     others = [number for number in range(1300) if number != judge.setup.index]
-    messages = [told(number // 2, number, 3)[number % 2] for number in range(REPEATS * MESSAGES)]
+    messages = [count_messages(number // 2, number, 3)[number % 2] for number in range(REPEATS * MESSAGES)]
 
-    def hear(number: int) -> None:
+    def count(number: int) -> None:
         judge.now += step
-        judge.hear(others[number % len(others)], messages[number])
+        judge.receive(others[number % len(others)], messages[number])
         judge.facade.tick()
 
-    found(Name.COUNTS, x, took(hear, MESSAGES), times=x)
+    write(Activity.JUDGE_SECOND, x, measure_ms(count, MESSAGES), times=x)
+
 
+def series(name: Activity, setup: Setup, act: str) -> Callable[[float, PointWriter], None]:
+    """A measurement of `x` calls in a row of the method `act` of a relay."""
 
-def in_a_row(name: Name, setup: Setup, act: str) -> Callable[[float, Findings], None]:
-    def measure(x: float, found: Findings) -> None:
-        found(name, x, took(getattr(Alone(setup), act), int(x)), times=x)
+    def measure(x: float, write: PointWriter) -> None:
+        write(name, x, measure_ms(getattr(SocketlessRelay(setup), act), int(x)), times=x)
 
     return measure
 
 
-MEASURES: dict[Axis, Callable[[float, Findings], None]] = {
-    Axis.UNITS: of_units,
-    Axis.TENANTS: of_tenants,
-    Axis.RELAYS: of_relays,
-    Axis.REQUESTS: of_requests,
-    Axis.MESSAGES: of_messages,
-    Axis.LIST_CHANGES: in_a_row(Name.CHANGES, Setup(units=1200, index=plain(13)), "change"),
-    Axis.WHOLE_LISTS: in_a_row(Name.WHOLES, Setup(units=400, index=plain(13)), "whole"),
-    Axis.SETTINGS: in_a_row(Name.RELOADS, Setup(index=plain(13)), "reload"),
+MEASUREMENTS: dict[Axis, Callable[[float, PointWriter], None]] = {
+    Axis.UNITS: measure_units,
+    Axis.TENANTS: measure_tenants,
+    Axis.RELAYS: measure_relays,
+    Axis.REQUEST_RATE: measure_requests,
+    Axis.MESSAGE_RATE: measure_messages,
+    Axis.LIST_CHANGES: series(Activity.CHANGED_ENTRY_SERIES, Setup(units=1200, index=plain_relay(13)), "change"),
+    Axis.WHOLE_LISTS: series(Activity.WHOLE_LIST_SERIES, Setup(units=400, index=plain_relay(13)), "whole"),
+    Axis.SETTINGS_CHANGES: series(Activity.SETTINGS_CHANGE_SERIES, Setup(index=plain_relay(13)), "reload"),
 }
 
 
 def main(arguments: list[str]) -> None:
-    """Arguments: an axis and sizes of it."""
+    """Measures along an axis; arguments: the axis, and the sizes of it."""
     axis = Axis(arguments[0])
     for x in arguments[1:]:
-        MEASURES[axis](float(x), Findings(axis))
+        MEASUREMENTS[axis](float(x), PointWriter(axis))
 
 
 if __name__ == "__main__":
--- a/tealsail/lab/capacity/fit.py
+++ b/tealsail/lab/capacity/fit.py
@@ -1,8 +1,9 @@
-"""A curve through measured points: a straight line where that holds, else the one plain shape that fits best.
+"""Fits a curve to measured points: a straight line where it holds, else the one simple shape that fits best.
 
-Weighted least squares for a constant and one coefficient.  A point's standard error is that of the mean of its repeats,
-at least a hundredth part of the value (what a second run differs by); where points scatter more than that about the
-curve, errors grow with it.  Half widths of 95% intervals use Student's quantile.
+The fit is weighted least squares for a constant and one coefficient.  A point's standard error is that of the mean of
+its repeats, and at least a hundredth of the value, by which a second run differs.  Where points scatter about the curve
+by more than their errors, the errors of the curve grow with the scatter.  Half widths of 95% intervals use the quantile
+of Student's t.
 """
 
 from enum import StrEnum
@@ -14,15 +15,15 @@
 
 from ..bars import LEVEL, student
 
-LEAST_PART = 0.01  # of a value: its standard error, whatever its repeats say
-ALONE_PART = 0.05  # the same where there is one repeat only: runs on one machine have differed by so much
-LEAST_OF_ALL = 0.002  # of the largest value: the same, for values near zero
-CROOKED = 0.1  # a line that misses a point by so much of it, beyond twice the point's error, is none
-BETTER = 3.0  # times as small the sum of squares has to be for another shape to be taken
+MIN_RELATIVE_ERROR = 0.01  # least standard error of a mean, as a fraction of its value
+SINGLE_REPEAT_RELATIVE_ERROR = 0.05  # the same for a single repeat: runs on one machine have differed by so much
+MIN_ERROR_OF_LARGEST = 0.002  # least standard error, as a fraction of the largest value: for values near zero
+MAX_MISS = 0.1  # a line that misses a point by more than this fraction of its value, and twice its error, does not hold
+MIN_IMPROVEMENT = 3.0  # another shape is taken if its sum of squares is smaller by more than this factor
 
 
 class Shape(StrEnum):
-    """What the coefficient is multiplied with."""
+    """The term that the coefficient is multiplied with."""
 
     LINE = "x"
     LOGARITHMIC = "x log2 x"
@@ -37,7 +38,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """One size and what each repeat gave there."""
+    """The values of all repeats at one size."""
 
     x: float
     values: tuple[float, ...]
@@ -46,18 +47,18 @@
         return fmean(self.values)
 
     def error(self, largest: float) -> float:
-        """The standard error of the mean."""
-        least = max(LEAST_PART * abs(self.mean()), LEAST_OF_ALL * largest, 1e-12)
+        """The standard error of the mean; `largest` is the largest mean among the samples of the curve."""
+        least = max(MIN_RELATIVE_ERROR * abs(self.mean()), MIN_ERROR_OF_LARGEST * largest, 1e-12)
         if len(self.values) < 2:
-            return max(least, ALONE_PART * abs(self.mean()))
+            return max(least, SINGLE_REPEAT_RELATIVE_ERROR * abs(self.mean()))
         return max(least, stdev(self.values) / sqrt(len(self.values)))
 
 
 class Curve(msgspec.Struct, frozen=True):
     """`constant + growth * term(x)`; errors are half widths of 95% intervals.
 
-    `worst` is the largest miss of a point, as a part of its value, `straight` whether a line holds; the covariance is
-    that of the two, times the squared quantile.
+    `covariance` is that of constant and growth, times the square of the quantile.  `worst` is the largest distance of a
+    point from the curve, as a fraction of the point's value.  `straight` says whether a line holds.
     """
 
     shape: Shape
@@ -69,43 +70,43 @@
     worst: float
     straight: bool
 
-    def at(self, x: float) -> tuple[float, float]:
-        """The value there and half the width of its 95% interval."""
+    def value_at(self, x: float) -> tuple[float, float]:
+        """The value at size `x`, and half the width of its 95% interval."""
         term = TERMS[self.shape](x)
         variance = self.constant_error**2 + 2 * term * self.covariance + (term * self.growth_error) ** 2
         return self.constant + self.growth * term, sqrt(max(0.0, variance))
 
-    def grows(self) -> bool:
-        """Whether the coefficient differs from zero beyond its error."""
+    def has_growth(self) -> bool:
+        """Whether the coefficient differs from zero by more than its error."""
         return abs(self.growth) > self.growth_error
 
 
 def fit(samples: list[Sample]) -> Curve:
-    """Raises ValueError for fewer than three sizes."""
+    """Fits the curve to samples of different sizes; raises ValueError for fewer than three."""
     if len(samples) < 3:
-        raise ValueError("a curve with an error needs three sizes at least")
-    line, misfit = solve(samples, Shape.LINE, True)
-    if not crooked(samples, line):
+        raise ValueError("a curve with an error needs at least three sizes")
+    line, misfit = fit_shape(samples, Shape.LINE, True)
+    if not misses_points(samples, line):
         return line
-    others = [solve(samples, shape, False) for shape in Shape if shape != Shape.LINE]
+    others = [fit_shape(samples, shape, False) for shape in Shape if shape != Shape.LINE]
     best, least = min(others, key=lambda each: each[1])
-    if least * BETTER < misfit:
+    if least * MIN_IMPROVEMENT < misfit:
         return best
     return msgspec.structs.replace(line, straight=False)
 
 
-def crooked(samples: list[Sample], curve: Curve) -> bool:
-    """Whether the curve misses a point by more than chance and a tenth of it."""
+def misses_points(samples: list[Sample], curve: Curve) -> bool:
+    """Whether the curve misses a point by over a tenth of its value, two standard errors, and 2% of the largest."""
     largest = max(abs(sample.mean()) for sample in samples)
     for sample in samples:
-        miss = abs(curve.at(sample.x)[0] - sample.mean())
-        if miss > max(CROOKED * abs(sample.mean()), 2 * sample.error(largest), 0.02 * largest):
+        miss = abs(curve.value_at(sample.x)[0] - sample.mean())
+        if miss > max(MAX_MISS * abs(sample.mean()), 2 * sample.error(largest), 0.02 * largest):
             return True
     return False
 
 
-def solve(samples: list[Sample], shape: Shape, straight: bool) -> tuple[Curve, float]:
-    """The curve of that shape and its weighted sum of squares."""
+def fit_shape(samples: list[Sample], shape: Shape, straight: bool) -> tuple[Curve, float]:
+    """The best curve of that shape, and its weighted sum of squares."""
     largest = max(abs(sample.mean()) for sample in samples)
     values = numpy.array([sample.mean() for sample in samples])
     weights = numpy.array([1 / sample.error(largest) for sample in samples])
@@ -115,12 +116,12 @@
     matrix = (design * weights[:, None]).T @ (design * weights[:, None])
     inverse = numpy.linalg.inv(matrix)
     constant, growth = inverse @ ((design * weights[:, None]).T @ (values * weights))
-    missed = values - design @ numpy.array([constant, growth])
-    misfit = float(numpy.sum((missed * weights) ** 2))
-    freedom = len(samples) - 2
-    spread = inverse * max(1.0, misfit / freedom) * student(LEVEL, freedom) ** 2
-    floor = max(LEAST_OF_ALL * largest, 1e-12)
-    worst = max(abs(miss) / max(abs(value), floor) for miss, value in zip(missed, values))
+    residuals = values - design @ numpy.array([constant, growth])
+    misfit = float(numpy.sum((residuals * weights) ** 2))
+    degrees_of_freedom = len(samples) - 2
+    spread = inverse * max(1.0, misfit / degrees_of_freedom) * student(LEVEL, degrees_of_freedom) ** 2
+    floor = max(MIN_ERROR_OF_LARGEST * largest, 1e-12)
+    worst = max(abs(residual) / max(abs(value), floor) for residual, value in zip(residuals, values))
     curve = Curve(
         shape,
         float(constant),
--- a/tealsail/lab/capacity/incidents.py
+++ b/tealsail/lab/capacity/incidents.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from ...policy import DEFAULTS, JUDGE_TIMEOUT, SECOND, UnitChoice
-from .points import Axis, Cost, Name, Side
-from .roles import Extent, extent
+from .points import Activity, Axis, Cost, Side
+from .roles import Estimate, extent
 from .sizing import DAY, MINUTE, Plan
 from .slopes import Slopes
 
@@ -20,9 +20,9 @@
     name: str
     entries: float  # of the list that change
     within: str
-    one_by_one_ms: Extent  # processor time of a relay, each entry in an answer of its own
-    at_once_ms: Extent  # all in one answer
-    bytes_to_all: Extent
+    one_by_one_ms: Estimate  # processor time of a relay, each entry in an answer of its own
+    at_once_ms: Estimate  # all in one answer
+    bytes_to_all: Estimate
     connections: float  # to units, lost and made anew
     cold: float  # units at a time
     as_before_s: float
@@ -32,16 +32,16 @@
 class Prices(NamedTuple):
     """A changed entry at that size, and what one more of the same answer adds."""
 
-    alone: Extent
-    further: Extent
-    bytes_each: Extent
+    alone: Estimate
+    further: Estimate
+    bytes_each: Estimate
 
 
 def prices(plan: Plan, slopes: Slopes) -> Prices:
     units = plan.fleet.units
-    alone = extent(slopes, Name.CHANGE, Axis.UNITS, Cost.PROCESSOR, units)
-    whole = extent(slopes, Name.WHOLE, Axis.UNITS, Cost.PROCESSOR, units)
-    size = extent(slopes, Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, units, side=Side.CONTROL)
+    alone = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, units)
+    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.PROCESSOR, units)
+    size = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, units, side=Side.CONTROL)
     return Prices(alone, whole.times(1 / units), size)
 
 
@@ -51,7 +51,7 @@
     fleet, assumed = plan.fleet, plan.assumed
     used = fleet.relays * assumed.units_used_by_relay / fleet.units  # connections of a unit
     further = price.further.times(max(0.0, entries - 1))
-    at_once = Extent(
+    at_once = Estimate(
         price.alone.value + further.value,
         price.alone.error + further.error,
         f"{price.alone.slope}, and {further.slope} for each further entry",
--- a/tealsail/lab/capacity/measure.py
+++ b/tealsail/lab/capacity/measure.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from .causes import causes
-from .events import SIZES, STATE, Setup
-from .points import Axis, Disturbed, Found, Line, Point, Problem, Progress
-from .slopes import VERSION, Machine, Slopes, through
+from .causes import describe_causes
+from .events import SIZES, STATE_AXES, Setup
+from .points import Axis, Disturbed, Point, PointMeasured, Problem, Progress, ReportLine
+from .slopes import VERSION, Machine, Slopes, fit_slopes
 
 ROOT = Path(__file__).parents[3]
 LONGEST = 298.0  # seconds of a whole run
@@ -39,9 +39,9 @@
         self.disturbed: list[str] = []
         self.before, self.total = 0, 0  # measurements of processes that have ended; of all
 
-    def take(self, line: Line) -> None:
+    def take(self, line: ReportLine) -> None:
         match line:
-            case Found(point):
+            case PointMeasured(point):
                 self.points.append(point)
             case Problem(text):
                 self.problems.append(text)
@@ -51,7 +51,7 @@
                 self.show(self.before + done, self.total, title)
 
 
-def lines(arguments: list[str], until: float) -> Iterator[Line]:
+def lines(arguments: list[str], until: float) -> Iterator[ReportLine]:
     """What one measuring process says; it is ended with this program, or at `until` (monotonic seconds)."""
     environment = os.environ | {"PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-B", "-m", *arguments]
@@ -59,7 +59,7 @@
     late = threading.Timer(max(0.0, until - time.monotonic()), process.kill)
     late.daemon = True
     late.start()
-    decoder = msgspec.json.Decoder(Line)
+    decoder = msgspec.json.Decoder(ReportLine)
     try:
         for text in process.stdout:
             yield decoder.decode(text)
@@ -94,7 +94,7 @@
             collector.total = len(parts) + line.total
         collector.take(line)
     seconds = time.monotonic() - begun
-    found = through(collector.points, BASES, causes())
+    found = fit_slopes(collector.points, BASES, describe_causes())
     return Slopes(
         VERSION,
         msgspec.structs.replace(before, load_after=os.getloadavg()[0]),
@@ -111,7 +111,7 @@
     parts: list[tuple[Axis, list[str]]] = []
     for axis in axes:
         sizes = [f"{x:g}" for x in SIZES[axis][:points]]
-        parts += [(axis, [size]) for size in sizes] if axis in STATE else [(axis, sizes)]
+        parts += [(axis, [size]) for size in sizes] if axis in STATE_AXES else [(axis, sizes)]
     return parts
 
 
--- a/tealsail/lab/capacity/measured_relay.py
+++ b/tealsail/lab/capacity/measured_relay.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from .events import PAGE, Setup, settings
+from .events import PAGE_BYTES, Setup, settings
 
 ROOT = Path(__file__).parents[3]
 # The relay ends with the process that started it, whatever ends that: PR_SET_PDEATHSIG outlives exec.
@@ -87,7 +87,7 @@
 
     def memory_mb(self) -> float:
         """Resident, 1 MB = 10^6 bytes."""
-        return int(Path(f"/proc/{self.process}/statm").read_text().split()[1]) * PAGE / 1e6
+        return int(Path(f"/proc/{self.process}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
 def save(path: Path, tree: dict[str, Any]) -> None:
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -5,10 +5,10 @@
 
 from . import incidents, sizing
 from .fit import Shape
-from .points import Axis, Column, Cost, Name
-from .roles import Extent
+from .points import Activity, Axis, Column, Cost
+from .roles import Estimate
 from .slopes import Slope, Slopes
-from .tables import UNITS, figure, occurs, shape
+from .tables import COST_UNITS, describe_shape, figure, has_cost
 
 BEGIN, END = "<!-- capacity: {} -->", "<!-- end of {} -->"
 MARKED = re.compile(r"<!-- capacity: (\w+) -->\n.*?<!-- end of \1 -->", re.S)
@@ -29,7 +29,7 @@
     return f"{figure(value)} ±{figure(error)}" if error else figure(value)
 
 
-def extent(found: Extent) -> str:
+def extent(found: Estimate) -> str:
     return UNKNOWN if found.missing else with_error(found.value, found.error)
 
 
@@ -52,10 +52,10 @@
 
 def ordered(slopes: Slopes) -> list[Slope]:
     return sorted(
-        filter(occurs, slopes.slopes),
+        filter(has_cost, slopes.slopes),
         key=lambda each: (
             list(Axis).index(each.axis),
-            list(Name).index(each.name),
+            list(Activity).index(each.name),
             list(Cost).index(each.cost),
             each.side,
         ),
@@ -103,8 +103,8 @@
         f"{figure(curve.constant)} ±{figure(curve.constant_error)}",
         growth(slope),
         growth(alone) if alone else "",
-        shape(slope),
-        f"`{slope.cause}`" if slope.cause and curve.grows() else "",
+        describe_shape(slope),
+        f"`{slope.cause}`" if slope.cause and curve.has_growth() else "",
     ]
 
 
@@ -123,14 +123,14 @@
         str(slope.axis),
         str(slope.column),
         points(slope),
-        shape(slope),
-        cause if slope.curve.grows() else "",
+        describe_shape(slope),
+        cause if slope.curve.has_growth() else "",
     ]
 
 
 def points(slope: Slope) -> str:
     found = (f"{sample.x:,g}: {figure(sample.mean())}" for sample in slope.samples)
-    return f"{'; '.join(found)} {UNITS[slope.cost]}"
+    return f"{'; '.join(found)} {COST_UNITS[slope.cost]}"
 
 
 def carried(need: sizing.Need) -> str:
@@ -265,7 +265,7 @@
 def settings_event(slopes: Slopes, plan: sizing.Plan) -> list[str]:
     """A change of configuration, which moves no unit."""
     held = next(need for need in sizing.stops(plan, slopes) if "settings" in need.what)
-    sent = sizing.extent(slopes, Name.RELOAD, Axis.TENANTS, Cost.BYTES_IN, plan.fleet.tenants)
+    sent = sizing.extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, plan.fleet.tenants)
     total = sent.times(plan.fleet.relays)
     seconds = "not measured" if held.value is None else f"{held.value / 1000:.2f}"
     why = f"read and taken; how it gets to {plan.fleet.relays:,} relays is missing"
--- a/tealsail/lab/capacity/points.py
+++ b/tealsail/lab/capacity/points.py
@@ -1,4 +1,7 @@
-"""What is measured, in words of one meaning each, and the lines in which measuring processes say it."""
+"""The vocabulary of the capacity measurements, and the messages with which measuring processes report their results.
+
+The values of the enums are stored in docs/capacity.json and printed on the capacity page.
+"""
 
 from enum import StrEnum
 
@@ -6,35 +9,38 @@
 
 
 class Column(StrEnum):
-    """On what a point was measured."""
+    """What a point was measured on."""
 
     PROCESS = "process"  # `tealsail serve` with real sockets on loopback
-    FACADE = "facade"  # the decisions alone, in a process of their own
+    FACADE = "facade"  # the facade without sockets, in a process of its own
 
 
 class Axis(StrEnum):
-    """What grows."""
+    """The size that grows from one measurement to the next."""
 
     UNITS = "units"
     RELAYS = "relays"
     TENANTS = "tenants"
-    REQUESTS = "requests a second"
-    MESSAGES = "messages a second"
+    REQUEST_RATE = "requests a second"
+    MESSAGE_RATE = "messages a second"
     LIST_CHANGES = "list changes"
     WHOLE_LISTS = "whole lists"
-    SETTINGS = "settings changes"
+    SETTINGS_CHANGES = "settings changes"
 
 
 class Side(StrEnum):
-    """Whom the cost is for."""
+    """What a cost is caused by."""
 
-    SERVING = "serving"
-    CONTROL = "control"
-    BOTH = "both"
+    SERVING = "serving"  # connections of clients and units
+    CONTROL = "control"  # list, platform, settings, messages between relays, and beats
+    BOTH = "both"  # processor time of requests together with the messages that they cause
 
 
 class Cost(StrEnum):
-    """What is counted; bytes are those of the application, without headers of TCP, UDP and IP."""
+    """The resource that is counted, with its unit.
+
+    Bytes are those of the application, without headers of TCP, UDP and IP.
+    """
 
     PROCESSOR = "processor ms"
     MEMORY = "memory MB"
@@ -44,30 +50,30 @@
     DATAGRAMS_OUT = "datagrams out"
 
 
-class Name(StrEnum):
-    """Of what the cost is: one event, one second, or the standing state."""
+class Activity(StrEnum):
+    """What a cost is measured of: one event, one second, a series of events, or the memory of the process at rest."""
 
-    STANDING = "standing state"
-    IDLE = "idle second"
-    CHANGE = "changed entry"
-    WHOLE = "whole list"
-    RELOAD = "settings change"
+    STANDING_STATE = "standing state"
+    IDLE_SECOND = "idle second"
+    CHANGED_ENTRY = "changed entry"
+    WHOLE_LIST = "whole list"
+    SETTINGS_CHANGE = "settings change"
     REQUEST = "request"
-    REQUESTS = "second of requests"
-    ASKING = "second of requests, tracker asked"
-    TRACKING = "second of a tracker's messages"
-    TRACKED = "tracker's message"
-    COUNTS = "second of a judge's messages"
-    JUDGING = "judge's idle second"
-    CHANGES = "changed entries in a row"
-    WHOLES = "whole lists in a row"
-    RELOADS = "settings changes in a row"
+    REQUEST_SECOND = "second of requests"
+    TRACKED_REQUEST_SECOND = "second of requests, tracker asked"
+    TRACKER_SECOND = "second of a tracker's messages"
+    TRACKER_MESSAGE = "tracker's message"
+    JUDGE_SECOND = "second of a judge's messages"
+    JUDGE_IDLE_SECOND = "judge's idle second"
+    CHANGED_ENTRY_SERIES = "changed entries in a row"
+    WHOLE_LIST_SERIES = "whole lists in a row"
+    SETTINGS_CHANGE_SERIES = "settings changes in a row"
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured cost at one size."""
+    """One measured cost of an activity at the size `x` of an axis."""
 
-    name: Name
+    name: Activity
     axis: Axis
     column: Column
     cost: Cost
@@ -77,27 +83,29 @@
 
 
 class Progress(msgspec.Struct, tag=True):
-    """Measurements done, of how many, and the next one."""
+    """How many measurements are done, how many there are, and the title of the next one."""
 
     done: int
     total: int
     title: str
 
 
-class Found(msgspec.Struct, tag=True):
+class PointMeasured(msgspec.Struct, tag=True):
+    """A measurement gave this point."""
+
     point: Point
 
 
 class Problem(msgspec.Struct, tag=True):
-    """A measurement that gave no point, and why."""
+    """A measurement gave no point, for this reason."""
 
     text: str
 
 
 class Disturbed(msgspec.Struct, tag=True):
-    """Points that were kept though the machine's host took much of their time."""
+    """Points were kept although the machine's host took much of the processor time while they were measured."""
 
     text: str
 
 
-Line = Progress | Found | Problem | Disturbed
+ReportLine = Progress | PointMeasured | Problem | Disturbed
--- a/tealsail/lab/capacity/process_measurements.py
+++ b/tealsail/lab/capacity/process_measurements.py
@@ -19,9 +19,20 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from .events import SIZES, STATE, Setup, judges, of_request, order, plain, settings, told, trackers
+from .events import (
+    SIZES,
+    STATE_AXES,
+    Setup,
+    count_messages,
+    judge_order,
+    plain_relay,
+    relay_decisions,
+    request_message,
+    settings,
+    tracker_order,
+)
 from .measured_relay import Subject, configuration, save
-from .points import Axis, Column, Cost, Disturbed, Found, Line, Name, Point, Problem, Progress, Side
+from .points import Activity, Axis, Column, Cost, Disturbed, Point, PointMeasured, Problem, Progress, ReportLine, Side
 from .stand_ins import (
     HOST,
     MOST_CONNECTIONS,
@@ -51,7 +62,7 @@
 IN_A_ROW_UNITS, WHOLES_UNITS = 1200, 400  # of the list, where changes or whole lists follow each other
 
 
-Say = Callable[[Line], None]
+Say = Callable[[ReportLine], None]
 
 
 class Reading(NamedTuple):
@@ -95,7 +106,7 @@
 
     async def begin(self) -> None:
         """The relay serves, has its list and its connections."""
-        decisions = order(self.setup.relays)
+        decisions = relay_decisions(self.setup.relays)
         listening = (
             [*decisions.load_tracking.order, *decisions.judge.order[:LISTENING_JUDGES]] if self.setup.may_tell else []
         )
@@ -215,22 +226,24 @@
             await fleet.end()
             self.folder.cleanup()
 
-    def found(self, name: Name, axis: Axis, cost: Cost, side: Side, x: float, value: float) -> None:
-        self.say(Found(Point(name, axis, Column.PROCESS, cost, side, x, value)))
+    def found(self, name: Activity, axis: Axis, cost: Cost, side: Side, x: float, value: float) -> None:
+        self.say(PointMeasured(Point(name, axis, Column.PROCESS, cost, side, x, value)))
 
-    def found_counts(self, name: Name, axis: Axis, x: float, counts: dict[Count, float], each: float = 1.0) -> None:
+    def found_counts(self, name: Activity, axis: Axis, x: float, counts: dict[Count, float], each: float = 1.0) -> None:
         """Bytes and datagrams, divided by `each`."""
         for (side, cost), many in sorted(counts.items()):
             self.found(name, axis, cost, side, x, many / each)
 
     async def stand(self, fleet: Fleet, axis: Axis, x: float) -> None:
         """Standing memory, and an idle second."""
-        self.found(Name.STANDING, axis, Cost.MEMORY, Side.CONTROL, x, fleet.subject.memory_mb())
+        self.found(Activity.STANDING_STATE, axis, Cost.MEMORY, Side.CONTROL, x, fleet.subject.memory_mb())
         counts = await fleet.idle()
-        self.found(Name.IDLE, axis, Cost.PROCESSOR, Side.CONTROL, x, fleet.idle_ms)
-        self.found_counts(Name.IDLE, axis, x, counts)
+        self.found(Activity.IDLE_SECOND, axis, Cost.PROCESSOR, Side.CONTROL, x, fleet.idle_ms)
+        self.found_counts(Activity.IDLE_SECOND, axis, x, counts)
 
-    async def events(self, fleet: Fleet, name: Name, axis: Axis, x: float, acts: list[Callable[[], Awaitable]]) -> None:
+    async def events(
+        self, fleet: Fleet, name: Activity, axis: Axis, x: float, acts: list[Callable[[], Awaitable]]
+    ) -> None:
         """What each of some events costs; they lie in one window of whole beats."""
 
         async def play() -> None:
@@ -242,12 +255,12 @@
         found = await fleet.window(play)
         counts = found.counts
         self.found(name, axis, Cost.PROCESSOR, Side.CONTROL, x, found.processor_ms / len(acts))
-        if name == Name.RELOAD:  # the file is what the relay reads then
+        if name == Activity.SETTINGS_CHANGE:  # the file is what the relay reads then
             counts = {Count(Side.CONTROL, Cost.BYTES_IN): len(acts) * fleet.path.stat().st_size}
         of_list = {count: many for count, many in counts.items() if count.cost in (Cost.BYTES_IN, Cost.BYTES_OUT)}
         self.found_counts(name, axis, x, of_list, len(acts))
 
-    async def requests(self, fleet: Fleet, name: Name, axis: Axis, x: float, rate: float, a_second: bool) -> None:
+    async def requests(self, fleet: Fleet, name: Activity, axis: Axis, x: float, rate: float, a_second: bool) -> None:
         """Requests at that rate: the cost of each, or of a second of them."""
         side = Side.BOTH if fleet.setup.may_tell else Side.SERVING
         await fleet.clients.widen(MOST_CONNECTIONS if a_second else CONNECTIONS)
@@ -268,60 +281,62 @@
         self.found_counts(name, axis, x, found.counts, each)
 
     async def of_units(self, x: float) -> None:
-        fleet = await self.begin(Setup(units=int(x), index=plain(13)))
+        fleet = await self.begin(Setup(units=int(x), index=plain_relay(13)))
         await self.stand(fleet, Axis.UNITS, x)
-        await self.events(fleet, Name.CHANGE, Axis.UNITS, x, [fleet.change] * CHANGES)
-        await self.events(fleet, Name.WHOLE, Axis.UNITS, x, [fleet.whole] * 2)
+        await self.events(fleet, Activity.CHANGED_ENTRY, Axis.UNITS, x, [fleet.change] * CHANGES)
+        await self.events(fleet, Activity.WHOLE_LIST, Axis.UNITS, x, [fleet.whole] * 2)
         advices = [lambda each=each: fleet.reload(each) for each in (110, 120)]
-        await self.events(fleet, Name.RELOAD, Axis.UNITS, x, advices)
+        await self.events(fleet, Activity.SETTINGS_CHANGE, Axis.UNITS, x, advices)
         await fleet.warm()
-        await self.requests(fleet, Name.REQUEST, Axis.UNITS, x, RATE, False)
+        await self.requests(fleet, Activity.REQUEST, Axis.UNITS, x, RATE, False)
 
     async def of_tenants(self, x: float) -> None:
-        fleet = await self.begin(Setup(tenants=int(x), index=plain(13)))
+        fleet = await self.begin(Setup(tenants=int(x), index=plain_relay(13)))
         await self.stand(fleet, Axis.TENANTS, x)
         advices = [lambda each=each: fleet.reload(each) for each in (110, 120)]
-        await self.events(fleet, Name.RELOAD, Axis.TENANTS, x, advices)
+        await self.events(fleet, Activity.SETTINGS_CHANGE, Axis.TENANTS, x, advices)
         await fleet.warm()
-        await self.requests(fleet, Name.REQUEST, Axis.TENANTS, x, RATE, False)
+        await self.requests(fleet, Activity.REQUEST, Axis.TENANTS, x, RATE, False)
 
     async def of_relays(self, x: float) -> None:
         """A relay that is neither judge nor tracker, then one that judges and has heard of all."""
-        fleet = await self.begin(Setup(relays=int(x), index=plain(int(x))))
+        fleet = await self.begin(Setup(relays=int(x), index=plain_relay(int(x))))
         await self.stand(fleet, Axis.RELAYS, x)
         await self.end()
-        fleet = await self.begin(Setup(relays=int(x), index=judges(int(x))[0]))
+        fleet = await self.begin(Setup(relays=int(x), index=judge_order(int(x))[0]))
         for sender in range(int(x)):
-            for data in told(sender, 1, fleet.setup.classes):
+            for data in count_messages(sender, 1, fleet.setup.classes):
                 if sender != fleet.setup.index:
                     fleet.peers.open(sender).tell(data)
             if sender % 20 == 19:  # below the most that a judge takes in a second
                 await fleet.wait(0.02)
         await fleet.wait(SETTLE)
-        self.found(Name.JUDGING, Axis.RELAYS, Cost.MEMORY, Side.CONTROL, x, fleet.subject.memory_mb())
+        self.found(Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY, Side.CONTROL, x, fleet.subject.memory_mb())
         counts = await fleet.idle()
-        self.found(Name.JUDGING, Axis.RELAYS, Cost.PROCESSOR, Side.CONTROL, x, fleet.idle_ms)
-        self.found_counts(Name.JUDGING, Axis.RELAYS, x, counts)
+        self.found(Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, Side.CONTROL, x, fleet.idle_ms)
+        self.found_counts(Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, x, counts)
 
     async def of_requests(self, x: float) -> None:
         """Rates up to this one: without messages between relays, and with a tracker that is asked."""
-        for name, may_tell in ((Name.REQUESTS, False), (Name.ASKING, True)):
-            fleet = await self.begin(Setup(may_tell=may_tell, index=plain(13)))
+        for name, may_tell in ((Activity.REQUEST_SECOND, False), (Activity.TRACKED_REQUEST_SECOND, True)):
+            fleet = await self.begin(Setup(may_tell=may_tell, index=plain_relay(13)))
             await fleet.idle()
             await fleet.warm()
-            for rate in up_to(Axis.REQUESTS, x):
-                await self.requests(fleet, name, Axis.REQUESTS, rate, rate, True)
+            for rate in up_to(Axis.REQUEST_RATE, x):
+                await self.requests(fleet, name, Axis.REQUEST_RATE, rate, rate, True)
             await self.end()
 
     async def of_messages(self, x: float) -> None:
         """Messages a second to a load tracker, and to a judge of 1,300 relays."""
-        fleet = await self.begin(Setup(units=1200, index=trackers(13)[0]))
-        await self.messages(fleet, Name.TRACKING, x, of_request)
+        fleet = await self.begin(Setup(units=1200, index=tracker_order(13)[0]))
+        await self.messages(fleet, Activity.TRACKER_SECOND, x, request_message)
         await self.end()
-        fleet = await self.begin(Setup(relays=1300, index=judges(1300)[0]))
-        await self.messages(fleet, Name.COUNTS, x, lambda number: told(number // 2, number, 3)[number % 2])
+        fleet = await self.begin(Setup(relays=1300, index=judge_order(1300)[0]))
+        await self.messages(
+            fleet, Activity.JUDGE_SECOND, x, lambda number: count_messages(number // 2, number, 3)[number % 2]
+        )
 
-    async def messages(self, fleet: Fleet, name: Name, most: float, data: Callable[[int], bytes]) -> None:
+    async def messages(self, fleet: Fleet, name: Activity, most: float, data: Callable[[int], bytes]) -> None:
         """At rates up to this one, from all other relays in turn."""
         relays, index = fleet.setup.relays, fleet.setup.index
         ends = [fleet.peers.open(number) for number in range(relays) if number != index]
@@ -339,12 +354,12 @@
                 await fleet.wait(TICK)
             await fleet.wait(QUIET)
 
-        for rate in up_to(Axis.MESSAGES, most):
+        for rate in up_to(Axis.MESSAGE_RATE, most):
             found = await fleet.window(partial(play, rate))
-            self.found(name, Axis.MESSAGES, Cost.PROCESSOR, Side.CONTROL, rate, found.processor_ms / BUSY)
-            self.found_counts(name, Axis.MESSAGES, rate, found.counts, BUSY)
+            self.found(name, Axis.MESSAGE_RATE, Cost.PROCESSOR, Side.CONTROL, rate, found.processor_ms / BUSY)
+            self.found_counts(name, Axis.MESSAGE_RATE, rate, found.counts, BUSY)
 
-    async def in_a_row(self, fleet: Fleet, name: Name, axis: Axis, most: float, act: Callable) -> None:
+    async def in_a_row(self, fleet: Fleet, name: Activity, axis: Axis, most: float, act: Callable) -> None:
         """So many events, one behind the other: what all of them cost."""
         await fleet.idle()
 
@@ -360,16 +375,22 @@
             self.found(name, axis, Cost.MEMORY, Side.CONTROL, many, fleet.subject.memory_mb())
 
     async def of_list_changes(self, x: float) -> None:
-        fleet = await self.begin(Setup(units=IN_A_ROW_UNITS, index=plain(13)))
-        await self.in_a_row(fleet, Name.CHANGES, Axis.LIST_CHANGES, x, lambda number: fleet.change())
+        fleet = await self.begin(Setup(units=IN_A_ROW_UNITS, index=plain_relay(13)))
+        await self.in_a_row(fleet, Activity.CHANGED_ENTRY_SERIES, Axis.LIST_CHANGES, x, lambda number: fleet.change())
 
     async def of_whole_lists(self, x: float) -> None:
-        fleet = await self.begin(Setup(units=WHOLES_UNITS, index=plain(13)))
-        await self.in_a_row(fleet, Name.WHOLES, Axis.WHOLE_LISTS, x, lambda number: fleet.whole())
+        fleet = await self.begin(Setup(units=WHOLES_UNITS, index=plain_relay(13)))
+        await self.in_a_row(fleet, Activity.WHOLE_LIST_SERIES, Axis.WHOLE_LISTS, x, lambda number: fleet.whole())
 
     async def of_settings(self, x: float) -> None:
-        fleet = await self.begin(Setup(index=plain(13)))
-        await self.in_a_row(fleet, Name.RELOADS, Axis.SETTINGS, x, lambda number: fleet.reload(110 + number % 2))
+        fleet = await self.begin(Setup(index=plain_relay(13)))
+        await self.in_a_row(
+            fleet,
+            Activity.SETTINGS_CHANGE_SERIES,
+            Axis.SETTINGS_CHANGES,
+            x,
+            lambda number: fleet.reload(110 + number % 2),
+        )
 
 
 class Measurement(NamedTuple):
@@ -382,11 +403,11 @@
     Axis.UNITS: Rig.of_units,
     Axis.TENANTS: Rig.of_tenants,
     Axis.RELAYS: Rig.of_relays,
-    Axis.REQUESTS: Rig.of_requests,
-    Axis.MESSAGES: Rig.of_messages,
+    Axis.REQUEST_RATE: Rig.of_requests,
+    Axis.MESSAGE_RATE: Rig.of_messages,
     Axis.LIST_CHANGES: Rig.of_list_changes,
     Axis.WHOLE_LISTS: Rig.of_whole_lists,
-    Axis.SETTINGS: Rig.of_settings,
+    Axis.SETTINGS_CHANGES: Rig.of_settings,
 }
 
 
@@ -401,7 +422,7 @@
         Measurement(str(axis), x, CALLS[axis])
         for _ in range(repeats)
         for axis in axes
-        for x in (SIZES[axis][:points] if axis in STATE else SIZES[axis][points - 1 : points])
+        for x in (SIZES[axis][:points] if axis in STATE_AXES else SIZES[axis][points - 1 : points])
     ]
 
 
@@ -416,7 +437,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(limit, wanted), most))
     encoder = msgspec.json.Encoder()
 
-    def say(line: Line) -> None:
+    def say(line: ReportLine) -> None:
         sys.stdout.buffer.write(encoder.encode(line) + b"\n")
         sys.stdout.buffer.flush()
 
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...policy import MAX_EXTRA_TURNS, RELAYS_PER_TURN
-from .points import Axis, Column, Cost, Name, Side
+from .points import Activity, Axis, Column, Cost, Side
 from .slopes import Slope, Slopes
 
 MESSAGES_OF_A_REQUEST = 3  # to the load tracker: began, which is best, ended (policy.py, Guide)
@@ -73,7 +73,7 @@
         return self.total(Cost.MEMORY)[0]
 
 
-def foretell(size: FleetSize, slopes: Slopes) -> list[RoleCost]:
+def forecast_role_costs(size: FleetSize, slopes: Slopes) -> list[RoleCost]:
     """What one process of each role costs in a fleet of that size."""
     path = relay_terms(size, slopes)
     return [
@@ -83,7 +83,7 @@
     ]
 
 
-class Extent(NamedTuple):
+class Estimate(NamedTuple):
     """A slope at a size: the value, its error, their source, and whether the size is beyond what was measured."""
 
     value: float
@@ -92,21 +92,21 @@
     beyond: bool
     missing: bool = False
 
-    def times(self, factor: float) -> "Extent":
+    def times(self, factor: float) -> "Estimate":
         return self._replace(value=factor * self.value, error=factor * self.error)
 
-    def less(self, other: "Extent") -> "Extent":
+    def less(self, other: "Estimate") -> "Estimate":
         """What is left without the other's part, never under zero."""
         missing = self.missing or other.missing
         value = max(0.0, self.value - other.value)
         text = f"{self.slope} less {other.slope}"
-        return Extent(value, hypot(self.error, other.error), text, self.beyond or other.beyond, missing)
+        return Estimate(value, hypot(self.error, other.error), text, self.beyond or other.beyond, missing)
 
     def term(self, name: str, side: Side, cost: Cost) -> Term:
         return Term(name, side, cost, self.value, self.error, self.slope, self.beyond, self.missing)
 
 
-def name_of(slope: Slope, x: float) -> str:
+def source_name(slope: Slope, x: float) -> str:
     column = "" if slope.column == Column.PROCESS else f" ({slope.column})"
     size = f"{x:.4g}" if x < 1000 else f"{x:,.0f}"
     return f"{slope.name}, {slope.axis} = {size}{column}"
@@ -114,28 +114,28 @@
 
 def extent(
     slopes: Slopes,
-    name: Name,
+    name: Activity,
     axis: Axis,
     cost: Cost,
     x: float,
     column: Column = Column.PROCESS,
     side: Side | None = None,
-) -> Extent:
+) -> Estimate:
     """What that slope says for that size."""
     slope = slopes.find(name, axis, cost, column, side)
     if slope is None:
-        return Extent(0.0, 0.0, "not measured", False, True)
-    value, error = slope.at(x)
-    return Extent(value, error, name_of(slope, x), x > slope.measured_to())
+        return Estimate(0.0, 0.0, "not measured", False, True)
+    value, error = slope.value_at(x)
+    return Estimate(value, error, source_name(slope, x), x > slope.largest_size())
 
 
-def more(slopes: Slopes, name: Name, axis: Axis, cost: Cost, x: float) -> Extent:
+def more(slopes: Slopes, name: Activity, axis: Axis, cost: Cost, x: float) -> Estimate:
     """By how much it exceeds the base, at which the other slopes of that cost were measured."""
     slope = slopes.find(name, axis, cost)
     if slope is None:
-        return Extent(0.0, 0.0, "not measured", False, True)
-    value, error = slope.more(x)
-    return Extent(value, error, f"{name_of(slope, x)} over {slope.base:g}", x > slope.measured_to())
+        return Estimate(0.0, 0.0, "not measured", False, True)
+    value, error = slope.increase_over_base(x)
+    return Estimate(value, error, f"{source_name(slope, x)} over {slope.base:g}", x > slope.largest_size())
 
 
 def relay_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
@@ -150,18 +150,24 @@
 def standing_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
     """Memory, and what a second without any event costs."""
     processor, memory, control = Cost.PROCESSOR, Cost.MEMORY, Side.CONTROL
-    bare = extent(slopes, Name.STANDING, Axis.UNITS, memory, 0)
+    bare = extent(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, 0)
     terms = [
         bare.term("the process itself", control, memory),
-        extent(slopes, Name.STANDING, Axis.UNITS, memory, size.units).less(bare).term("units", control, memory),
-        more(slopes, Name.STANDING, Axis.TENANTS, memory, size.tenants).term("tenants", control, memory),
-        more(slopes, Name.STANDING, Axis.RELAYS, memory, size.relays).term("relays", control, memory),
-        extent(slopes, Name.IDLE, Axis.UNITS, processor, size.units).term("beats", control, processor),
-        more(slopes, Name.IDLE, Axis.TENANTS, processor, size.tenants).term("beats, tenants", control, processor),
-        more(slopes, Name.IDLE, Axis.RELAYS, processor, size.relays).term("beats, relays", control, processor),
+        extent(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, size.units)
+        .less(bare)
+        .term("units", control, memory),
+        more(slopes, Activity.STANDING_STATE, Axis.TENANTS, memory, size.tenants).term("tenants", control, memory),
+        more(slopes, Activity.STANDING_STATE, Axis.RELAYS, memory, size.relays).term("relays", control, memory),
+        extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, size.units).term("beats", control, processor),
+        more(slopes, Activity.IDLE_SECOND, Axis.TENANTS, processor, size.tenants).term(
+            "beats, tenants", control, processor
+        ),
+        more(slopes, Activity.IDLE_SECOND, Axis.RELAYS, processor, size.relays).term(
+            "beats, relays", control, processor
+        ),
     ]
     for cost in (Cost.BYTES_IN, Cost.BYTES_OUT):
-        standing = extent(slopes, Name.IDLE, Axis.UNITS, cost, size.units, side=control)
+        standing = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, cost, size.units, side=control)
         terms.append(standing.term("platform's news", control, cost))
     return terms
 
@@ -171,12 +177,12 @@
     control = Side.CONTROL
     terms = []
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT):
-        changed = extent(slopes, Name.CHANGE, Axis.UNITS, cost, size.units, side=control)
-        whole = extent(slopes, Name.WHOLE, Axis.UNITS, cost, size.units, side=control)
+        changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, cost, size.units, side=control)
+        whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, cost, size.units, side=control)
         terms.append(changed.times(size.list_changes_per_second).term("changed entries", control, cost))
         terms.append(whole.times(size.whole_lists_per_second).term("whole lists", control, cost))
-    settings = extent(slopes, Name.RELOAD, Axis.TENANTS, Cost.PROCESSOR, size.tenants)
-    listed = more(slopes, Name.RELOAD, Axis.UNITS, Cost.PROCESSOR, size.units)
+    settings = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.PROCESSOR, size.tenants)
+    listed = more(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, Cost.PROCESSOR, size.units)
     rate = size.settings_changes_per_second
     terms.append(settings.times(rate).term("settings changes", control, Cost.PROCESSOR))
     terms.append(listed.times(rate).term("settings changes, units", control, Cost.PROCESSOR))
@@ -188,22 +194,22 @@
     rate = size.requests_per_second / size.relays
     terms = []
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT):
-        served = extent(slopes, Name.REQUESTS, Axis.REQUESTS, cost, rate, side=Side.SERVING)
+        served = extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.SERVING)
         terms.append(served.term("requests", Side.SERVING, cost))
     if not size.tracker_is_asked:
         return terms
-    total = extent(slopes, Name.ASKING, Axis.REQUESTS, Cost.PROCESSOR, rate)
-    alone = extent(slopes, Name.REQUESTS, Axis.REQUESTS, Cost.PROCESSOR, rate)
+    total = extent(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
+    alone = extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
     terms.append(total.less(alone).term("messages for requests", Side.CONTROL, Cost.PROCESSOR))
     for cost in (Cost.BYTES_IN, Cost.BYTES_OUT, Cost.DATAGRAMS_IN, Cost.DATAGRAMS_OUT):
-        sent = extent(slopes, Name.ASKING, Axis.REQUESTS, cost, rate, side=Side.CONTROL)
+        sent = extent(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL)
         if cost in (Cost.BYTES_IN, Cost.BYTES_OUT):  # less the platform's, counted with the standing terms
-            sent = sent.less(extent(slopes, Name.REQUESTS, Axis.REQUESTS, cost, rate, side=Side.CONTROL))
+            sent = sent.less(extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL))
         terms.append(sent.term("messages for requests", Side.CONTROL, cost))
     return terms
 
 
-def tellings(relays: int) -> float:
+def judge_messages_per_second(relays: int) -> float:
     """Messages of counts that a judge is sent in a second: all cells of each relay, in turns (Judge.tell)."""
     turns = 1 + min(MAX_EXTRA_TURNS, relays // RELAYS_PER_TURN)
     return MESSAGES_OF_COUNTS * (relays - 1) / turns
@@ -211,17 +217,17 @@
 
 def judge_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
     """What judging adds: messages of all relays, a look at the pool each beat, and the pool."""
-    control, rate = Side.CONTROL, tellings(size.relays)
-    judging = extent(slopes, Name.JUDGING, Axis.RELAYS, Cost.PROCESSOR, size.relays)
-    idle = extent(slopes, Name.IDLE, Axis.RELAYS, Cost.PROCESSOR, size.relays)
-    pool = extent(slopes, Name.JUDGING, Axis.RELAYS, Cost.MEMORY, size.relays)
-    standing = extent(slopes, Name.STANDING, Axis.RELAYS, Cost.MEMORY, size.relays)
+    control, rate = Side.CONTROL, judge_messages_per_second(size.relays)
+    judging = extent(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
+    idle = extent(slopes, Activity.IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
+    pool = extent(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY, size.relays)
+    standing = extent(slopes, Activity.STANDING_STATE, Axis.RELAYS, Cost.MEMORY, size.relays)
     terms = [
         judging.less(idle).term("looks at the pool", control, Cost.PROCESSOR),
         pool.less(standing).term("pool of counts", control, Cost.MEMORY),
     ]
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.DATAGRAMS_IN):
-        heard = extent(slopes, Name.COUNTS, Axis.MESSAGES, cost, rate, side=control)
+        heard = extent(slopes, Activity.JUDGE_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control)
         terms.append(heard.term("messages of counts", control, cost))
     return terms
 
@@ -233,6 +239,8 @@
     control, rate = Side.CONTROL, MESSAGES_OF_A_REQUEST * size.requests_per_second
     costs = (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT, Cost.DATAGRAMS_IN, Cost.DATAGRAMS_OUT)
     return [
-        extent(slopes, Name.TRACKING, Axis.MESSAGES, cost, rate, side=control).term("messages of loads", control, cost)
+        extent(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control).term(
+            "messages of loads", control, cost
+        )
         for cost in costs
     ]
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -11,8 +11,18 @@
 from ...choices.rate_limits import SHOT_MESSAGE_LIMITS
 from ...notes import UINT16_MAX
 from .causes import Place
-from .points import Axis, Cost, Name, Side
-from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, foretell, more, tellings
+from .points import Activity, Axis, Cost, Side
+from .roles import (
+    MESSAGES_OF_A_REQUEST,
+    Estimate,
+    FleetSize,
+    Role,
+    RoleCost,
+    extent,
+    forecast_role_costs,
+    judge_messages_per_second,
+    more,
+)
 from .slopes import Slopes
 
 DAY = 86_400  # seconds
@@ -218,12 +228,12 @@
 def stops(plan: Plan, slopes: Slopes) -> Iterator[Need]:
     """How long one event holds the relay's loop, in which no request goes on."""
     fleet, processor = plan.fleet, Cost.PROCESSOR
-    beat = extent(slopes, Name.IDLE, Axis.UNITS, processor, fleet.units).times(1 / BEATS)
-    change = extent(slopes, Name.CHANGE, Axis.UNITS, processor, fleet.units)
-    whole = extent(slopes, Name.WHOLE, Axis.UNITS, processor, fleet.units)
-    tenants = extent(slopes, Name.RELOAD, Axis.TENANTS, processor, fleet.tenants)
-    listed = more(slopes, Name.RELOAD, Axis.UNITS, processor, fleet.units)
-    both = Extent(
+    beat = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, fleet.units).times(1 / BEATS)
+    change = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, processor, fleet.units)
+    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, processor, fleet.units)
+    tenants = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, processor, fleet.tenants)
+    listed = more(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, processor, fleet.units)
+    both = Estimate(
         tenants.value + listed.value,
         hypot(tenants.error, listed.error),
         f"{tenants.slope}, and {listed.slope}",
@@ -266,7 +276,7 @@
 def busiest(plan: Plan, slopes: Slopes) -> Iterator[Need]:
     """A relay with several times the mean of requests."""
     times = plan.assumed.busiest_relay
-    one = foretell(plan.size(times), slopes)[0]
+    one = forecast_role_costs(plan.size(times), slopes)[0]
     served, error = one.total(Cost.PROCESSOR, Side.SERVING)
     role = f"{Role.RELAY}, {times:g} times the mean"
     rate = times * plan.fleet.requests_per_second / plan.fleet.relays
@@ -293,20 +303,20 @@
     """What others have to send all relays; none of it is in this project but for the relay's side of it."""
     fleet, control = plan.fleet, Side.CONTROL
     lists, settings, platform = "whoever hands out the list", "whoever hands out configuration", "the platform"
-    changed = extent(slopes, Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    whole = extent(slopes, Name.WHOLE, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    news = extent(slopes, Name.IDLE, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    file = extent(slopes, Name.RELOAD, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
+    changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    news = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    file = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
     day, roll = plan.list_changes_per_second(), plan.rollout_changes_per_second()
     rate = fleet.settings_changes_per_day / DAY
     rows = (
-        (lists, "open watches", Extent(fleet.relays, 0.0, "one a relay", False), "", None),
+        (lists, "open watches", Estimate(fleet.relays, 0.0, "one a relay", False), "", None),
         (lists, "bytes out on an ordinary day", changed.times(fleet.relays * day), "B/s", None),
         (lists, "bytes out in a roll-out", changed.times(fleet.relays * roll), "B/s", None),
         (lists, "bytes out, all relays started anew", whole.times(fleet.relays), "B", None),
-        (platform, "open connections", Extent(fleet.relays, 0.0, "one a relay", False), "", NEWS),
+        (platform, "open connections", Estimate(fleet.relays, 0.0, "one a relay", False), "", NEWS),
         (platform, "bytes out, signs of life", news.times(fleet.relays), "B/s", NEWS),
-        (settings, "changes to carry out", Extent(rate * fleet.relays, 0.0, "changes x relays", False), "/s", None),
+        (settings, "changes to carry out", Estimate(rate * fleet.relays, 0.0, "changes x relays", False), "/s", None),
         (settings, "bytes of the whole file, to all relays", file.times(rate * fleet.relays), "B/s", None),
     )
     for role, what, found, unit, mechanism in rows:
@@ -320,10 +330,10 @@
     """What would fall on each of them if they did what is missing, or what is over the allowance of a relay."""
     fleet, control = plan.fleet, Side.CONTROL
     role, many = f"the {fleet.control_machines} control machines", fleet.control_machines
-    changed = extent(slopes, Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    file = extent(slopes, Name.RELOAD, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
+    changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    file = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
     messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
-    tracked = extent(slopes, Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR, messages, side=control)
+    tracked = extent(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR, messages, side=control)
     roll, rate = plan.rollout_changes_per_second(), fleet.settings_changes_per_day / DAY
     for what, found, unit in (
         ("of each: the list in a roll-out, bytes out", changed.times(fleet.relays * roll / many), "B/s"),
@@ -335,7 +345,7 @@
 
 def needs(plan: Plan, slopes: Slopes) -> list[Need]:
     """All rows of all roles."""
-    relay, judge, tracker = foretell(plan.size(), slopes)
+    relay, judge, tracker = forecast_role_costs(plan.size(), slopes)
     return [
         *terms_of(plan, relay),
         *sums_of(plan, relay),
@@ -374,7 +384,7 @@
     """What is held, how much of it, and who empties it."""
     fleet = plan.fleet
     units, tenants = each(slopes, Axis.UNITS), each(slopes, Axis.TENANTS)
-    pool = slopes.find(Name.JUDGING, Axis.RELAYS, Cost.MEMORY)
+    pool = slopes.find(Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY)
     relays = (pool.curve.growth * 1e6, f"{pool.name}, {pool.axis}") if pool else (None, "not measured")
     list_bound = "the list as told; its body at most 8 MiB"
     return [
@@ -420,9 +430,9 @@
 
 def each(slopes: Slopes, axis: Axis) -> tuple[float | None, str]:
     """Bytes of one more."""
-    slope = slopes.find(Name.STANDING, axis, Cost.MEMORY)
+    slope = slopes.find(Activity.STANDING_STATE, axis, Cost.MEMORY)
     return (slope.curve.growth * 1e6, f"{slope.name}, {axis}") if slope else (None, "not measured")
 
 
 def judge_messages(plan: Plan) -> float:
-    return tellings(plan.fleet.relays)
+    return judge_messages_per_second(plan.fleet.relays)
--- a/tealsail/lab/capacity/slopes.py
+++ b/tealsail/lab/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""What was measured, the curves fitted through it, and the file of JSON that keeps both."""
+"""The slopes of one run, measured points with the curves fitted to them, and the JSON file that keeps them."""
 
 from collections.abc import Iterable
 from math import hypot
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from .fit import CROOKED, Curve, Sample, fit
-from .points import Axis, Column, Cost, Name, Point, Side
+from .fit import MAX_MISS, Curve, Sample, fit
+from .points import Activity, Axis, Column, Cost, Point, Side
 
-VERSION = 1
-TWO_ERRORS = 2.0  # standard errors that stand for a 95% interval where there is no fit
+VERSION = 1  # of the file
+STANDARD_ERRORS_OF_INTERVAL = 2.0  # half the width of a 95% interval where there is no fit
 
 
-class Key(NamedTuple):
-    """Which slope."""
+class SlopeKey(NamedTuple):
+    """What the points of one slope have in common."""
 
-    name: Name
+    name: Activity
     axis: Axis
     column: Column
     cost: Cost
@@ -25,13 +25,13 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """All points of one cost along one axis, and the curve through them.
+    """All points of one cost along one axis, and the curve fitted to them.
 
-    `cause` names the line of code behind the part that grows; `base` is the value of the axis in measurements along the
-    other axes, 0 where it does not occur there.
+    `base` is the value of the axis in measurements along the other axes, 0 where it does not occur in them.  `cause`
+    names the line of code behind the part that grows.
     """
 
-    name: Name
+    name: Activity
     axis: Axis
     column: Column
     cost: Cost
@@ -41,39 +41,43 @@
     curve: Curve
     cause: str = ""
 
-    def at(self, x: float) -> tuple[float, float]:
-        """The value there, never under zero, and half the width of its 95% interval.
+    def value_at(self, x: float) -> tuple[float, float]:
+        """The value at size `x`, never below zero, and half the width of its 95% interval.
 
-        Of what is no line it is read off between the points where no plain shape fits them either, and past the last
-        point it goes on as between the last two.
+        Where a line does not hold, the value is interpolated between the points if no simple shape fits them either.
+        Beyond the last point it continues the line through the last two.
         """
-        past = x > self.measured_to()
-        if self.curve.straight or (not past and self.curve.worst <= CROOKED):
-            value, error = self.curve.at(x)
+        is_beyond = x > self.largest_size()
+        if self.curve.straight or (not is_beyond and self.curve.worst <= MAX_MISS):
+            value, error = self.curve.value_at(x)
             return max(0.0, value), error
-        return self.between(x)
+        return self.interpolate(x)
 
-    def between(self, x: float) -> tuple[float, float]:
-        """On the straight line through the two points next to it, whose scatter is the error."""
+    def interpolate(self, x: float) -> tuple[float, float]:
+        """The value on the straight line through the two neighbouring points, and the error by their scatter."""
         place = next((place for place, sample in enumerate(self.samples) if sample.x >= x), len(self.samples) - 1)
         before, after = self.samples[max(place, 1) - 1], self.samples[max(place, 1)]
         part = (x - before.x) / (after.x - before.x)
         largest = abs(after.mean())
         error = hypot((1 - part) * before.error(largest), part * after.error(largest))
         value = (1 - part) * before.mean() + part * after.mean()
-        return max(0.0, value), TWO_ERRORS * error
+        return max(0.0, value), STANDARD_ERRORS_OF_INTERVAL * error
 
-    def more(self, x: float) -> tuple[float, float]:
-        """By how much the value there exceeds that of the base."""
-        value, error = self.at(x)
-        return value - self.at(self.base)[0], error
+    def increase_over_base(self, x: float) -> tuple[float, float]:
+        """By how much the value at size `x` exceeds that at the base, and half the width of its 95% interval."""
+        value, error = self.value_at(x)
+        return value - self.value_at(self.base)[0], error
 
-    def measured_to(self) -> float:
+    def largest_size(self) -> float:
+        """The largest size that was measured."""
         return max(sample.x for sample in self.samples)
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """Where a run was made, and how busy the machine was."""
+    """The machine of a run, its load (averages over one minute), and the measured commit.
+
+    `allowed` lists the processors that the run could use.
+    """
 
     cores: int
     allowed: list[int]
@@ -84,11 +88,11 @@
     load_after: float
     date: str
     commit: str
-    changed: bool  # whether the tree differed from the commit
+    changed: bool  # whether the work tree differed from the commit
 
 
 class Slopes(msgspec.Struct, frozen=True):
-    """One run of the command."""
+    """The results of one run; `seconds` is how long it took, `repeats` how often each size was measured."""
 
     version: int
     machine: Machine
@@ -96,31 +100,31 @@
     repeats: int
     slopes: list[Slope]
     problems: list[str] = []  # measurements that gave no point
-    disturbed: list[str] = []  # points that were kept though the machine's host took much of their time
+    disturbed: list[str] = []  # points that were kept although the machine's host took much of the processor time
 
     def find(
-        self, name: Name, axis: Axis, cost: Cost, column: Column = Column.PROCESS, side: Side | None = None
+        self, name: Activity, axis: Axis, cost: Cost, column: Column = Column.PROCESS, side: Side | None = None
     ) -> Slope | None:
-        """The slope, of any side if none is given; None: not measured."""
+        """The slope of that cost, of any side if none is given; None if it was not measured."""
         for each in self.slopes:
-            same = (each.name, each.axis, each.cost, each.column) == (name, axis, cost, column)
-            if same and side in (None, each.side):
+            is_same = (each.name, each.axis, each.cost, each.column) == (name, axis, cost, column)
+            if is_same and side in (None, each.side):
                 return each
         return None
 
 
-def gather(points: Iterable[Point]) -> dict[Key, list[Sample]]:
-    """Repeats of one size together, in order of size."""
-    values: dict[Key, dict[float, list[float]]] = {}
+def group_samples(points: Iterable[Point]) -> dict[SlopeKey, list[Sample]]:
+    """The samples of each slope, in order of size; repeats of one size make one sample."""
+    values: dict[SlopeKey, dict[float, list[float]]] = {}
     for point in points:
-        key = Key(point.name, point.axis, point.column, point.cost, point.side)
+        key = SlopeKey(point.name, point.axis, point.column, point.cost, point.side)
         values.setdefault(key, {}).setdefault(point.x, []).append(point.value)
     return {
         key: [Sample(x, tuple(repeats)) for x, repeats in sorted(by_size.items())] for key, by_size in values.items()
     }
 
 
-def through(points: Iterable[Point], bases: dict[Axis, float], causes: dict[tuple, str]) -> list[Slope]:
+def fit_slopes(points: Iterable[Point], bases: dict[Axis, float], causes: dict[tuple, str]) -> list[Slope]:
     """A slope for each cost along each axis that was measured at three sizes or more."""
     return [
         Slope(
@@ -130,18 +134,19 @@
             fit(samples),
             causes.get((key.name, key.axis, key.cost), ""),
         )
-        for key, samples in gather(points).items()
+        for key, samples in group_samples(points).items()
         if len(samples) > 2
     ]
 
 
 def read(path: str | Path) -> Slopes:
-    """Raises ValueError for a file that is none of this version's."""
+    """Reads the file of a run; raises ValueError if it is of another version or malformed."""
     found = msgspec.json.decode(Path(path).read_bytes(), type=Slopes)
     if found.version != VERSION:
-        raise ValueError(f"{path}: version {found.version}, not {VERSION}")
+        raise ValueError(f"{path}: version {found.version}, expected {VERSION}")
     return found
 
 
 def write(path: str | Path, slopes: Slopes) -> None:
+    """Writes the file of a run."""
     Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(slopes), indent=1) + b"\n")
--- a/tealsail/lab/capacity/stand_ins.py
+++ b/tealsail/lab/capacity/stand_ins.py
@@ -17,7 +17,7 @@
 
 from ... import notes
 from ...net import messages
-from .events import BUILD, entry
+from .events import CANARY_BUILD, list_entry
 from .points import Cost, Side
 
 HOST = "127.0.0.1"
@@ -169,7 +169,7 @@
 
     def __init__(self, reactor: Any, meter: Meter, units: int, address: str) -> None:
         super().__init__(reactor, meter)
-        self.entries = [entry(place, address) for place in range(units)]
+        self.entries = [list_entry(place, address) for place in range(units)]
         self.version, self.changes = 1, 0
         self.waiting: Deferred[None] | None = None  # for the next watch
 
@@ -237,7 +237,7 @@
 
 def state() -> dict[str, Any]:
     """A build on trial in its first stage."""
-    return {"Revision": BUILD, "Wave": 0, "State": "canary", "MaxShare": 0.5, "AgeMs": 60_000}
+    return {"Revision": CANARY_BUILD, "Wave": 0, "State": "canary", "MaxShare": 0.5, "AgeMs": 60_000}
 
 
 class PlatformStandIn(StandIn):
--- a/tealsail/lab/capacity/tables.py
+++ b/tealsail/lab/capacity/tables.py
@@ -1,11 +1,11 @@
-"""Slopes as a table on the terminal."""
+"""Formats slopes and figures, and prints the slopes as a table on the terminal."""
 
 from rich.table import Table
 
 from .points import Column, Cost
 from .slopes import Slope, Slopes
 
-UNITS = {
+COST_UNITS = {
     Cost.PROCESSOR: "ms",
     Cost.MEMORY: "MB",
     Cost.BYTES_IN: "B",
@@ -13,41 +13,43 @@
     Cost.DATAGRAMS_IN: "datagrams",
     Cost.DATAGRAMS_OUT: "datagrams",
 }
-NOTHING = 1e-9
+NEGLIGIBLE = 1e-9  # of any unit: smaller figures are shown as 0
 
 
 def figure(value: float) -> str:
-    """Three digits that count, without an exponent where one can do without."""
-    if abs(value) < NOTHING:
+    """The value with three significant digits, without an exponent from 100 up."""
+    if abs(value) < NEGLIGIBLE:
         return "0"
     if abs(value) >= 100:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
-def shape(slope: Slope) -> str:
-    """Whether it is a line, and what it is else."""
-    if not slope.curve.grows():
+def describe_shape(slope: Slope) -> str:
+    """Whether the slope is flat, a line, or neither; in the last case the best shape and by how much it misses."""
+    if not slope.curve.has_growth():
         return "flat" if slope.curve.straight else "no trend; points scatter"
     return "line" if slope.curve.straight else f"not a line; {slope.curve.shape} misses by {slope.curve.worst:.0%}"
 
 
-def occurs(slope: Slope) -> bool:
-    """Whether there is any of that cost."""
-    return any(abs(value) > NOTHING for sample in slope.samples for value in sample.values)
+def has_cost(slope: Slope) -> bool:
+    """Whether any sample of the slope is more than negligible."""
+    return any(abs(value) > NEGLIGIBLE for sample in slope.samples for value in sample.values)
 
 
-def slopes(found: Slopes) -> Table:
+def slopes(run: Slopes) -> Table:
+    """The table of all slopes of a run."""
     table = Table(title="what one process costs: constant + growth * size")
     for column in ("of", "along", "column", "cost", "side", "smallest", "largest", "constant", "growth", "shape"):
         table.add_column(column, justify="left" if column in ("of", "along", "column", "side", "shape") else "right")
-    for slope in sorted(found.slopes, key=lambda each: (each.axis, each.name, each.column != Column.PROCESS)):
-        if occurs(slope):
+    for slope in sorted(run.slopes, key=lambda each: (each.axis, each.name, each.column != Column.PROCESS)):
+        if has_cost(slope):
             table.add_row(*row(slope))
     return table
 
 
 def row(slope: Slope) -> list[str]:
+    """The cells of one slope."""
     first, last, curve = slope.samples[0], slope.samples[-1], slope.curve
     return [
         str(slope.name),
@@ -58,6 +60,6 @@
         f"{first.x:g}: {figure(first.mean())}",
         f"{last.x:g}: {figure(last.mean())}",
         f"{figure(curve.constant)} ±{figure(curve.constant_error)}",
-        f"{figure(curve.growth)} ±{figure(curve.growth_error)} {UNITS[slope.cost]}/{curve.shape}",
-        shape(slope),
+        f"{figure(curve.growth)} ±{figure(curve.growth_error)} {COST_UNITS[slope.cost]}/{curve.shape}",
+        describe_shape(slope),
     ]
--- a/tealsail/lab/scale/foretold.py
+++ b/tealsail/lab/scale/foretold.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from ..capacity.points import Cost, Side
-from ..capacity.roles import FleetSize, Role, RoleCost, Term, foretell
+from ..capacity.roles import FleetSize, Role, RoleCost, Term, forecast_role_costs
 from ..capacity.slopes import Slopes
 from .reading import RoleSeen, Run
 
@@ -47,7 +47,7 @@
 
 def compare(run: Run, slopes: Slopes) -> list[Compared]:
     """For each role seen: processor time, memory, and datagrams with their bytes."""
-    costs = {cost.role: cost for cost in foretell(size_of(run), slopes)}
+    costs = {cost.role: cost for cost in forecast_role_costs(size_of(run), slopes)}
     known = [seen for seen in run.roles if seen.role in ROLES]  # who is next in line has no row of its own
     return [each for seen in known for each in of_role(seen, costs[ROLES[seen.role]])]
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,8 +6,8 @@
 
 from tealsail.lab.capacity import causes, incidents, measure, page, sizing, slopes
 from tealsail.lab.capacity.fit import Sample, Shape, fit
-from tealsail.lab.capacity.points import Axis, Column, Cost, Found, Name, Point, Problem, Side
-from tealsail.lab.capacity.roles import FleetSize, Role, foretell
+from tealsail.lab.capacity.points import Activity, Axis, Column, Cost, Point, PointMeasured, Problem, Side
+from tealsail.lab.capacity.roles import FleetSize, Role, forecast_role_costs
 
 ROOT = Path(__file__).parents[1]
 PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "docs/capacity.toml"
@@ -27,7 +27,7 @@
         for name, axis, cost, side, constant, growth in lines
         for x in SIZES
     ]
-    return slopes.Slopes(slopes.VERSION, MACHINE, 1.0, 1, slopes.through(points, BASES, {}))
+    return slopes.Slopes(slopes.VERSION, MACHINE, 1.0, 1, slopes.fit_slopes(points, BASES, {}))
 
 
 class TheFit(unittest.TestCase):
@@ -36,13 +36,13 @@
         self.assertTrue(curve.straight)
         self.assertAlmostEqual(curve.constant, 3.0, 6)
         self.assertAlmostEqual(curve.growth, 0.02, 9)
-        value, error = curve.at(500)
+        value, error = curve.value_at(500)
         self.assertAlmostEqual(value, 13.0, 6)
         self.assertGreater(error, 0)
 
     def test_an_interval_widens_beyond_the_last_point(self) -> None:
         curve = fit(line(3.0, 0.02))
-        self.assertGreater(curve.at(10_000)[1], 5 * curve.at(1000)[1])
+        self.assertGreater(curve.value_at(10_000)[1], 5 * curve.value_at(1000)[1])
 
     def test_what_grows_with_the_square_is_called_no_line(self) -> None:
         curve = fit([Sample(x, (1 + 0.01 * x * x,)) for x in (10, 50, 200, 1000)])
@@ -56,12 +56,13 @@
         """A line through a step foretold half of what had been measured at the very size."""
         values = ((100, 1.0), (1000, 2.0), (2000, 3.0), (10_000, 83.0))
         points = [
-            Point(Name.IDLE, Axis.UNITS, Column.PROCESS, Cost.PROCESSOR, Side.CONTROL, x, value) for x, value in values
+            Point(Activity.IDLE_SECOND, Axis.UNITS, Column.PROCESS, Cost.PROCESSOR, Side.CONTROL, x, value)
+            for x, value in values
         ]
-        (slope,) = slopes.through(points, BASES, {})
+        (slope,) = slopes.fit_slopes(points, BASES, {})
         self.assertFalse(slope.curve.straight)
         for x, value in ((100, 1.0), (10_000, 83.0), (6000, 43.0), (12_000, 103.0)):
-            self.assertAlmostEqual(slope.at(x)[0], value, 6)
+            self.assertAlmostEqual(slope.value_at(x)[0], value, 6)
 
     def test_repeats_that_scatter_widen_the_error(self) -> None:
         steady = fit([Sample(x, (x, x)) for x in SIZES])
@@ -76,13 +77,13 @@
 class TheSizing(unittest.TestCase):
     def test_a_relay_pays_for_beats_changes_and_its_share_of_requests(self) -> None:
         found = run(
-            (Name.IDLE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 1.0, 0.01),
-            (Name.IDLE, Axis.TENANTS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
-            (Name.CHANGE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.5, 0.001),
-            (Name.REQUESTS, Axis.REQUESTS, Cost.PROCESSOR, Side.SERVING, 0.0, 1.5),
-            (Name.ASKING, Axis.REQUESTS, Cost.PROCESSOR, Side.BOTH, 0.0, 2.5),
+            (Activity.IDLE_SECOND, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 1.0, 0.01),
+            (Activity.IDLE_SECOND, Axis.TENANTS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
+            (Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.5, 0.001),
+            (Activity.REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, Side.SERVING, 0.0, 1.5),
+            (Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, Side.BOTH, 0.0, 2.5),
         )
-        relay = foretell(FleetSize(100, 1000, 10_000.0, 140, 0.5), found)[0]
+        relay = forecast_role_costs(FleetSize(100, 1000, 10_000.0, 140, 0.5), found)[0]
         self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.SERVING)[0], 150.0, 4)
         beats, tenants, changes, messages = 11.0, 0.001 * (140 - 40), 0.5 * 1.5, 100.0
         self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.CONTROL)[0], beats + tenants + changes + messages, 4)
@@ -91,8 +92,10 @@
         )  # bytes were not measured, and are not taken for none
 
     def test_without_questions_to_a_tracker_there_are_no_messages_for_requests(self) -> None:
-        found = run((Name.TRACKING, Axis.MESSAGES, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.1))
-        asked, silent = (foretell(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False))
+        found = run((Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.1))
+        asked, silent = (
+            forecast_role_costs(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False)
+        )
         self.assertAlmostEqual(asked[2].total(Cost.PROCESSOR)[0], 300.0, 4)
         self.assertTrue(next(term for term in asked[2].terms if term.name == "messages of loads").beyond)
         self.assertEqual(silent[2].total(Cost.PROCESSOR)[0], 0.0)
@@ -115,9 +118,9 @@
     def test_a_zone_takes_its_units_and_their_connections(self) -> None:
         plan = sizing.read_plan(PLAN)
         found = run(
-            (Name.CHANGE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
-            (Name.CHANGE, Axis.UNITS, Cost.BYTES_IN, Side.CONTROL, 200.0, 0.0),
-            (Name.WHOLE, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.01),
+            (Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
+            (Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, Side.CONTROL, 200.0, 0.0),
+            (Activity.WHOLE_LIST, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.01),
         )
         zone = incidents.incidents(plan, found)[1]
         self.assertEqual((zone.entries, zone.cold), (3000, 1500))
@@ -142,7 +145,7 @@
         places += [state.emptied_by for state in sizing.states(plan, found)]
         self.assertGreater(len(places), 20)
         for place in places:
-            self.assertTrue(callable(place.found()), str(place))
+            self.assertTrue(callable(place.resolve()), str(place))
 
     def test_every_line_of_code_that_a_slope_is_put_down_to_is_there(self) -> None:
         for cause in causes.CAUSES.values():
@@ -155,7 +158,7 @@
     def points(self, *arguments: str) -> list[Point]:
         said = list(measure.lines([f"tealsail.lab.capacity.{arguments[0]}", *arguments[1:]], time.monotonic() + 60))
         self.assertEqual([line for line in said if isinstance(line, Problem)], [])
-        return [line.point for line in said if isinstance(line, Found)]
+        return [line.point for line in said if isinstance(line, PointMeasured)]
 
     def test_a_real_relay_takes_a_changed_entry_and_its_cost_is_read(self) -> None:
         points = self.points("process_measurements", "60", "1", "1", Axis.LIST_CHANGES)
@@ -167,7 +170,15 @@
 
     def test_the_facade_alone_has_the_same_costs_along_units(self) -> None:
         points = self.points("facade_measurements", Axis.UNITS, "120")
-        names = {Name.STANDING, Name.IDLE, Name.CHANGE, Name.WHOLE, Name.RELOAD, Name.REQUEST, Name.TRACKED}
+        names = {
+            Activity.STANDING_STATE,
+            Activity.IDLE_SECOND,
+            Activity.CHANGED_ENTRY,
+            Activity.WHOLE_LIST,
+            Activity.SETTINGS_CHANGE,
+            Activity.REQUEST,
+            Activity.TRACKER_MESSAGE,
+        }
         self.assertEqual({point.name for point in points}, names)
         self.assertTrue(all(point.value > 0 for point in points))
 
