--- a/tealsail/lab/capacity/measure.py
+++ b/tealsail/lab/capacity/measure.py
@@ -1,4 +1,4 @@
-"""One run of all measurements: starts the measuring processes, reads their lines, ends them, and fits the slopes."""
+"""Runs all measurements: starts the measuring processes, reads their reports, ends them, and fits the slopes."""
 
 import os
 import platform
@@ -17,29 +17,35 @@
 from .slopes import VERSION, Machine, Slopes, fit_slopes
 
 ROOT = Path(__file__).parents[3]
-LONGEST = 298.0  # seconds of a whole run
-WAIT = 5.0  # seconds until a measuring process that was told to end is killed
-REPEATS, POINTS = 2, 4  # of each size on sockets; sizes of a slope
-BASES = {
+MAX_RUN_TIME = 298.0  # seconds
+EXIT_TIMEOUT = 5.0  # seconds until a measuring process is killed that does not end when its input is closed
+REPEATS = 2  # of each size on sockets
+POINTS = 4  # sizes of a slope
+BASES = {  # sizes in measurements along the other axes
     Axis.UNITS: float(Setup().units),
     Axis.RELAYS: float(Setup().relays),
     Axis.TENANTS: float(Setup().tenants),
 }
 
-Show = Callable[[int, int, str], None]
+ShowProgress = Callable[[int, int, str], None]  # measurements done, their total, the title of the next one
 
 
 class Collector:
-    """What the measuring processes have said."""
+    """Collects the reports of the measuring processes.
 
-    def __init__(self, show: Show) -> None:
+    `done_before` counts the measurements of processes that have ended, `total` all of the run.
+    """
+
+    def __init__(self, show: ShowProgress) -> None:
         self.show = show
         self.points: list[Point] = []
         self.problems: list[str] = []
         self.disturbed: list[str] = []
-        self.before, self.total = 0, 0  # measurements of processes that have ended; of all
+        self.done_before = 0
+        self.total = 0
 
-    def take(self, line: ReportLine) -> None:
+    def add(self, line: ReportLine) -> None:
+        """Takes in one report."""
         match line:
             case PointMeasured(point):
                 self.points.append(point)
@@ -48,66 +54,71 @@
             case Disturbed(text):
                 self.disturbed.append(text)
             case Progress(done, _, title):
-                self.show(self.before + done, self.total, title)
+                self.show(self.done_before + done, self.total, title)
+
 
+def run_process(arguments: list[str], until: float) -> Iterator[ReportLine]:
+    """The reports of one measuring process, which is killed at `until` (seconds of the monotonic clock).
 
-def lines(arguments: list[str], until: float) -> Iterator[ReportLine]:
-    """What one measuring process says; it is ended with this program, or at `until` (monotonic seconds)."""
+    The process with the sockets also ends when its input is closed, and so when this program ends.
+    """
     environment = os.environ | {"PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-B", "-m", *arguments]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=environment)
-    late = threading.Timer(max(0.0, until - time.monotonic()), process.kill)
-    late.daemon = True
-    late.start()
+    timeout = threading.Timer(max(0.0, until - time.monotonic()), process.kill)
+    timeout.daemon = True
+    timeout.start()
     decoder = msgspec.json.Decoder(ReportLine)
     try:
         for text in process.stdout:
             yield decoder.decode(text)
     finally:
-        late.cancel()
-        process.stdin.close()  # it ends what it started, and itself
+        timeout.cancel()
+        process.stdin.close()  # the process ends the relay that it started, and itself
         process.stdout.close()
         try:
-            code = process.wait(WAIT)
+            code = process.wait(EXIT_TIMEOUT)
         except subprocess.TimeoutExpired:
             process.kill()
             code = process.wait()
     if code:
-        yield Problem(f"{' '.join(arguments)}: ended with {code}")
+        yield Problem(f"{' '.join(arguments)}: exit status {code}")
 
 
-def measure(axes: list[Axis], repeats: int, points: int, show: Show) -> Slopes:
-    """All slopes along these axes."""
-    begun, before = time.monotonic(), machine()
-    until = begun + LONGEST
+def measure(axes: list[Axis], repeats: int, points: int, show: ShowProgress) -> Slopes:
+    """Measures along the axes and fits all slopes: each of the first `points` sizes `repeats` times on sockets."""
+    begun, machine_before = time.monotonic(), machine()
+    until = begun + MAX_RUN_TIME
     collector = Collector(show)
-    parts = alone(axes, points)
+    parts = facade_parts(axes, points)
     collector.total = len(parts) + repeats * points * len(axes)
     for done, (axis, sizes) in enumerate(parts):
         show(done, collector.total, f"facade alone: {axis} {' '.join(sizes)}")
-        for line in lines(["tealsail.lab.capacity.facade_measurements", axis, *sizes], until):
-            collector.take(line)
-    collector.before = len(parts)
-    seconds = f"{max(1.0, until - WAIT - time.monotonic()):.1f}"
-    for line in lines(["tealsail.lab.capacity.process_measurements", seconds, str(repeats), str(points), *axes], until):
+        for line in run_process(["tealsail.lab.capacity.facade_measurements", axis, *sizes], until):
+            collector.add(line)
+    collector.done_before = len(parts)
+    time_left = f"{max(1.0, until - EXIT_TIMEOUT - time.monotonic()):.1f}"
+    for line in run_process(
+        ["tealsail.lab.capacity.process_measurements", time_left, str(repeats), str(points), *axes], until
+    ):
         if isinstance(line, Progress):
             collector.total = len(parts) + line.total
-        collector.take(line)
+        collector.add(line)
     seconds = time.monotonic() - begun
-    found = fit_slopes(collector.points, BASES, describe_causes())
+    fitted = fit_slopes(collector.points, BASES, describe_causes())
     return Slopes(
         VERSION,
-        msgspec.structs.replace(before, load_after=os.getloadavg()[0]),
+        msgspec.structs.replace(machine_before, load_after=os.getloadavg()[0]),
         seconds,
         repeats,
-        found,
+        fitted,
         collector.problems,
         collector.disturbed,
     )
 
 
-def alone(axes: list[Axis], points: int) -> list[tuple[Axis, list[str]]]:
-    """What each process for the facade measures: one size where memory is read, else all of an axis."""
+def facade_parts(axes: list[Axis], points: int) -> list[tuple[Axis, list[str]]]:
+    """What each process for the facade measures: one size of an axis where memory is read, else all sizes."""
     parts: list[tuple[Axis, list[str]]] = []
     for axis in axes:
         sizes = [f"{x:g}" for x in SIZES[axis][:points]]
@@ -116,11 +127,11 @@
 
 
 def machine() -> Machine:
-    """As it is now, and the tree that is measured."""
+    """The machine as it is now, and the commit that is measured; `load_after` is still 0."""
     return Machine(
         os.cpu_count() or 0,
         sorted(os.sched_getaffinity(0)),
-        processor(),
+        processor_name(),
         platform.python_version(),
         platform.release(),
         os.getloadavg()[0],
@@ -131,8 +142,8 @@
     )
 
 
-def processor() -> str:
-    """Its name, as the system has it."""
+def processor_name() -> str:
+    """The name of the processor, as the system has it."""
     try:
         rows = Path("/proc/cpuinfo").read_text().splitlines()
     except OSError:
@@ -141,7 +152,7 @@
 
 
 def git(*arguments: str) -> str:
-    """Nothing where the tree is no checkout."""
+    """The output of a git command in the measured tree; empty if that is no checkout or git fails."""
     try:
         return subprocess.run(
             ["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, timeout=10, check=True
--- a/tealsail/lab/capacity/measured_relay.py
+++ b/tealsail/lab/capacity/measured_relay.py
@@ -1,4 +1,4 @@
-"""The measured process: `tealsail serve` as it is, started, read from /proc, and ended."""
+"""The measured relay: runs `tealsail serve` unchanged and reads its processor time and memory from /proc."""
 
 import json
 import os
@@ -14,15 +14,18 @@
 from .events import PAGE_BYTES, Setup, settings
 
 ROOT = Path(__file__).parents[3]
-# The relay ends with the process that started it, whatever ends that: PR_SET_PDEATHSIG outlives exec.
-FIRST = (
+# prctl(PR_SET_PDEATHSIG, SIGKILL), which outlives exec: the relay is killed when this process ends for any reason.
+DIE_WITH_PARENT = (
     "import ctypes, os, sys; ctypes.CDLL(None).prctl(1, 9); os.execv(sys.executable, [sys.executable, *sys.argv[1:]])"
 )
-KEPT_ERRORS = 4_000  # bytes of its log, for a message of ours
+MAX_LOG_BYTES = 4_000  # kept of the end of the relay's log, for error messages
 
 
 def configuration(setup: Setup, listen: str, stand_ins: dict[str, str], peers: list[str]) -> dict[str, Any]:
-    """The file that EDGE_CONFIG names; `stand_ins` holds addresses by name."""
+    """The content of the file that EDGE_CONFIG names.
+
+    `stand_ins` holds the addresses of the list, the platform and all peers together; `peers` holds those of all relays.
+    """
     return {
         "name": "measured",
         "listen": listen,
@@ -37,61 +40,65 @@
     }
 
 
-class Subject(ProcessProtocol):
-    """One relay in a process of its own; `ended` fires once it has ended."""
+class MeasuredRelay(ProcessProtocol):
+    """A relay in a process of its own; `ended` fires when the process has ended."""
 
     def __init__(self, reactor: Any, path: Path) -> None:
         self.ended: Deferred[None] = Deferred()
-        self.log, self.wanted, self.over = b"", b"", False
-        self.found: Deferred[None] | None = None
+        self.log = b""
+        self.awaited_text = b""
+        self.has_ended = False
+        self.text_logged: Deferred[None] | None = None
         environment = {name: text for name, text in os.environ.items() if not name.startswith("EDGE_")}
         environment |= {"EDGE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
         serve = ["-B", "-m", "tealsail", "serve", f"--document={path}.none"]
-        arguments = [sys.executable, "-c", FIRST, *serve]
+        arguments = [sys.executable, "-c", DIE_WITH_PARENT, *serve]
         reactor.spawnProcess(self, sys.executable, arguments, environment, childFDs={0: "w", 1: "r", 2: "r"})
-        self.process = self.transport.pid
+        self.process_id = self.transport.pid
 
-    def says(self, words: bytes) -> Deferred[None]:
-        """Fires once a line of its log holds these; fails if it ends before."""
-        self.wanted, self.found = words, Deferred()
-        if self.over:
+    def wait_for_log(self, text: bytes) -> Deferred[None]:
+        """Fires when the log holds the text; fails with ValueError if the relay ends before."""
+        self.awaited_text, self.text_logged = text, Deferred()
+        if self.has_ended:
             self.fail()
-        return self.found
+        return self.text_logged
 
     def errReceived(self, data: bytes) -> None:
-        self.log = (self.log + data)[-KEPT_ERRORS:]
-        if self.found and self.wanted in self.log:
-            found, self.found, self.log = self.found, None, b""
-            found.callback(None)
+        self.log = (self.log + data)[-MAX_LOG_BYTES:]
+        if self.text_logged and self.awaited_text in self.log:
+            text_logged, self.text_logged, self.log = self.text_logged, None, b""
+            text_logged.callback(None)
 
     def fail(self) -> None:
-        if self.found:
-            found, self.found = self.found, None
-            found.errback(ValueError(f"the measured relay ended: {self.log.decode(errors='replace')[-300:]}"))
+        """Fails the wait for a text in the log, if there is one."""
+        if self.text_logged:
+            text_logged, self.text_logged = self.text_logged, None
+            text_logged.errback(ValueError(f"the measured relay ended: {self.log.decode(errors='replace')[-300:]}"))
 
     def processEnded(self, reason: Failure) -> None:
-        self.over = True
+        self.has_ended = True
         self.fail()
         self.ended.callback(None)
 
     def signal(self, name: str) -> None:
+        """Sends a signal, unless the process has ended."""
         try:
             self.transport.signalProcess(name)
         except ProcessExitedAlready:
             pass
 
     def processor_ms(self) -> float:
-        """Of all its threads so far."""
-        tasks = Path(f"/proc/{self.process}/task")
+        """The processor time of all threads so far."""
+        tasks = Path(f"/proc/{self.process_id}/task")
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks.iterdir()) / 1e6
 
     def memory_mb(self) -> float:
-        """Resident, 1 MB = 10^6 bytes."""
-        return int(Path(f"/proc/{self.process}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
+        """The resident memory; 1 MB = 10^6 bytes."""
+        return int(Path(f"/proc/{self.process_id}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
 def save(path: Path, tree: dict[str, Any]) -> None:
-    """In one step, so that nobody reads half of it."""
+    """Writes JSON and renames the file into place, so that nobody reads half of it."""
     part = path.with_suffix(".part")
     part.write_text(json.dumps(tree))
     part.replace(path)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -156,7 +156,9 @@
     """Not how much: a machine at work on other things would make that a matter of chance."""
 
     def points(self, *arguments: str) -> list[Point]:
-        said = list(measure.lines([f"tealsail.lab.capacity.{arguments[0]}", *arguments[1:]], time.monotonic() + 60))
+        said = list(
+            measure.run_process([f"tealsail.lab.capacity.{arguments[0]}", *arguments[1:]], time.monotonic() + 60)
+        )
         self.assertEqual([line for line in said if isinstance(line, Problem)], [])
         return [line.point for line in said if isinstance(line, PointMeasured)]
 
