--- a/tealsail/command/capacity.py
+++ b/tealsail/command/capacity.py
@@ -30,7 +30,7 @@
     measured = slopes.read(arguments["--from"] or DEFAULT_RUN_FILE)
     plan = read_plan(arguments["--plan"] or DEFAULT_PLAN_FILE)
     path = Path(arguments["--page"])
-    path.write_text(page.filled(path.read_text(), measured, plan))
+    path.write_text(page.fill(path.read_text(), measured, plan))
     print(f"{path}: tables written")
     return 0
 
--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -105,7 +105,7 @@
     return next(number for number in reversed(relay.judge.order) if number not in relay.load_tracking.order)
 
 
-def count_messages(sender: int, count: int, classes: int) -> list[bytes]:
+def full_count_messages(sender: int, count: int, classes: int) -> list[bytes]:
     """The messages with all cells of a relay's counts."""
     cells = 30 * classes  # three groups of ten cells for each request class
     return notes.count_notes(CANARY_BUILD, sender, [(cell, 1 + count % 60_000) for cell in range(cells)], cells)
--- a/tealsail/lab/capacity/facade_measurements.py
+++ b/tealsail/lab/capacity/facade_measurements.py
@@ -21,7 +21,7 @@
     CANARY_BUILD,
     PAGE_BYTES,
     Setup,
-    count_messages,
+    full_count_messages,
     judge_order,
     plain_relay,
     request_message,
@@ -183,7 +183,7 @@
     judge = SocketlessRelay(Setup(relays=int(x), index=judge_order(int(x))[0]))
     for sender in range(int(x)):
         if sender != judge.setup.index:
-            for data in count_messages(sender, 1, judge.setup.classes):
+            for data in full_count_messages(sender, 1, judge.setup.classes):
                 judge.receive(sender, data)
     write(Activity.JUDGE_IDLE_SECOND, x, [memory_mb()], Cost.MEMORY)
     write(Activity.JUDGE_IDLE_SECOND, x, measure_ms(judge.beat, BEATS), times=2)
@@ -212,7 +212,7 @@
     write(Activity.TRACKER_SECOND, x, measure_ms(track, MESSAGES), times=x)
     judge = SocketlessRelay(Setup(relays=1300, index=judge_order(1300)[0]))
     others = [number for number in range(1300) if number != judge.setup.index]
-    messages = [count_messages(number // 2, number, 3)[number % 2] for number in range(REPEATS * MESSAGES)]
+    messages = [full_count_messages(number // 2, number, 3)[number % 2] for number in range(REPEATS * MESSAGES)]
 
     def count(number: int) -> None:
         judge.now += step
--- a/tealsail/lab/capacity/incidents.py
+++ b/tealsail/lab/capacity/incidents.py
@@ -1,101 +1,114 @@
-"""What ordinary trouble sets off at the planned size: bursts of list changes, connections, cold units and messages."""
+"""Forecasts what ordinary incidents cause at the planned size: changed entries, connections, cold units and bytes."""
 
 from typing import NamedTuple
 
 from ...policy import DEFAULTS, JUDGE_TIMEOUT, SECOND, UnitChoice
 from .points import Activity, Axis, Cost, Side
-from .roles import Estimate, extent
+from .roles import Estimate, estimate
 from .sizing import DAY, MINUTE, Plan
 from .slopes import Slopes
 
-WARM_UP = DEFAULTS["warm_up"] / SECOND  # seconds, where the platform's settings say nothing
-REST = UnitChoice.MAX_EJECTION_TIME / SECOND  # seconds until a unit that failed is tried again, at the most
-SILENT = JUDGE_TIMEOUT / SECOND  # seconds until a silent judge's next in line takes over
+WARM_UP_S = DEFAULTS["warm_up"] / SECOND  # seconds, unless the platform's settings say otherwise
+MAX_EJECTION_S = UnitChoice.MAX_EJECTION_TIME / SECOND  # seconds until a unit that failed is tried again, at most
+JUDGE_TIMEOUT_S = JUDGE_TIMEOUT / SECOND  # seconds until the next in the order replaces a silent judge
 HOUR = 3600  # seconds
 
 
 class Incident(NamedTuple):
-    """One event, and what it means for one relay (processor time) and for all together (the rest)."""
+    """One incident with its cost: processor time is that of one relay, all else that of all relays together."""
 
     name: str
-    entries: float  # of the list that change
-    within: str
-    one_by_one_ms: Estimate  # processor time of a relay, each entry in an answer of its own
-    at_once_ms: Estimate  # all in one answer
+    entries: float  # changed entries of the list of units
+    within: str  # the time in which they change
+    one_by_one_ms: Estimate  # with each entry in a response of its own
+    at_once_ms: Estimate  # with all entries in one response
     bytes_to_all: Estimate
-    connections: float  # to units, lost and made anew
-    cold: float  # units at a time
-    as_before_s: float
-    why: str
+    connections: float  # to units, lost and opened again
+    cold: float  # cold units at a time
+    recovery_s: float  # seconds until all is as before
+    why: str  # what the time until recovery consists of
 
 
-class Prices(NamedTuple):
-    """A changed entry at that size, and what one more of the same answer adds."""
+class EntryCosts(NamedTuple):
+    """The costs of changed entries at the planned size, in milliseconds of processor time and in bytes.
 
-    alone: Estimate
-    further: Estimate
+    `first_ms` is the cost of a response with one entry, `further_ms` that of each further entry in the same response.
+    """
+
+    first_ms: Estimate
+    further_ms: Estimate
     bytes_each: Estimate
 
 
-def prices(plan: Plan, slopes: Slopes) -> Prices:
+def entry_costs(plan: Plan, slopes: Slopes) -> EntryCosts:
+    """The costs of changed entries at the planned size."""
     units = plan.fleet.units
-    alone = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, units)
-    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.PROCESSOR, units)
-    size = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, units, side=Side.CONTROL)
-    return Prices(alone, whole.times(1 / units), size)
+    first = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, units)
+    whole = estimate(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.PROCESSOR, units)
+    size = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, units, side=Side.CONTROL)
+    return EntryCosts(first, whole.times(1 / units), size)
 
 
 def incident(
-    plan: Plan, price: Prices, name: str, units: float, entries: float, within: str, cold: float, span: float, why: str
+    plan: Plan,
+    costs: EntryCosts,
+    name: str,
+    units: float,
+    entries: float,
+    within: str,
+    cold: float,
+    recovery_s: float,
+    why: str,
 ) -> Incident:
+    """An incident that takes down `units` units and changes `entries` entries of the list."""
     fleet, assumed = plan.fleet, plan.assumed
-    used = fleet.relays * assumed.units_used_by_relay / fleet.units  # connections of a unit
-    further = price.further.times(max(0.0, entries - 1))
+    connections_per_unit = fleet.relays * assumed.units_used_by_relay / fleet.units
+    further = costs.further_ms.times(max(0.0, entries - 1))
     at_once = Estimate(
-        price.alone.value + further.value,
-        price.alone.error + further.error,
-        f"{price.alone.slope}, and {further.slope} for each further entry",
-        price.alone.beyond or further.beyond,
-        price.alone.missing or further.missing,
+        costs.first_ms.value + further.value,
+        costs.first_ms.error + further.error,
+        f"{costs.first_ms.slope}, and {further.slope} for each further entry",
+        costs.first_ms.is_extrapolated or further.is_extrapolated,
+        costs.first_ms.is_missing or further.is_missing,
     )
     return Incident(
         name,
         entries,
         within,
-        price.alone.times(entries),
+        costs.first_ms.times(entries),
         at_once,
-        price.bytes_each.times(entries * fleet.relays),
-        used * units,
+        costs.bytes_each.times(entries * fleet.relays),
+        connections_per_unit * units,
         cold,
-        span,
+        recovery_s,
         why,
     )
 
 
 def incidents(plan: Plan, slopes: Slopes) -> list[Incident]:
-    """In the order of the operators' list."""
-    fleet, assumed, price = plan.fleet, plan.assumed, prices(plan, slopes)
+    """All incidents, in the order of the operators' list."""
+    fleet, assumed, costs = plan.fleet, plan.assumed, entry_costs(plan, slopes)
     restarts, rack = fleet.machines_restarted_per_day, float(assumed.units_per_rack)
     zone, region = fleet.units / fleet.zones, fleet.units / fleet.regions
-    roll = MINUTE * assumed.rollout_minutes
+    rollout_s = MINUTE * assumed.rollout_minutes
     day_entries = plan.list_changes_per_second() * DAY
-    roll_entries = plan.rollout_changes_per_second() * roll
-    lost = f"rests of at most {REST:g} s; back, its units are cold for {WARM_UP:g} s"
-    judges = f"{lost}; a judge among them is replaced after {SILENT:g} s"
-    rest = REST + WARM_UP
+    rollout_entries = plan.rollout_changes_per_second() * rollout_s
+    lost = f"ejections of at most {MAX_EJECTION_S:g} s; back, units are cold for {WARM_UP_S:g} s"
+    judges = f"{lost}; a judge among the lost relays is replaced after {JUDGE_TIMEOUT_S:g} s"
+    recovery_s = MAX_EJECTION_S + WARM_UP_S
     rows = (
-        ("a rack or switch", rack, 2 * rack, "at once, and back", rack, rest, lost),
-        ("a zone", zone, 2 * zone, "at once, and back", zone, rest, judges),
-        ("a region cut for an hour", region, 2 * region, "at once, and back", region, HOUR + rest, judges),
-        ("restarts of a day", restarts, day_entries, "a day", restarts * WARM_UP / DAY, WARM_UP, "each by itself"),
+        ("a rack or switch", rack, 2 * rack, "a moment, and back", rack, recovery_s, lost),
+        ("a zone", zone, 2 * zone, "a moment, and back", zone, recovery_s, judges),
+        ("a region cut off for an hour", region, 2 * region, "a moment, and back", region, HOUR + recovery_s, judges),
+        ("restarts of a day", restarts, day_entries, "a day", restarts * WARM_UP_S / DAY, WARM_UP_S, "each by itself"),
         (
-            "the same as a roll-out",
+            "the same as a rollout",
             restarts,
-            roll_entries,
-            f"{roll / MINUTE:g} min",
-            restarts * WARM_UP / roll,
-            roll,
+            rollout_entries,
+            f"{rollout_s / MINUTE:g} min",
+            restarts * WARM_UP_S / rollout_s,
+            rollout_s,
             lost,
         ),
     )
-    return [incident(plan, price, *row) for row in rows]
+    return [incident(plan, costs, *row) for row in rows]
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, written between the page's markers from a run's slopes and the planned numbers."""
+"""Writes the tables of docs/CAPACITY.md between the page's markers, from the slopes of a run and the plan."""
 
 import re
 from collections.abc import Callable
@@ -10,13 +10,15 @@
 from .slopes import Slope, Slopes
 from .tables import COST_UNITS, describe_shape, figure, has_cost
 
-BEGIN, END = "<!-- capacity: {} -->", "<!-- end of {} -->"
-MARKED = re.compile(r"<!-- capacity: (\w+) -->\n.*?<!-- end of \1 -->", re.S)
-MISSING, UNKNOWN = "**missing**", "not measured"
+BEGIN = "<!-- capacity: {} -->"
+END = "<!-- end of {} -->"
+MARKED_SECTION = re.compile(r"<!-- capacity: (\w+) -->\n.*?<!-- end of \1 -->", re.S)
+MISSING = "**missing**"
+NOT_MEASURED = "not measured"
 
 
 def table(head: list[str], rows: list[list[str]], right: set[int] = frozenset()) -> str:
-    """A Markdown table; columns of `right` are set to the right."""
+    """A Markdown table; the columns with the numbers in `right` are aligned to the right."""
     lines = ["| " + " | ".join(head) + " |"]
     lines.append("| " + " | ".join("---:" if place in right else "---" for place in range(len(head))) + " |")
     lines += ["| " + " | ".join(row) + " |" for row in rows]
@@ -24,33 +26,36 @@
 
 
 def with_error(value: float | None, error: float) -> str:
+    """The value with half the width of its 95% interval."""
     if value is None:
-        return UNKNOWN
+        return NOT_MEASURED
     return f"{figure(value)} ±{figure(error)}" if error else figure(value)
 
 
-def extent(found: Estimate) -> str:
-    return UNKNOWN if found.missing else with_error(found.value, found.error)
+def format_estimate(found: Estimate) -> str:
+    """The estimate with its error, or that it was not measured."""
+    return NOT_MEASURED if found.is_missing else with_error(found.value, found.error)
 
 
 def run(slopes: Slopes, plan: sizing.Plan) -> str:
-    """Where and how the slopes were measured."""
-    state = slopes.machine
-    changed = ", with changes that were not committed" if state.changed else ""
+    """Section `run`: where and how the slopes were measured."""
+    machine = slopes.machine
+    changed = ", with uncommitted changes" if machine.changed else ""
     rows = [
-        ["commit", f"{state.commit}{changed}"],
-        ["date", state.date],
-        ["processors", f"{len(state.allowed)} used of {state.cores}, {state.model}"],
-        ["Python, kernel", f"{state.python}, {state.kernel}"],
-        ["load before and after", f"{state.load_before:.2f}, {state.load_after:.2f}"],
-        ["time, repeats of a size", f"{slopes.seconds:.0f} s, {slopes.repeats}"],
+        ["commit", f"{machine.commit}{changed}"],
+        ["date", machine.date],
+        ["processors", f"{len(machine.allowed)} used of {machine.cores}, {machine.model}"],
+        ["Python, kernel", f"{machine.python}, {machine.kernel}"],
+        ["load before and after", f"{machine.load_before:.2f}, {machine.load_after:.2f}"],
+        ["duration, repeats of a size", f"{slopes.seconds:.0f} s, {slopes.repeats}"],
         ["not measured", "; ".join(slopes.problems) or "nothing"],
-        ["kept though disturbed by the machine's host", "; ".join(slopes.disturbed) or "nothing"],
+        ["kept although disturbed by the machine's host", "; ".join(slopes.disturbed) or "nothing"],
     ]
     return table(["the run", ""], rows)
 
 
 def ordered(slopes: Slopes) -> list[Slope]:
+    """The slopes with any cost, by axis, activity, cost and side."""
     return sorted(
         filter(has_cost, slopes.slopes),
         key=lambda each: (
@@ -63,21 +68,21 @@
 
 
 def slope_rows(slopes: Slopes, plan: sizing.Plan) -> str:
-    """Each slope on sockets, with the facade's beside it."""
+    """Section `slopes`: each slope on sockets with the growth of the facade's, then slopes of the facade alone."""
     rows = []
     for slope in ordered(slopes):
         if slope.column != Column.PROCESS:
             continue
-        alone = slopes.find(slope.name, slope.axis, slope.cost, Column.FACADE)
-        rows.append(slope_row(slope, alone))
+        facade = slopes.find(slope.name, slope.axis, slope.cost, Column.FACADE)
+        rows.append(slope_row(slope, facade))
     for slope in ordered(slopes):
         if slope.column == Column.FACADE and not slopes.find(slope.name, slope.axis, slope.cost):
             rows.append([*slope_row(slope, slope)[:3], "", "", "", *slope_row(slope, slope)[6:]])
     head = [
-        "what",
+        "activity",
         "along",
         "cost",
-        "at the ends",
+        "smallest and largest size",
         "constant",
         "growth",
         "facade alone: growth",
@@ -88,12 +93,14 @@
 
 
 def growth(slope: Slope) -> str:
+    """The coefficient with its error and, unless the slope is a line, the shape."""
     curve = slope.curve
     per = "" if curve.shape == Shape.LINE else f" x {curve.shape}"
     return f"{figure(curve.growth)} ±{figure(curve.growth_error)}{per}"
 
 
-def slope_row(slope: Slope, alone: Slope | None) -> list[str]:
+def slope_row(slope: Slope, facade: Slope | None) -> list[str]:
+    """The cells of one slope, `facade` being the same slope of the facade alone."""
     first, last, curve = slope.samples[0], slope.samples[-1], slope.curve
     return [
         f"{slope.name}, {slope.side}",
@@ -102,21 +109,24 @@
         f"{first.x:,g}: {figure(first.mean())}; {last.x:,g}: {figure(last.mean())}",
         f"{figure(curve.constant)} ±{figure(curve.constant_error)}",
         growth(slope),
-        growth(alone) if alone else "",
+        growth(facade) if facade else "",
         describe_shape(slope),
         f"`{slope.cause}`" if slope.cause and curve.has_growth() else "",
     ]
 
 
-def crooked(slopes: Slopes, plan: sizing.Plan) -> str:
-    """Slopes of processor time that are no straight line, and the line of code behind them."""
-    rows = [crooked_row(each) for each in ordered(slopes) if not each.curve.straight and each.cost == Cost.PROCESSOR]
+def not_straight(slopes: Slopes, plan: sizing.Plan) -> str:
+    """Section `crooked`: slopes of processor time that are no straight line, with the line of code behind them."""
+    rows = [
+        not_straight_row(each) for each in ordered(slopes) if not each.curve.straight and each.cost == Cost.PROCESSOR
+    ]
     if not rows:
         return "None: every slope of processor time is a straight line within its points' errors."
-    return table(["what", "along", "column", "points", "shape", "line of code"], rows)
+    return table(["activity", "along", "column", "points", "shape", "line of code"], rows)
 
 
-def crooked_row(slope: Slope) -> list[str]:
+def not_straight_row(slope: Slope) -> list[str]:
+    """The cells of one slope that is no straight line."""
     cause = f"`{slope.cause}`" if slope.cause else "not found"
     return [
         f"{slope.name}, {slope.side}",
@@ -129,15 +139,18 @@
 
 
 def points(slope: Slope) -> str:
+    """The mean at each size."""
     found = (f"{sample.x:,g}: {figure(sample.mean())}" for sample in slope.samples)
     return f"{'; '.join(found)} {COST_UNITS[slope.cost]}"
 
 
-def carried(need: sizing.Need) -> str:
+def mechanism(need: sizing.Need) -> str:
+    """The function that handles it, or that there is none."""
     return str(need.mechanism) if need.mechanism else MISSING
 
 
 def allowance(need: sizing.Need) -> list[str]:
+    """The cells of allowance and factor; a factor above one is set in bold."""
     factor = need.factor()
     limit = f"{figure(need.allowance)} {need.unit}" if need.allowance else ""
     if factor is None:
@@ -146,7 +159,7 @@
 
 
 def roles(slopes: Slopes, plan: sizing.Plan) -> str:
-    """All needs, role by role."""
+    """Section `roles`: all needs, role by role."""
     rows = [
         [
             str(need.role),
@@ -154,37 +167,38 @@
             f"{with_error(need.value, need.error)} {need.unit}".strip(),
             *allowance(need),
             need.source,
-            carried(need),
+            mechanism(need),
         ]
         for need in sizing.needs(plan, slopes)
     ]
-    head = ["role", "what", "at that size", "allowance", "factor", "from", "carried by"]
+    head = ["role", "cost", "at planned size", "allowance", "factor", "source", "handled by"]
     return table(head, rows, {2, 3, 4})
 
 
 def states(slopes: Slopes, plan: sizing.Plan) -> str:
+    """Section `states`: the tables that the processes of each role hold."""
     rows = [
         [
             str(state.role),
             state.table,
             state.entries,
-            UNKNOWN if state.bytes_each is None else f"{state.bytes_each:,.0f}",
+            NOT_MEASURED if state.bytes_each is None else f"{state.bytes_each:,.0f}",
             state.source,
             state.bound,
             str(state.emptied_by),
         ]
         for state in sizing.states(plan, slopes)
     ]
-    return table(["role", "table", "entries", "bytes each", "from", "bound", "emptied by"], rows, {2, 3})
+    return table(["role", "table", "entries", "bytes each", "source", "bound", "entries removed by"], rows, {2, 3})
 
 
 def largest_share(tenants: int, exponent: float) -> float:
-    """Of requests that fall on the first of so many tenants by a Zipf law."""
+    """The share of requests of the first of so many tenants by a Zipf law."""
     return 1 / sum(rank**-exponent for rank in range(1, tenants + 1))
 
 
 def assumed(slopes: Slopes, plan: sizing.Plan) -> str:
-    """What the operators did not say, in numbers, and what hangs on it."""
+    """Section `assumed`: the assumptions where the operators gave no number, and the rows that depend on them."""
     fleet, assumption = plan.fleet, plan.assumed
     mean = fleet.requests_per_second / fleet.relays
     share = largest_share(fleet.tenants, assumption.zipf)
@@ -211,7 +225,7 @@
             "connections of a unit",
             f"all relays to all units: {fleet.relays * fleet.units:,}, {fleet.relays:,} a unit; with {used} units used "
             f"by a relay {fleet.relays * used / fleet.units:.2f} a unit",
-            "connections in the events; not measured how many a busy relay uses",
+            "connections in the events; how many units a busy relay uses was not measured",
         ],
         [
             "one machine is one unit",
@@ -226,24 +240,25 @@
         ],
         ["a rack", f"{assumption.units_per_rack} units", "events"],
         [
-            "a judge is sent all cells of three classes",
-            f"{sizing.judge_messages(plan):,.0f} messages a second, the most",
+            "a judge receives all cells of three classes",
+            f"{sizing.judge_messages(plan):,.0f} messages a second, at most",
             "judge and voter",
         ],
     ]
-    return table(["assumed", "in numbers", "rows that hang on it"], rows)
+    return table(["assumption", "in numbers", "rows that depend on it"], rows)
 
 
 def events(slopes: Slopes, plan: sizing.Plan) -> str:
+    """Section `events`: ordinary incidents and what they cause."""
     rows = [
         [
             each.name,
             f"{each.entries:,.0f} within {each.within}",
-            f"{extent(each.one_by_one_ms)}; {extent(each.at_once_ms)}",
-            extent(each.bytes_to_all),
+            f"{format_estimate(each.one_by_one_ms)}; {format_estimate(each.at_once_ms)}",
+            format_estimate(each.bytes_to_all),
             f"{each.connections:,.0f}",
             f"{each.cold:,.1f}",
-            f"{each.as_before_s:,.0f}",
+            f"{each.recovery_s:,.0f}",
             each.why,
         ]
         for each in incidents.incidents(plan, slopes)
@@ -252,27 +267,37 @@
     head = [
         "event",
         "changed entries",
-        "processor ms of a relay: one by one; in one answer",
+        "processor ms of a relay: one by one; in one response",
         "bytes to all relays",
         "connections and handshakes at units",
         "cold units at a time",
-        "s until as before",
+        "s until recovered",
         "why",
     ]
     return table(head, rows, {2, 3, 4, 5, 6})
 
 
 def settings_event(slopes: Slopes, plan: sizing.Plan) -> list[str]:
-    """A change of configuration, which moves no unit."""
-    held = next(need for need in sizing.stops(plan, slopes) if "settings" in need.what)
-    sent = sizing.extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, plan.fleet.tenants)
+    """The row of a change of configuration, which changes no entry of the list."""
+    blocked = next(need for need in sizing.blocking_needs(plan, slopes) if "settings" in need.what)
+    sent = sizing.estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, plan.fleet.tenants)
     total = sent.times(plan.fleet.relays)
-    seconds = "not measured" if held.value is None else f"{held.value / 1000:.2f}"
-    why = f"read and taken; how it gets to {plan.fleet.relays:,} relays is missing"
-    return ["a change of configuration", "0", with_error(held.value, held.error), extent(total), "0", "0", seconds, why]
+    seconds = "not measured" if blocked.value is None else f"{blocked.value / 1000:.2f}"
+    why = f"read and applied; nothing sends it to {plan.fleet.relays:,} relays yet"
+    return [
+        "a change of configuration",
+        "0",
+        with_error(blocked.value, blocked.error),
+        format_estimate(total),
+        "0",
+        "0",
+        seconds,
+        why,
+    ]
 
 
-def over(slopes: Slopes, plan: sizing.Plan) -> str:
+def exceeding(slopes: Slopes, plan: sizing.Plan) -> str:
+    """Section `over`: the needs above their allowance, the largest factor first."""
     rows = [
         [
             f"{figure(need.factor() or 0)}",
@@ -280,32 +305,33 @@
             need.what,
             f"{with_error(need.value, need.error)} {need.unit}",
             f"{figure(need.allowance or 0)} {need.unit}",
-            carried(need),
+            mechanism(need),
         ]
-        for need in sizing.over(sizing.needs(plan, slopes))
+        for need in sizing.exceeding(sizing.needs(plan, slopes))
     ]
-    return table(["factor", "role", "what", "at that size", "allowance", "carried by"], rows, {0, 3, 4})
+    return table(["factor", "role", "cost", "at planned size", "allowance", "handled by"], rows, {0, 3, 4})
 
 
 SECTIONS: dict[str, Callable[[Slopes, sizing.Plan], str]] = {
     "run": run,
-    "over": over,
+    "over": exceeding,
     "roles": roles,
     "states": states,
     "assumed": assumed,
     "events": events,
     "slopes": slope_rows,
-    "crooked": crooked,
+    "crooked": not_straight,
 }
 
 
-def filled(text: str, slopes: Slopes, plan: sizing.Plan) -> str:
-    """The page with its tables.  Raises ValueError unless it has exactly the sections that there are."""
-    found = MARKED.findall(text)
+def fill(text: str, slopes: Slopes, plan: sizing.Plan) -> str:
+    """The page with its tables filled in; raises ValueError unless it has each section once and no other."""
+    found = MARKED_SECTION.findall(text)
     if sorted(found) != sorted(SECTIONS):
-        raise ValueError(f"the page has the sections {', '.join(found) or 'none'}, not {', '.join(SECTIONS)}")
-    return MARKED.sub(lambda match: section(match[1], slopes, plan), text)
+        raise ValueError(f"the page has the sections {', '.join(found) or 'none'}, expected {', '.join(SECTIONS)}")
+    return MARKED_SECTION.sub(lambda match: section(match[1], slopes, plan), text)
 
 
 def section(name: str, slopes: Slopes, plan: sizing.Plan) -> str:
+    """One section with its markers."""
     return "\n".join((BEGIN.format(name), SECTIONS[name](slopes, plan), END.format(name)))
--- a/tealsail/lab/capacity/process_measurements.py
+++ b/tealsail/lab/capacity/process_measurements.py
@@ -24,7 +24,7 @@
     SIZES,
     STATE_AXES,
     Setup,
-    count_messages,
+    full_count_messages,
     judge_order,
     plain_relay,
     relay_decisions,
@@ -340,7 +340,7 @@
         await self.end()
         testbed = await self.begin(Setup(relays=int(x), index=judge_order(int(x))[0]))
         for sender in range(int(x)):
-            for data in count_messages(sender, 1, testbed.setup.classes):
+            for data in full_count_messages(sender, 1, testbed.setup.classes):
                 if sender != testbed.setup.index:
                     testbed.peers.open(sender).send(data)
             if sender % 20 == 19:  # stays below the messages a second that a judge takes
@@ -370,7 +370,7 @@
         await self.end()
         testbed = await self.begin(Setup(relays=1300, index=judge_order(1300)[0]))
         await self.measure_messages(
-            testbed, Activity.JUDGE_SECOND, x, lambda number: count_messages(number // 2, number, 3)[number % 2]
+            testbed, Activity.JUDGE_SECOND, x, lambda number: full_count_messages(number // 2, number, 3)[number % 2]
         )
 
     async def measure_messages(
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a fleet sized from measured slopes: what each process that holds one costs, term by term."""
+"""Forecasts from measured slopes what one process of each role of a fleet costs, term by term."""
 
 from enum import StrEnum
 from math import hypot
@@ -10,12 +10,12 @@
 from .points import Activity, Axis, Column, Cost, Side
 from .slopes import Slope, Slopes
 
-MESSAGES_OF_A_REQUEST = 3  # to the load tracker: began, which is best, ended (policy.py, Guide)
-MESSAGES_OF_COUNTS = 2  # all cells of three request classes (notes.py, count_notes), the most that a second brings
+MESSAGES_PER_REQUEST = 3  # to the load tracker: shot sent, question, shot ended (policy.py, LoadTracking)
+MAX_COUNT_MESSAGES = 2  # of a relay in a second: all cells of three request classes
 
 
 class Role(StrEnum):
-    """What a process does for the fleet."""
+    """What a process does for the fleet; a judge and a load tracker are also relays in the path."""
 
     RELAY = "relay in the path"
     JUDGE = "judge and voter"
@@ -23,22 +23,23 @@
 
 
 class FleetSize(msgspec.Struct, frozen=True):
-    """How large a fleet is, and what happens in it; rates are those of the whole fleet a second."""
+    """The size of a fleet and the rates of its events; rates are a second, and of the whole fleet unless noted."""
 
     relays: int
     units: int
     requests_per_second: float
     tenants: int = 1
-    list_changes_per_second: float = 0.0  # entries that change; each relay is sent each
-    settings_changes_per_second: float = 0.0  # each relay takes each
-    whole_lists_per_second: float = 0.0  # that one relay is sent
+    list_changes_per_second: float = 0.0  # changed entries, each of which is sent to each relay
+    settings_changes_per_second: float = 0.0  # each of which each relay takes
+    whole_lists_per_second: float = 0.0  # sent to one relay
     tracker_is_asked: bool = True
 
 
 class Term(msgspec.Struct, frozen=True):
-    """One part of a role's cost, for one process and second (memory: as it stands).
+    """One part of a role's cost, for one process: memory in MB, other costs a second.
 
-    `error` is half the width of the 95% interval of the fit; `beyond`: the size is more than what was measured.
+    `error` is half the width of the 95% interval of the fit, `slope` names the slope and the size that the value comes
+    from.
     """
 
     name: str
@@ -47,72 +48,83 @@
     value: float
     error: float
     slope: str
-    beyond: bool = False
-    missing: bool = False  # not measured: the value stands for nothing
+    is_extrapolated: bool = False  # the size is above the largest one measured
+    is_missing: bool = False  # not measured: the value means nothing
 
 
 class RoleCost(msgspec.Struct, frozen=True):
-    """What one process of a role costs, its work as a relay in the path included.
+    """What one process of a role costs, with its work as a relay in the path.
 
-    Milliseconds of processor time, bytes and datagrams are those of a second; memory is megabytes.
+    Milliseconds of processor time, bytes and datagrams are those of a second; memory is in MB.
     """
 
     role: Role
     terms: list[Term]
 
     def total(self, cost: Cost, side: Side | None = None) -> tuple[float, float]:
-        """The sum over terms of one cost, of both sides if none is given, and its error."""
-        chosen = [term for term in self.terms if term.cost == cost and side in (None, term.side) and not term.missing]
+        """The sum of the measured terms of one cost, for all sides if none is given, and its error."""
+        chosen = [
+            term for term in self.terms if term.cost == cost and side in (None, term.side) and not term.is_missing
+        ]
         return sum(term.value for term in chosen), hypot(*(term.error for term in chosen))
 
     def core_part(self, side: Side | None = None) -> float:
-        """Of one core, 1.0 for all of it."""
+        """The fraction of one core that is used."""
         return self.total(Cost.PROCESSOR, side)[0] / 1000
 
     def memory_mb(self) -> float:
+        """The memory of the process."""
         return self.total(Cost.MEMORY)[0]
 
 
 def forecast_role_costs(size: FleetSize, slopes: Slopes) -> list[RoleCost]:
     """What one process of each role costs in a fleet of that size."""
-    path = relay_terms(size, slopes)
+    relay = relay_terms(size, slopes)
     return [
-        RoleCost(Role.RELAY, path),
-        RoleCost(Role.JUDGE, path + judge_terms(size, slopes)),
-        RoleCost(Role.TRACKER, path + tracker_terms(size, slopes)),
+        RoleCost(Role.RELAY, relay),
+        RoleCost(Role.JUDGE, relay + judge_terms(size, slopes)),
+        RoleCost(Role.TRACKER, relay + tracker_terms(size, slopes)),
     ]
 
 
 class Estimate(NamedTuple):
-    """A slope at a size: the value, its error, their source, and whether the size is beyond what was measured."""
+    """The value of a slope at a size, and half the width of its 95% interval.
+
+    `slope` names the source; `is_extrapolated` says that the size is above the largest one measured.
+    """
 
     value: float
     error: float
     slope: str
-    beyond: bool
-    missing: bool = False
+    is_extrapolated: bool
+    is_missing: bool = False
 
     def times(self, factor: float) -> "Estimate":
+        """The value and its error, multiplied."""
         return self._replace(value=factor * self.value, error=factor * self.error)
 
-    def less(self, other: "Estimate") -> "Estimate":
-        """What is left without the other's part, never under zero."""
-        missing = self.missing or other.missing
+    def minus(self, other: "Estimate") -> "Estimate":
+        """The difference, never below zero."""
+        is_missing = self.is_missing or other.is_missing
         value = max(0.0, self.value - other.value)
-        text = f"{self.slope} less {other.slope}"
-        return Estimate(value, hypot(self.error, other.error), text, self.beyond or other.beyond, missing)
+        text = f"{self.slope} minus {other.slope}"
+        return Estimate(
+            value, hypot(self.error, other.error), text, self.is_extrapolated or other.is_extrapolated, is_missing
+        )
 
-    def term(self, name: str, side: Side, cost: Cost) -> Term:
-        return Term(name, side, cost, self.value, self.error, self.slope, self.beyond, self.missing)
+    def as_term(self, name: str, side: Side, cost: Cost) -> Term:
+        """The estimate as a term of a role's cost."""
+        return Term(name, side, cost, self.value, self.error, self.slope, self.is_extrapolated, self.is_missing)
 
 
 def source_name(slope: Slope, x: float) -> str:
+    """The names of the slope and the size, as the page shows them."""
     column = "" if slope.column == Column.PROCESS else f" ({slope.column})"
     size = f"{x:.4g}" if x < 1000 else f"{x:,.0f}"
     return f"{slope.name}, {slope.axis} = {size}{column}"
 
 
-def extent(
+def estimate(
     slopes: Slopes,
     name: Activity,
     axis: Axis,
@@ -121,7 +133,7 @@
     column: Column = Column.PROCESS,
     side: Side | None = None,
 ) -> Estimate:
-    """What that slope says for that size."""
+    """The estimate of a slope at size `x`; the slope of any side if none is given."""
     slope = slopes.find(name, axis, cost, column, side)
     if slope is None:
         return Estimate(0.0, 0.0, "not measured", False, True)
@@ -129,8 +141,8 @@
     return Estimate(value, error, source_name(slope, x), x > slope.largest_size())
 
 
-def more(slopes: Slopes, name: Activity, axis: Axis, cost: Cost, x: float) -> Estimate:
-    """By how much it exceeds the base, at which the other slopes of that cost were measured."""
+def estimate_over_base(slopes: Slopes, name: Activity, axis: Axis, cost: Cost, x: float) -> Estimate:
+    """By how much a slope at size `x` exceeds the base, at which the slopes along other axes were measured."""
     slope = slopes.find(name, axis, cost)
     if slope is None:
         return Estimate(0.0, 0.0, "not measured", False, True)
@@ -139,7 +151,7 @@
 
 
 def relay_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """A relay that only serves."""
+    """A relay that is neither judge nor load tracker."""
     return [
         *standing_terms(size, slopes),
         *event_terms(size, slopes),
@@ -148,98 +160,107 @@
 
 
 def standing_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """Memory, and what a second without any event costs."""
+    """Memory, and what a second without events costs."""
     processor, memory, control = Cost.PROCESSOR, Cost.MEMORY, Side.CONTROL
-    bare = extent(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, 0)
+    without_units = estimate(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, 0)
     terms = [
-        bare.term("the process itself", control, memory),
-        extent(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, size.units)
-        .less(bare)
-        .term("units", control, memory),
-        more(slopes, Activity.STANDING_STATE, Axis.TENANTS, memory, size.tenants).term("tenants", control, memory),
-        more(slopes, Activity.STANDING_STATE, Axis.RELAYS, memory, size.relays).term("relays", control, memory),
-        extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, size.units).term("beats", control, processor),
-        more(slopes, Activity.IDLE_SECOND, Axis.TENANTS, processor, size.tenants).term(
+        without_units.as_term("the process itself", control, memory),
+        estimate(slopes, Activity.STANDING_STATE, Axis.UNITS, memory, size.units)
+        .minus(without_units)
+        .as_term("units", control, memory),
+        estimate_over_base(slopes, Activity.STANDING_STATE, Axis.TENANTS, memory, size.tenants).as_term(
+            "tenants", control, memory
+        ),
+        estimate_over_base(slopes, Activity.STANDING_STATE, Axis.RELAYS, memory, size.relays).as_term(
+            "relays", control, memory
+        ),
+        estimate(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, size.units).as_term("beats", control, processor),
+        estimate_over_base(slopes, Activity.IDLE_SECOND, Axis.TENANTS, processor, size.tenants).as_term(
             "beats, tenants", control, processor
         ),
-        more(slopes, Activity.IDLE_SECOND, Axis.RELAYS, processor, size.relays).term(
+        estimate_over_base(slopes, Activity.IDLE_SECOND, Axis.RELAYS, processor, size.relays).as_term(
             "beats, relays", control, processor
         ),
     ]
     for cost in (Cost.BYTES_IN, Cost.BYTES_OUT):
-        standing = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, cost, size.units, side=control)
-        terms.append(standing.term("platform's news", control, cost))
+        idle = estimate(slopes, Activity.IDLE_SECOND, Axis.UNITS, cost, size.units, side=control)
+        terms.append(idle.as_term("platform's messages", control, cost))
     return terms
 
 
 def event_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """Changed entries, whole lists and changes of settings."""
+    """Changed entries and whole lists of units, and changes of settings."""
     control = Side.CONTROL
     terms = []
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT):
-        changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, cost, size.units, side=control)
-        whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, cost, size.units, side=control)
-        terms.append(changed.times(size.list_changes_per_second).term("changed entries", control, cost))
-        terms.append(whole.times(size.whole_lists_per_second).term("whole lists", control, cost))
-    settings = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.PROCESSOR, size.tenants)
-    listed = more(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, Cost.PROCESSOR, size.units)
+        changed = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, cost, size.units, side=control)
+        whole = estimate(slopes, Activity.WHOLE_LIST, Axis.UNITS, cost, size.units, side=control)
+        terms.append(changed.times(size.list_changes_per_second).as_term("changed entries", control, cost))
+        terms.append(whole.times(size.whole_lists_per_second).as_term("whole lists", control, cost))
+    settings = estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.PROCESSOR, size.tenants)
+    settings_by_units = estimate_over_base(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, Cost.PROCESSOR, size.units)
     rate = size.settings_changes_per_second
-    terms.append(settings.times(rate).term("settings changes", control, Cost.PROCESSOR))
-    terms.append(listed.times(rate).term("settings changes, units", control, Cost.PROCESSOR))
+    terms.append(settings.times(rate).as_term("settings changes", control, Cost.PROCESSOR))
+    terms.append(settings_by_units.times(rate).as_term("settings changes, units", control, Cost.PROCESSOR))
     return terms
 
 
 def request_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """Requests at the mean rate of a relay, and the messages to a load tracker that is asked for each."""
+    """Requests at the mean rate of a relay, and the messages to the load tracker if it is asked for each."""
     rate = size.requests_per_second / size.relays
     terms = []
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT):
-        served = extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.SERVING)
-        terms.append(served.term("requests", Side.SERVING, cost))
+        served = estimate(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.SERVING)
+        terms.append(served.as_term("requests", Side.SERVING, cost))
     if not size.tracker_is_asked:
         return terms
-    total = extent(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
-    alone = extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
-    terms.append(total.less(alone).term("messages for requests", Side.CONTROL, Cost.PROCESSOR))
+    total = estimate(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
+    alone = estimate(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, Cost.PROCESSOR, rate)
+    terms.append(total.minus(alone).as_term("messages for requests", Side.CONTROL, Cost.PROCESSOR))
     for cost in (Cost.BYTES_IN, Cost.BYTES_OUT, Cost.DATAGRAMS_IN, Cost.DATAGRAMS_OUT):
-        sent = extent(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL)
-        if cost in (Cost.BYTES_IN, Cost.BYTES_OUT):  # less the platform's, counted with the standing terms
-            sent = sent.less(extent(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL))
-        terms.append(sent.term("messages for requests", Side.CONTROL, cost))
+        sent = estimate(slopes, Activity.TRACKED_REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL)
+        if cost in (Cost.BYTES_IN, Cost.BYTES_OUT):  # without the platform's bytes, which are a standing term
+            sent = sent.minus(
+                estimate(slopes, Activity.REQUEST_SECOND, Axis.REQUEST_RATE, cost, rate, side=Side.CONTROL)
+            )
+        terms.append(sent.as_term("messages for requests", Side.CONTROL, cost))
     return terms
 
 
 def judge_messages_per_second(relays: int) -> float:
-    """Messages of counts that a judge is sent in a second: all cells of each relay, in turns (Judge.tell)."""
+    """The most messages with counts that a judge receives in a second: all cells of each relay.
+
+    Relays of large fleets send in turns (policy.py, Judge.send_counts).
+    """
     turns = 1 + min(MAX_EXTRA_TURNS, relays // RELAYS_PER_TURN)
-    return MESSAGES_OF_COUNTS * (relays - 1) / turns
+    return MAX_COUNT_MESSAGES * (relays - 1) / turns
 
 
 def judge_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """What judging adds: messages of all relays, a look at the pool each beat, and the pool."""
+    """What judging adds: the messages of all relays, a test of the pooled counts each beat, and the pool's memory."""
     control, rate = Side.CONTROL, judge_messages_per_second(size.relays)
-    judging = extent(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
-    idle = extent(slopes, Activity.IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
-    pool = extent(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY, size.relays)
-    standing = extent(slopes, Activity.STANDING_STATE, Axis.RELAYS, Cost.MEMORY, size.relays)
+    judge_idle = estimate(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
+    idle = estimate(slopes, Activity.IDLE_SECOND, Axis.RELAYS, Cost.PROCESSOR, size.relays)
+    pool = estimate(slopes, Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY, size.relays)
+    standing = estimate(slopes, Activity.STANDING_STATE, Axis.RELAYS, Cost.MEMORY, size.relays)
     terms = [
-        judging.less(idle).term("looks at the pool", control, Cost.PROCESSOR),
-        pool.less(standing).term("pool of counts", control, Cost.MEMORY),
+        judge_idle.minus(idle).as_term("tests of the pool", control, Cost.PROCESSOR),
+        pool.minus(standing).as_term("pool of counts", control, Cost.MEMORY),
     ]
     for cost in (Cost.PROCESSOR, Cost.BYTES_IN, Cost.DATAGRAMS_IN):
-        heard = extent(slopes, Activity.JUDGE_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control)
-        terms.append(heard.term("messages of counts", control, cost))
+        received = estimate(slopes, Activity.JUDGE_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control)
+        terms.append(received.as_term("messages of counts", control, cost))
     return terms
 
 
 def tracker_terms(size: FleetSize, slopes: Slopes) -> list[Term]:
-    """What tracking adds: the messages of all relays, if none is shed."""
+    """What load tracking adds: the messages of all relays, if none is dropped."""
     if not size.tracker_is_asked:
         return []
-    control, rate = Side.CONTROL, MESSAGES_OF_A_REQUEST * size.requests_per_second
+    control, rate = Side.CONTROL, MESSAGES_PER_REQUEST * size.requests_per_second
     costs = (Cost.PROCESSOR, Cost.BYTES_IN, Cost.BYTES_OUT, Cost.DATAGRAMS_IN, Cost.DATAGRAMS_OUT)
     return [
-        extent(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control).term(
+        estimate(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, cost, rate, side=control).as_term(
             "messages of loads", control, cost
         )
         for cost in costs
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -1,4 +1,4 @@
-"""The operators' numbers against what the slopes foretell: each role's needs, allowances and factors."""
+"""Compares the forecast of each role's needs at the planned size with what the operators allow."""
 
 import tomllib
 from collections.abc import Iterator
@@ -13,28 +13,28 @@
 from .causes import Place
 from .points import Activity, Axis, Cost, Side
 from .roles import (
-    MESSAGES_OF_A_REQUEST,
+    MESSAGES_PER_REQUEST,
     Estimate,
     FleetSize,
     Role,
     RoleCost,
-    extent,
+    estimate,
+    estimate_over_base,
     forecast_role_costs,
     judge_messages_per_second,
-    more,
 )
 from .slopes import Slopes
 
 DAY = 86_400  # seconds
 MINUTE = 60  # seconds
-BEATS = 2  # a second
-HEADERS = 28  # bytes of IP and UDP
-HELD = "loop held by "
-LATE_PART = 1.0  # of 100 requests
+BEATS_PER_SECOND = 2
+HEADER_BYTES = 28  # of IP and UDP, a datagram
+BLOCKED_BY = "event loop blocked by "
+MAX_DELAYED_PERCENT = 1.0  # of requests
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How large it is to be."""
+    """The planned size of the fleet."""
 
     relays: int
     units: int
@@ -51,7 +51,11 @@
 
 
 class Allowance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of one relay for control; milliseconds added to a request for 99 in 100; seconds until settings are in force."""
+    """What the operators allow one relay for control.
+
+    `core_part` is a fraction of a core, `added_ms` what 99 in 100 requests may be delayed by, `settings_in_force_s` the
+    time until changed settings are in force on all relays.
+    """
 
     core_part: float
     memory_mb: float
@@ -61,7 +65,12 @@
 
 
 class Assumed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators did not say."""
+    """Assumptions where the operators gave no number.
+
+    `entries_per_restart` and `entries_per_failure` count changed entries of the list of units.  `busiest_relay` is the
+    rate of requests of the busiest relay over the mean.  `zipf` is the exponent of the law by which requests fall on
+    tenants.  `units_used_by_relay` is how many units of each build a relay uses.
+    """
 
     entries_per_restart: int
     entries_per_failure: int
@@ -73,25 +82,26 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The numbers to plan with."""
+    """The numbers to plan with, as docs/capacity.toml has them."""
 
     fleet: Fleet
     allowance: Allowance
     assumed: Assumed
 
     def list_changes_per_second(self) -> float:
-        """On an ordinary day, in the mean."""
+        """Changed entries of the list, the mean of an ordinary day."""
         fleet, assumed = self.fleet, self.assumed
         entries = fleet.machines_restarted_per_day * assumed.entries_per_restart
         entries += fleet.machines_failed_per_day * assumed.entries_per_failure
         return entries / DAY
 
     def rollout_changes_per_second(self) -> float:
+        """Changed entries of the list during a rollout that makes a day's restarts."""
         entries = self.fleet.machines_restarted_per_day * self.assumed.entries_per_restart
         return entries / (MINUTE * self.assumed.rollout_minutes)
 
     def size(self, times_the_mean: float = 1.0) -> FleetSize:
-        """Of an ordinary day; a relay with several times the mean of requests is sized as if all had as many."""
+        """The fleet on an ordinary day; with `times_the_mean` each relay has that many times the planned requests."""
         fleet = self.fleet
         return FleetSize(
             fleet.relays,
@@ -104,7 +114,7 @@
 
 
 def read_plan(path: str | Path) -> Plan:
-    """Raises ValueError for a file that is no such plan."""
+    """Reads a plan; raises ValueError, with the path, if the file is no plan."""
     try:
         return msgspec.convert(tomllib.loads(Path(path).read_text()), Plan)
     except (msgspec.ValidationError, tomllib.TOMLDecodeError) as problem:
@@ -112,8 +122,10 @@
 
 
 class Need(NamedTuple):
-    """One figure of a role at the planned size.  `value` None: not measured; `allowance` None: the operators gave none;
-    `mechanism` None: missing."""
+    """One figure of a role at the planned size.
+
+    `value` is None if it was not measured, `allowance` if the operators gave none, `mechanism` if no code handles it.
+    """
 
     role: str
     what: str
@@ -126,50 +138,50 @@
     note: str = ""
 
     def factor(self) -> float | None:
-        """Over the allowance where it is above one."""
+        """The value over the allowance, None if either is unknown."""
         if self.value is None or not self.allowance:
             return None
         return self.value / self.allowance
 
 
-BEAT = Place("policy", "Relay.on_wake")
-LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.live_settings", "LiveSettings.change")
-ASKING = Place("policy", "LoadTracking.ask")
-TELLING = Place("policy", "LoadTracking.report_shot")
-HEARING = Place("policy", "LoadTracking.receive")
-SERVING = Place("net.relay", "Relay.take")
-CUSTOMERS = Place("policy", "Admission.limit_share")
-POOLING = Place("notes", "CountPool.add")
-JUDGING = Place("policy", "Judge.update_verdict")
-NEWS = Place("net.platform", "Platform.on_message")
-WATCHING = Place("net.discovery", "Discovery.on_reply")
-RELOADS = Place("command.serve", "ConfigurationReloader.reload")
-SHEDDING = Place("choices.rate_limits", "RateLimiter.allows")
-ARRANGING = Place("policy", "Relay.arrange")
-JUDGES_TOLD = Place("policy", "Judge.send_counts")
-STARTING = Place("net.relay", "Relay.start")
-CARRIED = {
-    "the process itself": STARTING,
-    "units": LIST,
-    "tenants": CUSTOMERS,
-    "relays": JUDGES_TOLD,
-    "beats": BEAT,
-    "beats, tenants": BEAT,
-    "beats, relays": BEAT,
-    "platform's news": NEWS,
-    "changed entries": LIST,
-    "whole lists": LIST,
-    "settings changes": SWITCH,
-    "settings changes, units": SWITCH,
-    "requests": SERVING,
-    "messages for requests": TELLING,
-    "looks at the pool": JUDGING,
-    "pool of counts": POOLING,
-    "messages of counts": POOLING,
-    "messages of loads": HEARING,
+RUN_BEAT = Place("policy", "Relay.on_wake")
+APPLY_LIST = Place("policy", "Relay.on_list")
+APPLY_SETTINGS = Place("choices.live_settings", "LiveSettings.change")
+ASK_TRACKER = Place("policy", "LoadTracking.ask")
+REPORT_SHOT = Place("policy", "LoadTracking.report_shot")
+RECEIVE_LOAD = Place("policy", "LoadTracking.receive")
+SERVE_REQUEST = Place("net.relay", "Relay.take")
+LIMIT_TENANT = Place("policy", "Admission.limit_share")
+ADD_COUNTS = Place("notes", "CountPool.add")
+UPDATE_VERDICT = Place("policy", "Judge.update_verdict")
+RECEIVE_STATE = Place("net.platform", "Platform.on_message")
+RECEIVE_LIST = Place("net.discovery", "Discovery.on_reply")
+RELOAD_CONFIGURATION = Place("command.serve", "ConfigurationReloader.reload")
+LIMIT_MESSAGES = Place("choices.rate_limits", "RateLimiter.allows")
+ARRANGE_UNITS = Place("policy", "Relay.arrange")
+SEND_COUNTS = Place("policy", "Judge.send_counts")
+START_RELAY = Place("net.relay", "Relay.start")
+MECHANISMS = {  # the code behind each term of a role's cost
+    "the process itself": START_RELAY,
+    "units": APPLY_LIST,
+    "tenants": LIMIT_TENANT,
+    "relays": SEND_COUNTS,
+    "beats": RUN_BEAT,
+    "beats, tenants": RUN_BEAT,
+    "beats, relays": RUN_BEAT,
+    "platform's messages": RECEIVE_STATE,
+    "changed entries": APPLY_LIST,
+    "whole lists": APPLY_LIST,
+    "settings changes": APPLY_SETTINGS,
+    "settings changes, units": APPLY_SETTINGS,
+    "requests": SERVE_REQUEST,
+    "messages for requests": REPORT_SHOT,
+    "tests of the pool": UPDATE_VERDICT,
+    "pool of counts": ADD_COUNTS,
+    "messages of counts": ADD_COUNTS,
+    "messages of loads": RECEIVE_LOAD,
 }
-WORDS = {
+COST_LABELS = {  # name and unit
     Cost.PROCESSOR: ("processor time", "ms/s"),
     Cost.MEMORY: ("memory", "MB"),
     Cost.BYTES_IN: ("bytes in", "B/s"),
@@ -177,11 +189,11 @@
     Cost.DATAGRAMS_IN: ("datagrams in", "/s"),
     Cost.DATAGRAMS_OUT: ("datagrams out", "/s"),
 }
-NOTHING = 0.005  # of any unit: a term that is less gets no row
+NEGLIGIBLE = 0.005  # of any unit: a smaller term gets no row
 
 
-def allowed(plan: Plan, cost: Cost, side: Side) -> float | None:
-    """What the operators allow one relay of that cost."""
+def allowance_of(plan: Plan, cost: Cost, side: Side) -> float | None:
+    """What the operators allow one relay of that cost; None if they gave no limit."""
     if side != Side.CONTROL:
         return None
     limits = {
@@ -193,183 +205,194 @@
     return limits.get(cost)
 
 
-def terms_of(plan: Plan, cost: RoleCost, without: RoleCost | None = None) -> Iterator[Need]:
-    """A row for each term that the other role does not have, too."""
-    known = set(without.terms) if without else set()
+def term_needs(plan: Plan, cost: RoleCost, other: RoleCost | None = None) -> Iterator[Need]:
+    """A row for each term of a role, without the terms that the other role has, too."""
+    known = set(other.terms) if other else set()
     for term in cost.terms:
-        if term in known or (term.value < NOTHING and not term.missing):
+        if term in known or (term.value < NEGLIGIBLE and not term.is_missing):
             continue
-        word, unit = WORDS[term.cost]
-        source = term.slope + (" (beyond what was measured)" if term.beyond else "")
-        value = None if term.missing else term.value
-        what = f"{word}, {term.side}: {term.name}"
-        allowance = allowed(plan, term.cost, term.side)
-        yield Need(cost.role, what, value, term.error, unit, allowance, source, CARRIED[term.name])
+        label, unit = COST_LABELS[term.cost]
+        source = term.slope + (" (beyond what was measured)" if term.is_extrapolated else "")
+        value = None if term.is_missing else term.value
+        what = f"{label}, {term.side}: {term.name}"
+        allowance = allowance_of(plan, term.cost, term.side)
+        yield Need(cost.role, what, value, term.error, unit, allowance, source, MECHANISMS[term.name])
 
 
-def sums_of(plan: Plan, cost: RoleCost) -> Iterator[Need]:
-    """The role's control as a whole, in processor time, memory and bytes both ways."""
+def total_needs(plan: Plan, cost: RoleCost) -> Iterator[Need]:
+    """The totals of a role's control: processor time, memory, and bytes in both directions."""
     for kind in (Cost.PROCESSOR, Cost.MEMORY):
         value, error = cost.total(kind, Side.CONTROL)
-        word, unit = WORDS[kind]
-        allowance = allowed(plan, kind, Side.CONTROL)
-        yield Need(cost.role, f"{word}, control, in all", value, error, unit, allowance, "sum", BEAT)
-    (inward, first), (outward, second) = (cost.total(kind, Side.CONTROL) for kind in (Cost.BYTES_IN, Cost.BYTES_OUT))
+        label, unit = COST_LABELS[kind]
+        allowance = allowance_of(plan, kind, Side.CONTROL)
+        yield Need(cost.role, f"{label}, control, in all", value, error, unit, allowance, "sum", RUN_BEAT)
+    (bytes_in, error_in), (bytes_out, error_out) = (
+        cost.total(kind, Side.CONTROL) for kind in (Cost.BYTES_IN, Cost.BYTES_OUT)
+    )
     allowance = plan.allowance.bytes_per_second
-    total, error = inward + outward, hypot(first, second)
-    yield Need(cost.role, "bytes in and out, control, in all", total, error, "B/s", allowance, "sum", TELLING)
+    total, error = bytes_in + bytes_out, hypot(error_in, error_out)
+    yield Need(cost.role, "bytes in and out, control, in all", total, error, "B/s", allowance, "sum", REPORT_SHOT)
     datagrams = [cost.total(kind, Side.CONTROL) for kind in (Cost.DATAGRAMS_IN, Cost.DATAGRAMS_OUT)]
-    total += HEADERS * sum(value for value, _ in datagrams)
-    error = hypot(error, *(HEADERS * each for _, each in datagrams))
-    what = f"the same with {HEADERS} bytes of headers a datagram"
-    yield Need(cost.role, what, total, error, "B/s", allowance, "sum", TELLING)
+    total += HEADER_BYTES * sum(value for value, _ in datagrams)
+    error = hypot(error, *(HEADER_BYTES * each for _, each in datagrams))
+    what = f"the same with {HEADER_BYTES} bytes of headers a datagram"
+    yield Need(cost.role, what, total, error, "B/s", allowance, "sum", REPORT_SHOT)
 
 
-def stops(plan: Plan, slopes: Slopes) -> Iterator[Need]:
-    """How long one event holds the relay's loop, in which no request goes on."""
+def blocking_needs(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """How long one event blocks the relay's event loop, in which no request makes progress meanwhile."""
     fleet, processor = plan.fleet, Cost.PROCESSOR
-    beat = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, fleet.units).times(1 / BEATS)
-    change = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, processor, fleet.units)
-    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, processor, fleet.units)
-    tenants = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, processor, fleet.tenants)
-    listed = more(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, processor, fleet.units)
-    both = Estimate(
-        tenants.value + listed.value,
-        hypot(tenants.error, listed.error),
-        f"{tenants.slope}, and {listed.slope}",
-        tenants.beyond or listed.beyond,
-        tenants.missing or listed.missing,
+    beat = estimate(slopes, Activity.IDLE_SECOND, Axis.UNITS, processor, fleet.units).times(1 / BEATS_PER_SECOND)
+    change = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, processor, fleet.units)
+    whole = estimate(slopes, Activity.WHOLE_LIST, Axis.UNITS, processor, fleet.units)
+    by_tenants = estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, processor, fleet.tenants)
+    by_units = estimate_over_base(slopes, Activity.SETTINGS_CHANGE, Axis.UNITS, processor, fleet.units)
+    settings = Estimate(
+        by_tenants.value + by_units.value,
+        hypot(by_tenants.error, by_units.error),
+        f"{by_tenants.slope}, and {by_units.slope}",
+        by_tenants.is_extrapolated or by_units.is_extrapolated,
+        by_tenants.is_missing or by_units.is_missing,
     )
     seconds = DAY / fleet.settings_changes_per_day
     for what, found, mechanism, note in (
-        ("a beat", beat, BEAT, f"{BEATS} a second"),
-        ("a changed entry", change, ARRANGING, f"one in {1 / plan.list_changes_per_second():.1f} s"),
-        ("a whole list", whole, LIST, "at a start, and after a list that was lost"),
-        ("a change of settings", both, SWITCH, f"one in {seconds:.0f} s"),
+        ("a beat", beat, RUN_BEAT, f"{BEATS_PER_SECOND} a second"),
+        ("a changed entry", change, ARRANGE_UNITS, f"one in {1 / plan.list_changes_per_second():.1f} s"),
+        ("a whole list", whole, APPLY_LIST, "at the start, and after a list was lost"),
+        ("a change of settings", settings, APPLY_SETTINGS, f"one in {seconds:.0f} s"),
     ):
-        value = None if found.missing else found.value
+        value = None if found.is_missing else found.value
         allowance = plan.allowance.added_ms
-        yield Need(Role.RELAY, f"{HELD}{what}", value, found.error, "ms", allowance, found.slope, mechanism, note)
+        yield Need(Role.RELAY, f"{BLOCKED_BY}{what}", value, found.error, "ms", allowance, found.slope, mechanism, note)
 
 
-def held(plan: Plan, slopes: Slopes) -> Iterator[Need]:
-    """The part of requests that come while one event holds the loop for longer than may be added to a request."""
+def delay_needs(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """How many requests arrive while one event blocks the loop for longer than a request may be delayed."""
     fleet, limit = plan.fleet, plan.allowance.added_ms
     rates = {
-        "a beat": float(BEATS),
+        "a beat": float(BEATS_PER_SECOND),
         "a changed entry": plan.list_changes_per_second(),
         "a change of settings": fleet.settings_changes_per_day / DAY,
     }
-    part = error = 0.0
-    for need in stops(plan, slopes):
-        rate = rates.get(need.what.removeprefix(HELD), 0.0)
+    percent = error = 0.0
+    for need in blocking_needs(plan, slopes):
+        rate = rates.get(need.what.removeprefix(BLOCKED_BY), 0.0)
         if need.value is not None and need.value > limit:
-            part += rate * need.value / 10
+            percent += rate * need.value / 10
             error = hypot(error, rate * need.error / 10)
-    what = f"requests that find the loop held for over {limit:g} ms"
-    source = "beats, changed entries and settings, each as often as it comes"
-    yield Need(Role.RELAY, what, part, error, "%", LATE_PART, source, BEAT, "99 in 100 may not")
+    what = f"requests that arrive while the event loop is blocked for over {limit:g} ms"
+    source = "beats, changed entries and settings, each at its rate"
+    yield Need(Role.RELAY, what, percent, error, "%", MAX_DELAYED_PERCENT, source, RUN_BEAT, "at most 1 in 100")
     what = "added to a request by the question to the load tracker"
-    yield Need(Role.RELAY, what, None, 0.0, "ms", limit, "no slope: the core is shared here", ASKING)
+    yield Need(Role.RELAY, what, None, 0.0, "ms", limit, "no slope: the measured relay shares its core", ASK_TRACKER)
 
 
-def busiest(plan: Plan, slopes: Slopes) -> Iterator[Need]:
-    """A relay with several times the mean of requests."""
+def busiest_relay_needs(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """The relay with several times the mean rate of requests."""
     times = plan.assumed.busiest_relay
-    one = forecast_role_costs(plan.size(times), slopes)[0]
-    served, error = one.total(Cost.PROCESSOR, Side.SERVING)
+    relay = forecast_role_costs(plan.size(times), slopes)[0]
+    served, error = relay.total(Cost.PROCESSOR, Side.SERVING)
     role = f"{Role.RELAY}, {times:g} times the mean"
     rate = times * plan.fleet.requests_per_second / plan.fleet.relays
     source = f"the same slopes at {rate:,.0f} requests a second"
-    yield Need(role, "processor time, serving", served, error, "ms/s", 1000.0, source, SERVING, "a core has 1,000")
-    yield from (need._replace(role=role, source=source) for need in sums_of(plan, one))
+    yield Need(
+        role, "processor time, serving", served, error, "ms/s", 1000.0, source, SERVE_REQUEST, "a core has 1,000"
+    )
+    yield from (need._replace(role=role, source=source) for need in total_needs(plan, relay))
 
 
-def tracking(plan: Plan) -> Iterator[Need]:
-    """What one load tracker cannot do, whatever its processor."""
+def tracker_limits(plan: Plan) -> Iterator[Need]:
+    """Limits of one load tracker that do not depend on its processor."""
     fleet = plan.fleet
-    messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
+    messages = MESSAGES_PER_REQUEST * fleet.requests_per_second
     yield Need(
-        Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOT_MESSAGE_LIMITS.all), "three a request", SHEDDING
+        Role.TRACKER,
+        "messages received",
+        messages,
+        0.0,
+        "/s",
+        float(SHOT_MESSAGE_LIMITS.all),
+        "three a request",
+        LIMIT_MESSAGES,
     )
-    marks = UINT16_MAX + 1
-    alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
-    source = "worked out: even draws of 16 bits"
+    values = UINT16_MAX + 1  # of the 16 bits of a unit's number that messages carry
+    sharing = fleet.units * (1 - (1 - 1 / values) ** (fleet.units - 1))
+    source = "computed: even draws of 16 bits"
     where = Place("notes", "load_note")
-    yield Need(Role.TRACKER, "units that share their 16 bits", alike, 0.0, "", None, source, where, "0 are wanted")
+    yield Need(Role.TRACKER, "units that share their 16 bits", sharing, 0.0, "", None, source, where, "0 are wanted")
 
 
-def handing_out(plan: Plan, slopes: Slopes) -> Iterator[Need]:
-    """What others have to send all relays; none of it is in this project but for the relay's side of it."""
+def distribution_needs(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """What others have to send to all relays; of this the project has the relay's side only."""
     fleet, control = plan.fleet, Side.CONTROL
-    lists, settings, platform = "whoever hands out the list", "whoever hands out configuration", "the platform"
-    changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    whole = extent(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    news = extent(slopes, Activity.IDLE_SECOND, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    file = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
-    day, roll = plan.list_changes_per_second(), plan.rollout_changes_per_second()
+    discovery, configuration, platform = "discovery", "configuration service", "the platform"
+    changed = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    whole = estimate(slopes, Activity.WHOLE_LIST, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    pings = estimate(slopes, Activity.IDLE_SECOND, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    file = estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
+    day_rate, rollout_rate = plan.list_changes_per_second(), plan.rollout_changes_per_second()
     rate = fleet.settings_changes_per_day / DAY
     rows = (
-        (lists, "open watches", Estimate(fleet.relays, 0.0, "one a relay", False), "", None),
-        (lists, "bytes out on an ordinary day", changed.times(fleet.relays * day), "B/s", None),
-        (lists, "bytes out in a roll-out", changed.times(fleet.relays * roll), "B/s", None),
-        (lists, "bytes out, all relays started anew", whole.times(fleet.relays), "B", None),
-        (platform, "open connections", Estimate(fleet.relays, 0.0, "one a relay", False), "", NEWS),
-        (platform, "bytes out, signs of life", news.times(fleet.relays), "B/s", NEWS),
-        (settings, "changes to carry out", Estimate(rate * fleet.relays, 0.0, "changes x relays", False), "/s", None),
-        (settings, "bytes of the whole file, to all relays", file.times(rate * fleet.relays), "B/s", None),
+        (discovery, "open watches", Estimate(fleet.relays, 0.0, "one a relay", False), "", None),
+        (discovery, "bytes out on an ordinary day", changed.times(fleet.relays * day_rate), "B/s", None),
+        (discovery, "bytes out in a rollout", changed.times(fleet.relays * rollout_rate), "B/s", None),
+        (discovery, "bytes out, all relays restarted", whole.times(fleet.relays), "B", None),
+        (platform, "open connections", Estimate(fleet.relays, 0.0, "one a relay", False), "", RECEIVE_STATE),
+        (platform, "bytes out, pings", pings.times(fleet.relays), "B/s", RECEIVE_STATE),
+        (configuration, "changes to send", Estimate(rate * fleet.relays, 0.0, "changes x relays", False), "/s", None),
+        (configuration, "bytes of the whole file, to all relays", file.times(rate * fleet.relays), "B/s", None),
     )
     for role, what, found, unit, mechanism in rows:
-        value = None if found.missing else found.value
+        value = None if found.is_missing else found.value
         yield Need(role, what, value, found.error, unit, None, found.slope, mechanism)
     what, limit = "until settings are in force everywhere", plan.allowance.settings_in_force_s
-    yield Need(settings, what, None, 0.0, "s", limit, "nothing hands them out", None)
+    yield Need(configuration, what, None, 0.0, "s", limit, "nothing distributes them", None)
 
 
-def control_machines(plan: Plan, slopes: Slopes) -> Iterator[Need]:
-    """What would fall on each of them if they did what is missing, or what is over the allowance of a relay."""
+def control_machine_needs(plan: Plan, slopes: Slopes) -> Iterator[Need]:
+    """The load of each control machine if they did what no code does today, or what is over a relay's allowance."""
     fleet, control = plan.fleet, Side.CONTROL
-    role, many = f"the {fleet.control_machines} control machines", fleet.control_machines
-    changed = extent(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
-    file = extent(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
-    messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
-    tracked = extent(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR, messages, side=control)
-    roll, rate = plan.rollout_changes_per_second(), fleet.settings_changes_per_day / DAY
+    role, machines = f"the {fleet.control_machines} control machines", fleet.control_machines
+    changed = estimate(slopes, Activity.CHANGED_ENTRY, Axis.UNITS, Cost.BYTES_IN, fleet.units, side=control)
+    file = estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, fleet.tenants)
+    messages = MESSAGES_PER_REQUEST * fleet.requests_per_second
+    tracked = estimate(slopes, Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR, messages, side=control)
+    rollout_rate, rate = plan.rollout_changes_per_second(), fleet.settings_changes_per_day / DAY
     for what, found, unit in (
-        ("of each: the list in a roll-out, bytes out", changed.times(fleet.relays * roll / many), "B/s"),
-        ("of each: whole files of configuration, bytes out", file.times(fleet.relays * rate / many), "B/s"),
-        ("of each: the load tracker's messages, processor time", tracked.times(1 / many), "ms/s"),
+        ("of each: the list in a rollout, bytes out", changed.times(fleet.relays * rollout_rate / machines), "B/s"),
+        ("of each: whole files of configuration, bytes out", file.times(fleet.relays * rate / machines), "B/s"),
+        ("of each: the load tracker's messages, processor time", tracked.times(1 / machines), "ms/s"),
     ):
-        yield Need(role, what, None if found.missing else found.value, found.error, unit, None, found.slope, None)
+        yield Need(role, what, None if found.is_missing else found.value, found.error, unit, None, found.slope, None)
 
 
 def needs(plan: Plan, slopes: Slopes) -> list[Need]:
-    """All rows of all roles."""
+    """All rows of all roles, in the order of the page."""
     relay, judge, tracker = forecast_role_costs(plan.size(), slopes)
     return [
-        *terms_of(plan, relay),
-        *sums_of(plan, relay),
-        *stops(plan, slopes),
-        *held(plan, slopes),
-        *busiest(plan, slopes),
-        *terms_of(plan, judge, relay),
-        *sums_of(plan, judge),
-        *terms_of(plan, tracker, relay),
-        *sums_of(plan, tracker),
-        *tracking(plan),
-        *handing_out(plan, slopes),
-        *control_machines(plan, slopes),
+        *term_needs(plan, relay),
+        *total_needs(plan, relay),
+        *blocking_needs(plan, slopes),
+        *delay_needs(plan, slopes),
+        *busiest_relay_needs(plan, slopes),
+        *term_needs(plan, judge, relay),
+        *total_needs(plan, judge),
+        *term_needs(plan, tracker, relay),
+        *total_needs(plan, tracker),
+        *tracker_limits(plan),
+        *distribution_needs(plan, slopes),
+        *control_machine_needs(plan, slopes),
     ]
 
 
-def over(rows: list[Need]) -> list[Need]:
-    """Those above their allowance, the worst factor first."""
+def exceeding(rows: list[Need]) -> list[Need]:
+    """The rows above their allowance, the largest factor first."""
     found = [need for need in rows if (need.factor() or 0.0) > 1]
     return sorted(found, key=lambda need: -(need.factor() or 0.0))
 
 
 class State(NamedTuple):
-    """A table that a process holds at the planned size."""
+    """A table in the memory of a process at the planned size; `bytes_each` is None if it was not measured."""
 
     role: str
     table: str
@@ -381,18 +404,20 @@
 
 
 def states(plan: Plan, slopes: Slopes) -> list[State]:
-    """What is held, how much of it, and who empties it."""
+    """The tables of each role: their entries, their bounds, and the code that removes entries."""
     fleet = plan.fleet
-    units, tenants = each(slopes, Axis.UNITS), each(slopes, Axis.TENANTS)
+    units, tenants = bytes_each(slopes, Axis.UNITS), bytes_each(slopes, Axis.TENANTS)
     pool = slopes.find(Activity.JUDGE_IDLE_SECOND, Axis.RELAYS, Cost.MEMORY)
-    relays = (pool.curve.growth * 1e6, f"{pool.name}, {pool.axis}") if pool else (None, "not measured")
-    list_bound = "the list as told; its body at most 8 MiB"
+    counts = (pool.curve.growth * 1e6, f"{pool.name}, {pool.axis}") if pool else (None, "not measured")
+    list_bound = "the list of units; its body at most 8 MiB"
     return [
-        State(Role.RELAY, "units and their pools", f"{fleet.units:,}", *units, list_bound, LIST),
-        State(Role.RELAY, "tenants' counts", f"{fleet.tenants:,}", *tenants, "the tenants of the settings", SWITCH),
+        State(Role.RELAY, "units and their pools", f"{fleet.units:,}", *units, list_bound, APPLY_LIST),
+        State(
+            Role.RELAY, "tenants' counts", f"{fleet.tenants:,}", *tenants, "the tenants of the settings", APPLY_SETTINGS
+        ),
         State(
             Role.RELAY,
-            "requests at hand",
+            "active requests",
             "not measured",
             None,
             "not measured",
@@ -412,27 +437,28 @@
             Role.JUDGE,
             "counts of each relay",
             f"{fleet.relays:,}",
-            *relays,
+            *counts,
             "senders x cells x two starts",
             Place("policy", "Judge.new_build"),
         ),
         State(
             Role.TRACKER,
             "loads by unit and sender",
-            "units that were sent to in 5 s, by each sender",
+            "units that each sender sent to in 5 s",
             None,
             "not measured",
-            "65,536 units x relays; messages taken in 5 s",
+            "65,536 units x relays; messages accepted in 5 s",
             Place("parts", "drop_stale_senders"),
         ),
     ]
 
 
-def each(slopes: Slopes, axis: Axis) -> tuple[float | None, str]:
-    """Bytes of one more."""
+def bytes_each(slopes: Slopes, axis: Axis) -> tuple[float | None, str]:
+    """The bytes that one more of the axis takes, with their source; None if they were not measured."""
     slope = slopes.find(Activity.STANDING_STATE, axis, Cost.MEMORY)
     return (slope.curve.growth * 1e6, f"{slope.name}, {axis}") if slope else (None, "not measured")
 
 
 def judge_messages(plan: Plan) -> float:
+    """The most messages with counts that a judge receives in a second."""
     return judge_messages_per_second(plan.fleet.relays)
--- a/tealsail/lab/scale/foretold.py
+++ b/tealsail/lab/scale/foretold.py
@@ -72,7 +72,7 @@
 
 
 def of(cost: RoleCost, which: Cost, side: Side | None = None) -> list[Term]:
-    return [term for term in cost.terms if term.cost == which and side in (None, term.side) and not term.missing]
+    return [term for term in cost.terms if term.cost == which and side in (None, term.side) and not term.is_missing]
 
 
 def compared(seen: RoleSeen, name: str, terms: list[Term], figure: float) -> Compared:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: slopes and their errors, roles sized by them, the page written from them, and a small measurement."""
+"""Capacity: the fit of slopes, the forecast of each role's needs, the page's tables, and small measurements."""
 
 import time
 import unittest
@@ -10,18 +10,21 @@
 from tealsail.lab.capacity.roles import FleetSize, Role, forecast_role_costs
 
 ROOT = Path(__file__).parents[1]
-PAGE, FOUND, PLAN = ROOT / "docs/CAPACITY.md", ROOT / "docs/capacity.json", ROOT / "docs/capacity.toml"
+PAGE = ROOT / "docs/CAPACITY.md"
+RUN = ROOT / "docs/capacity.json"
+PLAN = ROOT / "docs/capacity.toml"
 SIZES = (10.0, 100.0, 1000.0)
 MACHINE = slopes.Machine(8, [3], "a processor", "3.11", "6", 0.0, 0.0, "", "", False)
 BASES = {Axis.UNITS: 120.0, Axis.RELAYS: 13.0, Axis.TENANTS: 40.0}
 
 
 def line(constant: float, growth: float) -> list[Sample]:
+    """Samples on a straight line, two equal repeats at each size."""
     return [Sample(x, (constant + growth * x,) * 2) for x in SIZES]
 
 
 def run(*lines: tuple) -> slopes.Slopes:
-    """A run that found these: name, axis, cost, side, constant, growth."""
+    """A run with straight slopes: activity, axis, cost, side, constant and growth of each."""
     points = [
         Point(name, axis, Column.PROCESS, cost, side, x, constant + growth * x)
         for name, axis, cost, side, constant, growth in lines
@@ -30,8 +33,8 @@
     return slopes.Slopes(slopes.VERSION, MACHINE, 1.0, 1, slopes.fit_slopes(points, BASES, {}))
 
 
-class TheFit(unittest.TestCase):
-    def test_a_line_is_found_again_with_its_error(self) -> None:
+class FitTest(unittest.TestCase):
+    def test_fits_a_line_with_its_error(self) -> None:
         curve = fit(line(3.0, 0.02))
         self.assertTrue(curve.straight)
         self.assertAlmostEqual(curve.constant, 3.0, 6)
@@ -40,20 +43,20 @@
         self.assertAlmostEqual(value, 13.0, 6)
         self.assertGreater(error, 0)
 
-    def test_an_interval_widens_beyond_the_last_point(self) -> None:
+    def test_interval_widens_beyond_the_last_point(self) -> None:
         curve = fit(line(3.0, 0.02))
         self.assertGreater(curve.value_at(10_000)[1], 5 * curve.value_at(1000)[1])
 
-    def test_what_grows_with_the_square_is_called_no_line(self) -> None:
+    def test_quadratic_growth_is_not_called_a_line(self) -> None:
         curve = fit([Sample(x, (1 + 0.01 * x * x,)) for x in (10, 50, 200, 1000)])
         self.assertEqual((curve.shape, curve.straight), (Shape.SQUARE, False))
 
-    def test_a_step_is_called_no_line_though_no_shape_fits(self) -> None:
+    def test_step_that_no_shape_fits_is_not_called_a_line(self) -> None:
         curve = fit([Sample(x, (value,)) for x, value in ((1, 1.0), (10, 10.0), (50, 1.0), (100, 9.0))])
         self.assertFalse(curve.straight)
 
-    def test_what_no_shape_fits_is_read_off_between_its_points_and_past_the_last_two(self) -> None:
-        """A line through a step foretold half of what had been measured at the very size."""
+    def test_where_no_shape_fits_values_are_interpolated_and_extrapolated_from_the_last_two(self) -> None:
+        """A line fitted to a step gave half of the value that had been measured at the same size."""
         values = ((100, 1.0), (1000, 2.0), (2000, 3.0), (10_000, 83.0))
         points = [
             Point(Activity.IDLE_SECOND, Axis.UNITS, Column.PROCESS, Cost.PROCESSOR, Side.CONTROL, x, value)
@@ -64,18 +67,18 @@
         for x, value in ((100, 1.0), (10_000, 83.0), (6000, 43.0), (12_000, 103.0)):
             self.assertAlmostEqual(slope.value_at(x)[0], value, 6)
 
-    def test_repeats_that_scatter_widen_the_error(self) -> None:
+    def test_scatter_of_repeats_widens_the_error(self) -> None:
         steady = fit([Sample(x, (x, x)) for x in SIZES])
         loose = fit([Sample(x, (0.7 * x, 1.3 * x)) for x in SIZES])
         self.assertGreater(loose.growth_error, 5 * steady.growth_error)
 
-    def test_two_sizes_are_no_slope(self) -> None:
+    def test_two_sizes_are_refused(self) -> None:
         with self.assertRaises(ValueError):
             fit([Sample(1, (1.0,)), Sample(2, (2.0,))])
 
 
-class TheSizing(unittest.TestCase):
-    def test_a_relay_pays_for_beats_changes_and_its_share_of_requests(self) -> None:
+class SizingTest(unittest.TestCase):
+    def test_cost_of_a_relay_has_beats_changes_and_its_share_of_requests(self) -> None:
         found = run(
             (Activity.IDLE_SECOND, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 1.0, 0.01),
             (Activity.IDLE_SECOND, Axis.TENANTS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
@@ -88,34 +91,34 @@
         beats, tenants, changes, messages = 11.0, 0.001 * (140 - 40), 0.5 * 1.5, 100.0
         self.assertAlmostEqual(relay.total(Cost.PROCESSOR, Side.CONTROL)[0], beats + tenants + changes + messages, 4)
         self.assertTrue(
-            any(term.missing for term in relay.terms)
-        )  # bytes were not measured, and are not taken for none
+            any(term.is_missing for term in relay.terms)
+        )  # bytes were not measured, which does not count as zero
 
-    def test_without_questions_to_a_tracker_there_are_no_messages_for_requests(self) -> None:
+    def test_without_questions_to_a_tracker_requests_cause_no_messages(self) -> None:
         found = run((Activity.TRACKER_SECOND, Axis.MESSAGE_RATE, Cost.PROCESSOR, Side.CONTROL, 0.0, 0.1))
         asked, silent = (
             forecast_role_costs(FleetSize(10, 10, 1000.0, tracker_is_asked=each), found) for each in (True, False)
         )
         self.assertAlmostEqual(asked[2].total(Cost.PROCESSOR)[0], 300.0, 4)
-        self.assertTrue(next(term for term in asked[2].terms if term.name == "messages of loads").beyond)
+        self.assertTrue(next(term for term in asked[2].terms if term.name == "messages of loads").is_extrapolated)
         self.assertEqual(silent[2].total(Cost.PROCESSOR)[0], 0.0)
         self.assertEqual([each.role for each in silent], list(Role))
 
-    def test_the_worst_factor_comes_first_and_what_was_not_measured_has_none(self) -> None:
+    def test_largest_factor_comes_first_and_unmeasured_needs_are_left_out(self) -> None:
         rows = [
             sizing.Need("a", "within", 5.0, 0.0, "ms", 10.0, "", None),
             sizing.Need("b", "twice", 20.0, 0.0, "ms", 10.0, "", None),
             sizing.Need("c", "unknown", None, 0.0, "ms", 10.0, "", None),
             sizing.Need("d", "ten times", 100.0, 0.0, "ms", 10.0, "", None),
         ]
-        self.assertEqual([need.role for need in sizing.over(rows)], ["d", "b"])
+        self.assertEqual([need.role for need in sizing.exceeding(rows)], ["d", "b"])
 
-    def test_a_day_and_a_roll_out_change_as_many_entries_as_the_plan_says(self) -> None:
+    def test_a_day_and_a_rollout_change_as_many_entries_as_planned(self) -> None:
         plan = sizing.read_plan(PLAN)
         self.assertAlmostEqual(plan.list_changes_per_second() * 86_400, 4500 * 3 + 73 * 2)
         self.assertAlmostEqual(plan.rollout_changes_per_second(), 4500 * 3 / 1200)
 
-    def test_a_zone_takes_its_units_and_their_connections(self) -> None:
+    def test_lost_zone_changes_entries_and_makes_its_units_cold(self) -> None:
         plan = sizing.read_plan(PLAN)
         found = run(
             (Activity.CHANGED_ENTRY, Axis.UNITS, Cost.PROCESSOR, Side.CONTROL, 2.0, 0.001),
@@ -129,49 +132,49 @@
         self.assertAlmostEqual(zone.bytes_to_all.value, 3000 * 200 * 1300, 0)
 
 
-class ThePage(unittest.TestCase):
-    def test_its_tables_are_those_of_the_run_and_of_the_plan(self) -> None:
+class PageTest(unittest.TestCase):
+    def test_tables_match_the_run_and_the_plan(self) -> None:
         text = PAGE.read_text()
-        again = page.filled(text, slopes.read(FOUND), sizing.read_plan(PLAN))
-        self.assertEqual(text, again, "write it anew: tealsail capacity --page=docs/CAPACITY.md")
+        again = page.fill(text, slopes.read(RUN), sizing.read_plan(PLAN))
+        self.assertEqual(text, again, "write it again: tealsail capacity --page=docs/CAPACITY.md")
 
-    def test_a_page_without_one_of_its_sections_is_refused(self) -> None:
+    def test_page_without_all_sections_is_refused(self) -> None:
         with self.assertRaises(ValueError):
-            page.filled("<!-- capacity: run -->\n<!-- end of run -->", slopes.read(FOUND), sizing.read_plan(PLAN))
+            page.fill("<!-- capacity: run -->\n<!-- end of run -->", slopes.read(RUN), sizing.read_plan(PLAN))
 
-    def test_every_function_that_carries_a_role_exists(self) -> None:
-        found, plan = slopes.read(FOUND), sizing.read_plan(PLAN)
+    def test_every_function_named_on_the_page_exists(self) -> None:
+        found, plan = slopes.read(RUN), sizing.read_plan(PLAN)
         places = [need.mechanism for need in sizing.needs(plan, found) if need.mechanism]
         places += [state.emptied_by for state in sizing.states(plan, found)]
         self.assertGreater(len(places), 20)
         for place in places:
             self.assertTrue(callable(place.resolve()), str(place))
 
-    def test_every_line_of_code_that_a_slope_is_put_down_to_is_there(self) -> None:
+    def test_every_cause_of_a_slope_is_a_line_of_code(self) -> None:
         for cause in causes.CAUSES.values():
             self.assertGreater(cause.line(), 0)
 
 
-class TheMeasurement(unittest.TestCase):
-    """Not how much: a machine at work on other things would make that a matter of chance."""
+class MeasurementTest(unittest.TestCase):
+    """Small measurements give every point; how large the costs are is not checked, as other work may disturb them."""
 
-    def points(self, *arguments: str) -> list[Point]:
-        said = list(
+    def measured_points(self, *arguments: str) -> list[Point]:
+        reports = list(
             measure.run_process([f"tealsail.lab.capacity.{arguments[0]}", *arguments[1:]], time.monotonic() + 60)
         )
-        self.assertEqual([line for line in said if isinstance(line, Problem)], [])
-        return [line.point for line in said if isinstance(line, PointMeasured)]
+        self.assertEqual([line for line in reports if isinstance(line, Problem)], [])
+        return [line.point for line in reports if isinstance(line, PointMeasured)]
 
-    def test_a_real_relay_takes_a_changed_entry_and_its_cost_is_read(self) -> None:
-        points = self.points("process_measurements", "60", "1", "1", Axis.LIST_CHANGES)
+    def test_cost_of_a_changed_entry_is_measured_on_a_real_relay(self) -> None:
+        points = self.measured_points("process_measurements", "60", "1", "1", Axis.LIST_CHANGES)
         found = {(point.cost, point.side): point.value for point in points}
         self.assertGreater(found[Cost.MEMORY, Side.CONTROL], 10)
         self.assertGreater(found[Cost.BYTES_IN, Side.CONTROL], 150)
         self.assertGreater(found[Cost.BYTES_OUT, Side.CONTROL], 50)
         self.assertIn((Cost.PROCESSOR, Side.CONTROL), found)
 
-    def test_the_facade_alone_has_the_same_costs_along_units(self) -> None:
-        points = self.points("facade_measurements", Axis.UNITS, "120")
+    def test_facade_is_measured_for_all_activities_along_units(self) -> None:
+        points = self.measured_points("facade_measurements", Axis.UNITS, "120")
         names = {
             Activity.STANDING_STATE,
             Activity.IDLE_SECOND,
