--- a/tealsail/lab/capacity/measured_relay.py
+++ b/tealsail/lab/capacity/measured_relay.py
@@ -99,6 +99,6 @@
 
 def save(path: Path, tree: dict[str, Any]) -> None:
     """Writes JSON and renames the file into place, so that nobody reads half of it."""
-    part = path.with_suffix(".part")
-    part.write_text(json.dumps(tree))
-    part.replace(path)
+    partial = path.with_suffix(".part")
+    partial.write_text(json.dumps(tree))
+    partial.replace(path)
--- a/tealsail/lab/capacity/page.py
+++ b/tealsail/lab/capacity/page.py
@@ -283,7 +283,7 @@
     sent = sizing.estimate(slopes, Activity.SETTINGS_CHANGE, Axis.TENANTS, Cost.BYTES_IN, plan.fleet.tenants)
     total = sent.times(plan.fleet.relays)
     seconds = "not measured" if blocked.value is None else f"{blocked.value / 1000:.2f}"
-    why = f"read and applied; nothing sends it to {plan.fleet.relays:,} relays yet"
+    why = f"read and applied; no code sends it to the {plan.fleet.relays:,} relays"
     return [
         "a change of configuration",
         "0",
--- a/tealsail/lab/capacity/process_measurements.py
+++ b/tealsail/lab/capacity/process_measurements.py
@@ -343,7 +343,7 @@
             for data in full_count_messages(sender, 1, testbed.setup.classes):
                 if sender != testbed.setup.index:
                     testbed.peers.open(sender).send(data)
-            if sender % 20 == 19:  # stays below the messages a second that a judge takes
+            if sender % 20 == 19:  # stays below the messages a second that a judge accepts
                 await testbed.wait(0.02)
         await testbed.wait(START_PAUSE)
         self.report_point(
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -11,7 +11,7 @@
 from .slopes import Slope, Slopes
 
 MESSAGES_PER_REQUEST = 3  # to the load tracker: shot sent, question, shot ended (policy.py, LoadTracking)
-MAX_COUNT_MESSAGES = 2  # of a relay in a second: all cells of three request classes
+MAX_COUNT_MESSAGES = 2  # from one relay in a second: all cells of three request classes
 
 
 class Role(StrEnum):
--- a/tealsail/lab/capacity/slopes.py
+++ b/tealsail/lab/capacity/slopes.py
@@ -57,10 +57,10 @@
         """The value on the straight line through the two neighbouring points, and the error by their scatter."""
         place = next((place for place, sample in enumerate(self.samples) if sample.x >= x), len(self.samples) - 1)
         before, after = self.samples[max(place, 1) - 1], self.samples[max(place, 1)]
-        part = (x - before.x) / (after.x - before.x)
+        weight = (x - before.x) / (after.x - before.x)
         largest = abs(after.mean())
-        error = hypot((1 - part) * before.error(largest), part * after.error(largest))
-        value = (1 - part) * before.mean() + part * after.mean()
+        error = hypot((1 - weight) * before.error(largest), weight * after.error(largest))
+        value = (1 - weight) * before.mean() + weight * after.mean()
         return max(0.0, value), STANDARD_ERRORS_OF_INTERVAL * error
 
     def increase_over_base(self, x: float) -> tuple[float, float]:
--- a/tealsail/lab/capacity/tables.py
+++ b/tealsail/lab/capacity/tables.py
@@ -17,7 +17,7 @@
 
 
 def figure(value: float) -> str:
-    """The value with three significant digits, without an exponent from 100 up."""
+    """The value with three significant digits, from 100 up as a whole number."""
     if abs(value) < NEGLIGIBLE:
         return "0"
     if abs(value) >= 100:
@@ -39,9 +39,11 @@
 
 def slopes(run: Slopes) -> Table:
     """The table of all slopes of a run."""
-    table = Table(title="what one process costs: constant + growth * size")
-    for column in ("of", "along", "column", "cost", "side", "smallest", "largest", "constant", "growth", "shape"):
-        table.add_column(column, justify="left" if column in ("of", "along", "column", "side", "shape") else "right")
+    table = Table(title="cost of one process: constant + growth * size")
+    for column in ("activity", "along", "column", "cost", "side", "smallest", "largest", "constant", "growth", "shape"):
+        table.add_column(
+            column, justify="left" if column in ("activity", "along", "column", "side", "shape") else "right"
+        )
     for slope in sorted(run.slopes, key=lambda each: (each.axis, each.name, each.column != Column.PROCESS)):
         if has_cost(slope):
             table.add_row(*row(slope))
