--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -229,7 +229,7 @@
     """Compares two scenarios on the same days; returns 1 if a rule was broken, else 0."""
     scenarios = [read(arguments[name]) for name in ("A", "B")]
     first, second = play_models(arguments, scenarios)
-    differences = runs.compared(first, second)
+    differences = runs.compare(first, second)
     table = Table(
         title=f"A: {first.name}   B: {second.name}   ({len(first.results)} days each, on the same random numbers)"
     )
@@ -367,7 +367,7 @@
         row = [(each.bars[name].mean, each.bars[name].known) for each in found if name in each.bars]
         table.add_row(name, *(f"{format_figure(mean, name)} ±{format_figure(known, name)}" for mean, known in row))
     console.print(table)
-    differences = {each.name: losses.compared(each, found[-1]) for each in found[:-1]}
+    differences = {each.name: losses.compare(each, found[-1]) for each in found[:-1]}
     for other, rows in differences.items():
         table = Table(title=f"A: {other}   B: {found[-1].name}")
         for column in ("figure", "B - A [95%]", "better"):
@@ -408,7 +408,7 @@
     replicas = integer_option(arguments, "--replicas", max(2, FEWEST_REPLICAS), MOST_REPLICAS)
     with ProgressBar("days") as progress:
         found = baselines.table(scenario, replicas, integer_option(arguments, "--jobs", 0, 512), progress)
-    print_choosers(f"{scenario.name}: {replicas} days each", found, baselines.SHOWN, console)
+    print_choosers(f"{scenario.name}: {replicas} days each", found, baselines.SHOWN_FIGURES, console)
     save_choosers(arguments, found)
     return 0
 
@@ -420,13 +420,13 @@
     scenario = read(arguments["SCENARIO"])
     replicas = integer_option(arguments, "--replicas", max(2, FEWEST_REPLICAS), MOST_REPLICAS)
     trouble = arguments["--trouble"]
-    names = digest_days.NAMES if arguments["--choosers"] == "all" else arguments["--choosers"].split(";")
+    names = digest_days.CHOOSERS if arguments["--choosers"] == "all" else arguments["--choosers"].split(";")
     with ProgressBar("days") as progress:
         found, differ = digest_days.table(
             scenario, replicas, integer_option(arguments, "--jobs", 0, 512), names, trouble, progress
         )
     title = f"{scenario.name}, trouble with messages: {trouble}: {replicas} simulated days each"
-    print_choosers(title, found, digest_days.SHOWN, console)
+    print_choosers(title, found, digest_days.SHOWN_FIGURES, console)
     for figure in ("waste", "p99_ms", "herd"):
         if figure in differ:
             each = differ[figure]
@@ -461,7 +461,7 @@
     save_json(arguments["--json"], tree)
 
 
-def judge_cells(each: judging.Heard_Fleet) -> tuple[str, ...]:
+def judge_cells(each: judging.JudgeRun) -> tuple[str, ...]:
     """The cells of one fleet: messages and bytes a second, CPU of the judge, its vote and the time of it."""
     return f"{each.taken:.0f}", f"{each.sent_bytes:.1f}", f"{each.cpu:.2%}", f"{each.vote} {each.vote_s:.1f} s"
 
@@ -470,7 +470,7 @@
     """Measures what a judge of large fleets receives, what that costs, and when it votes."""
     with ProgressBar("fleets") as progress:
         rows = judging.table(progress=progress)
-    lies = judging.lies()
+    faulty_relay_runs = judging.faulty_relay_runs()
     for title, select in (
         ("a good build", lambda row: (row.before, row.after)),
         ("a build that fails 5%", lambda row: (row.back_before, row.back_after)),
@@ -490,17 +490,17 @@
     )
     for column in ("faulty", *("messages", "bytes a relay", "core", "vote") * 2):
         table.add_column(column, justify="right")
-    for faulty, unlimited, limited in lies:
+    for faulty, unlimited, limited in faulty_relay_runs:
         table.add_row(str(faulty), *judge_cells(unlimited), *judge_cells(limited))
     console.print(table)
-    rolled = judging.mixed()
+    rolled = judging.play_mixed_fleets()
     table = Table(title="400 relays of two versions during an update: days of five on which the build goes back")
     for column in ("relays of the old version", "a good build", "one that fails 5%, messages lost for 8 s"):
         table.add_column(column, justify="right")
     for each in rolled:
         table.add_row(f"{each.earlier:.0%}", str(each.good), str(each.bad))
     console.print(table)
-    save_json(arguments["--json"], {"fleets": rows, "lies": lies, "rolled": rolled})
+    save_json(arguments["--json"], {"fleets": rows, "lies": faulty_relay_runs, "rolled": rolled})
     if arguments["--chart"]:
         from ..lab import charts
 
@@ -566,7 +566,7 @@
 
 def record_show(arguments: dict[str, Any], console: Console) -> int:
     """Prints the figures of a record; returns 1 if a rule was broken, else 0."""
-    return print_day(arguments, console, *runs.judge(arguments["FILE"]))
+    return print_day(arguments, console, *runs.evaluate_record(arguments["FILE"]))
 
 
 def record_import(arguments: dict[str, Any], console: Console) -> int:
--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -8,8 +8,8 @@
 from rich.table import Table
 
 from ..lab.capacity import slopes
-from ..lab.scale import foretold, runs
-from ..lab.scale.reading import NONE, RoleSeen, Run, Spread
+from ..lab.scale import predicted, runs
+from ..lab.scale.results import NO_VALUE, RoleUsage, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import InvalidRecord
 from .capacity import DEFAULT_RUN_FILE
@@ -55,7 +55,7 @@
 
         chart.draw(arguments["--chart"], scale_run)
         console.print(f"chart: {arguments['--chart']}")
-    return 2 if scale_run.void else int(not scale_run.kept)
+    return 2 if scale_run.is_void else int(not scale_run.has_passed)
 
 
 def print_run(scale_run: Run, slowdown: float, console: Console) -> None:
@@ -72,7 +72,7 @@
         f"{scale_run.day_seconds:.0f} s to play; arrivals at hollow relays over 10 ms late: {scale_run.late_part:.2%}"
     )
     stalled = f"the worst process ran late for {scale_run.stalled_part:.2%} of the day"
-    console.print(f"VOID, the machine was too busy: {stalled}" if scale_run.void else stalled)
+    console.print(f"VOID, the machine was too busy: {stalled}" if scale_run.is_void else stalled)
     console.print(window_table(scale_run))
     console.print(role_table(scale_run))
     for role in scale_run.roles:
@@ -106,22 +106,22 @@
     table = Table(title=f"measured costs beside the forecast from {path} for this size")
     for index, column in enumerate(("role", "cost", "forecast", "measured", "ratio", "within 20%")):
         table.add_column(column, justify="left" if index < 2 else "right")
-    compared = foretold.compare(scale_run, slopes.read(path))
+    compared = predicted.compare(scale_run, slopes.read(path))
     for each in compared:
-        within = "yes" if each.within else "NO"
-        amount = f"{each.foretold:.4g} ±{each.error:.2g}"
-        table.add_row(each.role, each.cost, amount, f"{each.seen:.4g}", f"{each.ratio:.2f}", within)
+        is_within = "yes" if each.is_within else "NO"
+        amount = f"{each.predicted:.4g} ±{each.error:.2g}"
+        table.add_row(each.role, each.cost, amount, f"{each.measured:.4g}", f"{each.ratio:.2f}", is_within)
     console.print(table)
     for each in compared:
-        if not each.within:
+        if not each.is_within:
             console.print(
-                f"{each.role}, {each.cost}: {each.ratio:.2f} times the forecast; its largest term: {each.because}"
+                f"{each.role}, {each.cost}: {each.ratio:.2f} times the forecast; its largest term: {each.largest_term}"
             )
 
 
 def format_known(value: float, form: str) -> str:
     """Formats a figure, or a dash where there was nothing to measure."""
-    return "-" if value == NONE else format(value, form)
+    return "-" if value == NO_VALUE else format(value, form)
 
 
 def window_table(scale_run: Run) -> Table:
@@ -147,7 +147,9 @@
     ):
         table.add_column(column, justify="left" if index == 0 else "right")
     for each in scale_run.windows:
-        restored = "" if each.name == "calm" else "not seen" if each.restored_s == NONE else f"{each.restored_s:.0f}"
+        restored = (
+            "" if each.name == "calm" else "not seen" if each.restored_s == NO_VALUE else f"{each.restored_s:.0f}"
+        )
         table.add_row(
             each.name,
             f"{each.begin_s:.0f}",
@@ -181,7 +183,7 @@
     return table
 
 
-def role_cells(role: RoleSeen) -> list[str]:
+def role_cells(role: RoleUsage) -> list[str]:
     """The cells of a row from the third column on."""
     return [
         format_spread(Spread(*(100 * part for part in role.processor)), ".2f"),
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -11,7 +11,7 @@
 from ...world.clients import NUMBERS_PER_TRY
 from ...world.unit import NEVER, IncomingShot, Unit
 from ..loopback.trial_setup import TrialSetup
-from .words import Backend
+from .director_messages import Backend
 
 Load = dict[str, float] | None
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -104,7 +104,7 @@
         self.assertLess(sum(relay != 1 for relay in away), 10)
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
-        stage = model.doors[1].facade.relay.extra_stages[0]
+        stage = model.relays[1].facade.relay.extra_stages[0]
         self.assertGreater(stage.counts["probes"], 5)  # it probed, and found the zone reachable again
         self.assertEqual(stage.zones[1].recovery.state in ("ramp", "up"), True)
 
@@ -148,7 +148,7 @@
         )
         self.assertEqual(spill.breaches, 0)
         self.assertGreaterEqual(
-            max(door.facade.relay.extra_stages[0].zones[1].recovery.flaps for door in model.doors), 3
+            max(door.facade.relay.extra_stages[0].zones[1].recovery.flaps for door in model.relays), 3
         )
         self.assertGreater(result.figures["service"], 0.96)
 
