--- a/tealsail/command/lab.py
+++ b/tealsail/command/lab.py
@@ -208,7 +208,7 @@
 def model_compare(chosen: dict[str, Any], out: Console) -> int:
     scenarios = [read(chosen[name]) for name in ("A", "B")]
     first, second = modelled(chosen, scenarios)
-    gaps = runs.compared(first, second)
+    gaps = runs.compare(first, second)
     table = Table(title=f"A: {first.name}   B: {second.name}   ({len(first.results)} days each, on the same chance)")
     for column in ("figure", "A [bar]", "B [bar]", "B - A [95%]", "better"):
         table.add_column(column, justify="left" if column == "figure" else "right")
@@ -318,7 +318,7 @@
         row = [(each.bars[name].mean, each.bars[name].known) for each in found if name in each.bars]
         table.add_row(name, *(f"{shown(mean, name)} ±{shown(known, name)}" for mean, known in row))
     out.print(table)
-    gaps = {each.name: losses.compared(each, found[-1]) for each in found[:-1]}
+    gaps = {each.name: losses.compare(each, found[-1]) for each in found[:-1]}
     for other, rows in gaps.items():
         table = Table(title=f"A: {other}   B: {found[-1].name}")
         for column in ("figure", "B - A [95%]", "better"):
@@ -358,7 +358,7 @@
     many = number(chosen, "--replicas", max(2, FEWEST), MOST)
     with Shown("days") as progress:
         found = baselines.table(scenario, many, number(chosen, "--jobs", 0, 512), progress)
-    show_choosers(f"{scenario.name}: {many} days each", found, baselines.SHOWN, out)
+    show_choosers(f"{scenario.name}: {many} days each", found, baselines.SHOWN_FIGURES, out)
     save_choosers(chosen, found)
     return 0
 
@@ -368,11 +368,11 @@
 
     scenario = read(chosen["SCENARIO"])
     many, trouble = number(chosen, "--replicas", max(2, FEWEST), MOST), chosen["--trouble"]
-    names = digest_days.NAMES if chosen["--choosers"] == "all" else chosen["--choosers"].split(";")
+    names = digest_days.CHOOSERS if chosen["--choosers"] == "all" else chosen["--choosers"].split(";")
     with Shown("days") as progress:
         found, differ = digest_days.table(scenario, many, number(chosen, "--jobs", 0, 512), names, trouble, progress)
     title = f"{scenario.name}, trouble with messages: {trouble}: {many} simulated days each"
-    show_choosers(title, found, digest_days.SHOWN, out)
+    show_choosers(title, found, digest_days.SHOWN_FIGURES, out)
     for figure in ("waste", "p99_ms", "herd"):
         if figure in differ:
             each = differ[figure]
@@ -403,14 +403,14 @@
     save(chosen["--json"], plain)
 
 
-def heard_cells(each: judging.Heard_Fleet) -> tuple[str, ...]:
+def heard_cells(each: judging.JudgeRun) -> tuple[str, ...]:
     return f"{each.taken:.0f}", f"{each.sent_bytes:.1f}", f"{each.cpu:.2%}", f"{each.vote} {each.vote_s:.1f} s"
 
 
 def model_judges(chosen: dict[str, Any], out: Console) -> int:
     with Shown("fleets") as progress:
         rows = judging.table(progress=progress)
-    lies = judging.lies()
+    faulty_relay_runs = judging.faulty_relay_runs()
     for title, pick in (
         ("a good build", lambda row: (row.before, row.after)),
         ("a build that fails 5%", lambda row: (row.back_before, row.back_after)),
@@ -428,17 +428,17 @@
     )
     for column in ("mad", *("notes", "bytes a relay", "core", "vote") * 2):
         table.add_column(column, justify="right")
-    for mad, free, guarded in lies:
+    for mad, free, guarded in faulty_relay_runs:
         table.add_row(str(mad), *heard_cells(free), *heard_cells(guarded))
     out.print(table)
-    rolled = judging.mixed()
+    rolled = judging.play_mixed_fleets()
     table = Table(title="400 relays while they are rolled: days of five on which the build goes back")
     for column in ("of before", "a good build", "one that fails 5%, messages lost for 8 s"):
         table.add_column(column, justify="right")
     for each in rolled:
         table.add_row(f"{each.earlier:.0%}", str(each.good), str(each.bad))
     out.print(table)
-    save(chosen["--json"], {"fleets": rows, "lies": lies, "rolled": rolled})
+    save(chosen["--json"], {"fleets": rows, "lies": faulty_relay_runs, "rolled": rolled})
     if chosen["--chart"]:
         from ..lab import charts
 
@@ -495,7 +495,7 @@
 
 
 def record_show(chosen: dict[str, Any], out: Console) -> int:
-    return one_day(chosen, out, *runs.judge(chosen["FILE"]))
+    return one_day(chosen, out, *runs.evaluate_record(chosen["FILE"]))
 
 
 def record_import(chosen: dict[str, Any], out: Console) -> int:
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -1,8 +1,8 @@
-"""What could be had: plain ways to choose a unit, on the same arrivals, work and units as the program in the model.
+"""Baselines: simple ways to choose a unit, on the same arrivals, work and units as the program has in the model.
 
-No relay, note or delay is played, only who gets each first try at the moment when it comes; a chooser that sees all
-units exactly is the bound.  The ideas are published (Mitzenmacher, The Power of Two Choices, 1996, and How Useful Is
-Old Information, 2000); the code is our own.
+Relays, messages and delays are not simulated, only the choice of a unit for each first try when it arrives; a chooser
+that sees the exact load of all units is the bound.  The ideas are published (Mitzenmacher, The Power of Two Choices,
+1996, and How Useful Is Old Information, 2000); the code is our own.
 """
 
 import heapq
@@ -23,57 +23,61 @@
 from .fits import drawn
 from .runs import day_seed, play
 from .scenario import Scenario
-from .traffic import clients_of
+from .traffic import create_clients
 
-FEW = 8  # units of a subset, and of the look at some
-SHOWN = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "idle", "idle_chance", "even_99th", "even_least")
-Chooser = Callable[[int], Unit]  # of a relay's first try
+SUBSET_SIZE = 8  # units of a relay's subset, and of the sample of "eight, seen exactly"
+SHOWN_FIGURES = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "idle", "idle_chance", "even_99th", "even_least")
+Chooser = Callable[[int], Unit]  # the unit for a first try at that relay
 
 
 class Choosers:
-    """Each by its name; what a relay knows by itself is what it has out at each unit (`own`)."""
+    """The choosers by name; a relay by itself knows only how many tries it has in flight at each unit (`own`)."""
 
     def __init__(self, units: Sequence[Unit], relays: int, seed: int) -> None:
         self.units, self.chance = units, Chance(mix(seed, 17))
         self.own = [Counter() for _ in range(relays)]
         self.turn = [int(self.chance.share() * len(units)) for _ in range(relays)]
-        self.subsets = [self.some(FEW) for _ in range(relays)]
-        self.named: dict[str, Chooser] = {
+        self.subsets = [self.sample(SUBSET_SIZE) for _ in range(relays)]
+        self.by_name: dict[str, Chooser] = {
             "even draws": lambda relay: self.chance.pick(units),
-            "round robin": self.robin,
-            "two, by own counts": lambda relay: self.least(self.some(2), lambda unit: self.own[relay][unit.name]),
+            "round robin": self.round_robin,
+            "two, by own counts": lambda relay: self.least(self.sample(2), lambda unit: self.own[relay][unit.name]),
             "subset of eight, by own counts": lambda relay: self.least(
                 self.subsets[relay], lambda unit: self.own[relay][unit.name]
             ),
-            "two, seen exactly": lambda relay: self.least(self.some(2), lambda unit: len(unit.jobs)),
-            "eight, seen exactly": lambda relay: self.least(self.some(FEW), lambda unit: len(unit.jobs)),
+            "two, seen exactly": lambda relay: self.least(self.sample(2), lambda unit: len(unit.jobs)),
+            "eight, seen exactly": lambda relay: self.least(self.sample(SUBSET_SIZE), lambda unit: len(unit.jobs)),
             "all, seen exactly": lambda relay: self.least(units, lambda unit: len(unit.jobs)),
         }
 
-    def some(self, many: int) -> list[Unit]:
-        """So many different ones by chance."""
+    def sample(self, many: int) -> list[Unit]:
+        """A random sample of different units, all of them if there are no more than `many`."""
         left, found = list(self.units), []
         while left and len(found) < many:
             found.append(left.pop(int(self.chance.share() * len(left))))
         return found
 
     def least(self, units: Sequence[Unit], cost: Callable[[Unit], int]) -> Unit:
-        """The one that costs least; of several by chance."""
+        """The unit of least cost, a random one of several."""
         lowest = min(cost(unit) for unit in units)
         return self.chance.pick([unit for unit in units if cost(unit) == lowest])
 
-    def robin(self, relay: int) -> Unit:
+    def round_robin(self, relay: int) -> Unit:
         self.turn[relay] += 1
         return self.units[self.turn[relay] % len(self.units)]
 
 
-def baseline(scenario: Scenario, seed: int, name: str) -> dict[str, float]:
-    """A day of one chooser: latency of what was served, in ms, and how even the load was."""
+def play_baseline(scenario: Scenario, seed: int, name: str) -> dict[str, float]:
+    """Plays a day with one chooser; returns latency quantiles of tries served, in ms, and how even the load was."""
     parts = scenario.parts()
     fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
     units = list(fleet.units.values())
-    choosers, evenness, clients = Choosers(units, scenario.fleet.relays, seed), Evenness(), clients_of(scenario, seed)
-    choose, way = choosers.named[name], parts.paths.near
+    choosers, evenness, clients = (
+        Choosers(units, scenario.fleet.relays, seed),
+        Evenness(),
+        create_clients(scenario, seed),
+    )
+    choose, one_way = choosers.by_name[name], parts.paths.near
     evenness(Head(0, 1, "import", scenario.name, seed, {}, scenario.plain()))
     for line in fleet.lines:
         evenness(line)
@@ -96,12 +100,12 @@
         for asked, work in unit.taken:
             evenness(Ran(now, asked.relay, asked.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for asked, outcome in said:
+        outcomes, unit.said = unit.said, []
+        for asked, outcome in outcomes:
             evenness(Done(now, asked.relay, asked.number, 0, unit.name, outcome))
             choosers.own[asked.relay][unit.name] -= 1
             if outcome == "served":
-                served.append(now - asked.at + 2 * way)
+                served.append(now - asked.at + 2 * one_way)
         if unit.due < NEVER and unit.due != unit.wake_at:
             count += 1
             unit.wake_at = unit.due
@@ -111,15 +115,16 @@
     return {"p50_ms": float(p50), "p99_ms": float(p99)} | evenness.figures()
 
 
-def one(scenario: Scenario, seed: int, name: str) -> dict[str, float]:
-    return baseline(scenario, seed, name) if name else play(scenario, seed)[0].figures
+def play_one(scenario: Scenario, seed: int, name: str) -> dict[str, float]:
+    """Figures of a day with a chooser, or with the program if `name` is empty."""
+    return play_baseline(scenario, seed, name) if name else play(scenario, seed)[0].figures
 
 
 def table(
     scenario: Scenario, replicas: int, jobs: int, progress: Callable[[int, int], None]
 ) -> dict[str, dict[str, Bar]]:
-    """By chooser and figure, the program last; all on the same days."""
-    names = [*Choosers([], 0, 0).named, ""]
+    """Bars by chooser and figure, the program last; all are played on the same days."""
+    names = [*Choosers([], 0, 0).by_name, ""]
     work = [
         (name, each, day_seed(each, replica))
         for replica, each in enumerate(drawn(scenario, replicas))
@@ -127,8 +132,8 @@
     ]
     found: dict[str, list[Any]] = {name: [] for name in names}
     with ProcessPoolExecutor(jobs or None) as pool:
-        waiting = [(name, pool.submit(one, each, seed, name)) for name, each, seed in work]
-        for done, (name, future) in enumerate(waiting, 1):
-            found[name].append({figure: value for figure, value in future.result().items() if figure in SHOWN})
+        futures = [(name, pool.submit(play_one, each, seed, name)) for name, each, seed in work]
+        for done, (name, future) in enumerate(futures, 1):
+            found[name].append({figure: value for figure, value in future.result().items() if figure in SHOWN_FIGURES})
             progress(done, len(work))
     return {name or "the program": bars(figures) for name, figures in found.items()}
--- a/tealsail/lab/charts.py
+++ b/tealsail/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts as PNG files: service over time with bars, latency curves, days by zone, what the model costs."""
+"""Charts as PNG files: service over time with bars, latency curves, days by zone, load of units, costs of the model."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -10,7 +10,7 @@
 from matplotlib import pyplot  # noqa: E402
 
 from .bars import student  # noqa: E402
-from .figures import PARTS, Result  # noqa: E402
+from .figures import CURVE_QUANTILES, Result  # noqa: E402
 from .judging import Row  # noqa: E402
 from .losses import smooth  # noqa: E402
 from .runs import Option  # noqa: E402
@@ -19,13 +19,13 @@
 
 
 def over_time(results: Sequence[Result]) -> tuple[numpy.ndarray, numpy.ndarray]:
-    """Service by second of each day (days x seconds), smoothed, and the seconds."""
-    most = min(len(each.series["service"]) for each in results)
-    return numpy.array([smooth(each.series["service"][:most]) for each in results]), numpy.arange(most)
+    """Smoothed service of each day by second (days x seconds), and the seconds."""
+    length = min(len(each.series["service"]) for each in results)
+    return numpy.array([smooth(each.series["service"][:length]) for each in results]), numpy.arange(length)
 
 
 def latency_axis(axis: "pyplot.Axes") -> None:
-    """Percentiles on the usual log axis of nines."""
+    """Sets up a chart of latency over percentiles, on the usual logarithmic axis of nines."""
     places = [0.5, 0.9, 0.99, 0.999, 0.9999]
     axis.set_xscale("log")
     axis.set_xticks([1 / (1 - each) for each in places], [f"{each * 100:g}%" for each in places])
@@ -36,34 +36,34 @@
 
 
 def draw_latency(axis: "pyplot.Axes", result: Result, colour: str, label: str, style: str = "-") -> None:
-    points = [(1 / (1 - part), each) for part, each in zip(PARTS, result.curve) if 0.5 <= part < 1]
+    points = [(1 / (1 - part), each) for part, each in zip(CURVE_QUANTILES, result.curve) if 0.5 <= part < 1]
     if points:
         axis.plot(*zip(*points), style, color=colour, label=label)
 
 
 def options(path: Path | str, shown: Sequence[Option], real: Sequence[Sequence[Result]] = ()) -> None:
-    """Service over time and latency of each option, model days as bands, real days as dashed lines."""
+    """Draws service over time and latency of each option: days of the model as bands, real days as dashed lines."""
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(13, 4.6), width_ratios=(3, 2))
     lowest = 1.0
-    for place, option in enumerate(shown):
-        colour = COLOURS[place % len(COLOURS)]
+    for index, option in enumerate(shown):
+        colour = COLOURS[index % len(COLOURS)]
         rows, seconds = over_time(option.results)
         mean = rows.mean(axis=0)
         left.plot(seconds, mean, color=colour, label=f"{option.name} (model, {len(rows)} days)")
         if len(rows) > 1:
-            reach = student(0.95, len(rows) - 1) * rows.std(axis=0, ddof=1)
+            margin = student(0.95, len(rows) - 1) * rows.std(axis=0, ddof=1)
             left.fill_between(
                 seconds,
-                numpy.clip(mean - reach, 0, 1),
-                numpy.clip(mean + reach, 0, 1),
+                numpy.clip(mean - margin, 0, 1),
+                numpy.clip(mean + margin, 0, 1),
                 color=colour,
                 alpha=0.15,
                 linewidth=0,
             )
-            lowest = min(lowest, float(numpy.clip(mean - reach, 0, 1).min()))
+            lowest = min(lowest, float(numpy.clip(mean - margin, 0, 1).min()))
         lowest = min(lowest, float(mean.min()))
         draw_latency(right, option.results[0], colour, option.name)
-        for number, result in enumerate(real[place] if place < len(real) else ()):
+        for number, result in enumerate(real[index] if index < len(real) else ()):
             row, seconds = over_time([result])
             left.plot(
                 seconds, row[0], "--", color=colour, linewidth=1, label=None if number else f"{option.name} (real)"
@@ -83,24 +83,24 @@
 
 
 def rows_of(days: Sequence[Result], name: str, blank: float = 0.0) -> numpy.ndarray:
-    """One series of all days, days x seconds; `blank` where a day has none."""
-    most = min(len(day.series["asked"]) for day in days)
-    return numpy.array([(day.series.get(name, []) + [blank] * most)[:most] for day in days])
+    """One series of all days, an array of days x seconds; `blank` where a day has no value."""
+    seconds = min(len(day.series["asked"]) for day in days)
+    return numpy.array([(day.series.get(name, []) + [blank] * seconds)[:seconds] for day in days])
 
 
 def zones(path: Path | str, shown: dict[str, Sequence[Result]]) -> None:
-    """For each option, means over its days: service of each zone's relays, shots by pair of zones, and how close units
-    that had just started came to their limit (the worst of each second)."""
+    """Draws for each option the means over its days: service of each zone's relays, shots by pair of zones, and the
+    load of units that had just started, over their limit (the worst of each second)."""
     figure, axes = pyplot.subplots(
         3, len(shown), figsize=(5.2 * len(shown), 8.4), sharex=True, sharey="row", squeeze=False
     )
     for column, (name, days) in enumerate(shown.items()):
         series = sorted({each for day in days for each in day.series})
-        places = [each.partition(".")[2] for each in series if each.startswith("service.")]
-        for place, zone in enumerate(places):
+        zone_names = [each.partition(".")[2] for each in series if each.startswith("service.")]
+        for index, zone in enumerate(zone_names):
             axes[0][column].plot(
                 rows_of(days, f"service.{zone}", 1.0).mean(axis=0),
-                color=COLOURS[place % len(COLOURS)],
+                color=COLOURS[index % len(COLOURS)],
                 label=f"zone {zone}",
             )
         for each in (each for each in series if each.startswith("shots.")):
@@ -109,7 +109,7 @@
                 rows_of(days, each).mean(axis=0),
                 "-" if own != to else ":",
                 label=f"{own} to {to}",
-                color=COLOURS[places.index(to) % len(COLOURS)] if to in places else None,
+                color=COLOURS[zone_names.index(to) % len(COLOURS)] if to in zone_names else None,
                 linewidth=1,
                 alpha=0.5 if own == to else 1,
             )
@@ -130,7 +130,7 @@
 
 
 def use(path: Path | str, result: Result) -> None:
-    """Shots at each unit by second, as a heat map, units in the order in which they first got one."""
+    """Draws a heat map of the shots at each unit by second; units are in the order of their first shot."""
     names = sorted(
         result.use, key=lambda name: (next((at for at, many in enumerate(result.use[name]) if many), 0), name)
     )
@@ -154,7 +154,7 @@
 
 
 def cost(path: Path | str, tables: dict[str, list[tuple[int, float]]]) -> None:
-    """Microseconds of CPU an invocation over relays and over units."""
+    """Draws microseconds of CPU for each invocation over the numbers of relays and of units."""
     figure, axes = pyplot.subplots(1, len(tables), figsize=(5 * len(tables), 4), sharey=True)
     for axis, (name, points), colour in zip(numpy.atleast_1d(axes), tables.items(), COLOURS):
         axis.plot(*zip(*points), "o-", color=colour)
@@ -169,7 +169,8 @@
 
 
 def judges(path: Path | str, rows: Sequence[Row]) -> None:
-    """What a judge hears, what it costs, and time to its vote, by fleet size: told each second, and in turns."""
+    """Draws messages at a judge, bytes sent by a relay, and time to the vote, by fleet size: with messages of all
+    relays each second, and in turns."""
     figure, axes = pyplot.subplots(1, 3, figsize=(14, 4))
     sizes = [row.relays for row in rows]
     for axis, text, value in (
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -1,5 +1,5 @@
-"""What the model costs: CPU of one core for each invocation, for more relays and for more units; and what a decision
-costs with the operator's document and without."""
+"""CPU time of the model for each invocation, by the numbers of relays and units, and CPU time of a relay's decision
+with zones in the operator's document and without."""
 
 import time
 from collections import deque
@@ -11,13 +11,14 @@
 from .scenario import Scenario, convert
 from .virtual import Model
 
-RELAYS, UNITS = (5, 50, 500), (16, 160, 1600)
-SECONDS = 20
+RELAY_COUNTS = (5, 50, 500)  # with 160 units
+UNIT_COUNTS = (16, 160, 1600)  # with 50 relays
+DAY_S = 20
 
 
-def scenario(relays: int, units: int, seconds: float = SECONDS) -> Scenario:
-    """A fleet of that size at a quarter of its capacity, with a good build coming in: each relay has 10 invocations
-    a second, or each unit as many as it takes to have 2,000 in all."""
+def sized_scenario(relays: int, units: int, seconds: float = DAY_S) -> Scenario:
+    """A fleet of that size at a quarter of its capacity, with a roll-out of a good build: 10 invocations a second for
+    each relay, at least 1,000 in all."""
     rate = max(1_000.0, 10.0 * relays)
     tree: dict[str, Any] = {
         "name": f"{relays} relays, {units} units",
@@ -32,8 +33,8 @@
     return convert(tree)
 
 
-def measured(one: Scenario) -> float:
-    """Microseconds of CPU an invocation of this process."""
+def measure_day(scenario: Scenario) -> float:
+    """Plays a day in this process; returns microseconds of CPU for each invocation."""
     count = 0
 
     def listen(line: Any) -> None:
@@ -41,16 +42,16 @@
         count += type(line).__name__ == "Take"
 
     before = time.process_time()
-    Model(one, one.seed, [listen]).play()
+    Model(scenario, scenario.seed, [listen]).play()
     return (time.process_time() - before) * 1e6 / max(1, count)
 
 
 def tables(progress: Callable[[int, int], None] | None = None) -> dict[str, list[tuple[int, float]]]:
-    """By relays at 160 units, and by units at 50 relays: (size, microseconds)."""
-    sizes = [("relays", relays, 160) for relays in RELAYS] + [("units", 50, units) for units in UNITS]
+    """Points (size, microseconds for each invocation) by relays, with 160 units, and by units, with 50 relays."""
+    sizes = [("relays", relays, 160) for relays in RELAY_COUNTS] + [("units", 50, units) for units in UNIT_COUNTS]
     found: dict[str, list[tuple[int, float]]] = {"relays": [], "units": []}
     for done, (name, relays, units) in enumerate(sizes):
-        found[name].append((relays if name == "relays" else units, measured(scenario(relays, units))))
+        found[name].append((relays if name == "relays" else units, measure_day(sized_scenario(relays, units))))
         if progress:
             progress(done + 1, len(sizes))
     return found
@@ -65,30 +66,38 @@
     ratio: float
 
 
-ROUNDS, PICKS, BESIDE = 9, 3_000, 20  # of a decision's cost; invocations at hand at once
-DECISION_UNITS = (60, 300, 1500)
+DECISION_ROUNDS = 9
+DECISIONS_PER_ROUND = 3_000
+OPEN_INVOCATIONS = 20  # at a time
+DECISION_UNIT_COUNTS = (60, 300, 1500)
 
 
-def decided(one: Scenario, picks: int) -> float:
-    """Microseconds of CPU for a pick and its outcome, of one relay of the scenario, all served after BESIDE more."""
+def measure_decision(scenario: Scenario, picks: int) -> float:
+    """Microseconds of CPU of one relay of the scenario for a pick and its outcome, which is reported OPEN_INVOCATIONS
+    picks later.  Raises ValueError if an invocation is rejected."""
     now = 100_000
-    facts = one.facts(0)
-    facade = Facade(facts, 1, lambda: now, one.operators().seats(facts))
-    facade.report(Standing(one.build, 0, "released", 1.0, 1_000_000))
-    zones = len(one.fleet.zones)
+    settings = scenario.parsed_settings(0)
+    facade = Facade(settings, 1, lambda: now, scenario.operator_document().seats(settings))
+    facade.report(Standing(scenario.build, 0, "released", 1.0, 1_000_000))
+    zones = len(scenario.fleet.zones)
     facade.report(
-        Units("whole", [Listed(unit, one.build, "open", unit % zones, 0, 1.0, 0) for unit in range(one.fleet.units)])
+        Units(
+            "whole",
+            [Listed(unit, scenario.build, "open", unit % zones, 0, 1.0, 0) for unit in range(scenario.fleet.units)],
+        )
     )
     waiting: deque[Outcome] = deque()
     before = time.process_time()
     for place in range(picks):
         now += 5
-        number, step = facade.pick(one.workload[0].name, "", f"key-{place % 500}", now + 20_000)
+        number, step = facade.pick(scenario.workload[0].name, "", f"key-{place % 500}", now + 20_000)
         if type(step) is Shoot:
             waiting.append(Outcome(number, step.place, "served"))
         elif type(step) is Reject:
-            raise ValueError(f"{one.name}: rejected, which is no usual decision")
-        if len(waiting) > BESIDE:
+            raise ValueError(
+                f"{scenario.name}: an invocation was rejected, so the cost is not that of a usual decision"
+            )
+        if len(waiting) > OPEN_INVOCATIONS:
             facade.report(waiting.popleft())
         if facade.due <= now:
             facade.tick()
@@ -96,14 +105,17 @@
 
 
 def decisions(progress: Callable[[int, int], None] | None = None) -> dict[int, Decision]:
-    """By units in three zones: with `zones` in the document and without, in turns."""
+    """By the number of units, which lie in three zones: rounds with `zones` in the document and without, in turns."""
     found = {}
-    for done, units in enumerate(DECISION_UNITS):
-        tree = scenario(200, units).plain()
+    for done, units in enumerate(DECISION_UNIT_COUNTS):
+        tree = sized_scenario(200, units).plain()
         tree |= {"fleet": tree["fleet"] | {"zones": ["a", "b", "c"]}}
         without, with_it = convert(tree), convert(tree | {"document": {"zones": {}}})
-        rows = [(decided(without, PICKS), decided(with_it, PICKS)) for _ in range(ROUNDS)]
+        rows = [
+            (measure_decision(without, DECISIONS_PER_ROUND), measure_decision(with_it, DECISIONS_PER_ROUND))
+            for _ in range(DECISION_ROUNDS)
+        ]
         found[units] = Decision(median(a for a, _ in rows), median(b for _, b in rows), median(b / a for a, b in rows))
         if progress:
-            progress(done + 1, len(DECISION_UNITS))
+            progress(done + 1, len(DECISION_UNIT_COUNTS))
     return found
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -1,8 +1,8 @@
-"""Load digests against other ways to choose a backend, on the same arrivals, work and backends.
+"""Load digests compared with other ways to choose a unit, on the same arrivals, work and units.
 
-Plain choosers as in baselines.py: no request goes through the program, but the digests are the real machine
-(tealsail/choices/load_digests.py), with its messages late, lost, cut or held up at a stopped owner.
-All of it is simulated.
+As in baselines.py, choosers are simple and no invocation goes through the program, but the digests are those of the
+program (tealsail/choices/load_digests.py), whose messages may be late, lost, cut off, or held up at a stopped relay.
+Everything is simulated.
 """
 
 import heapq
@@ -23,43 +23,55 @@
 from .bars import Bar, Difference, bars, differences
 from .runs import day_seed
 from .scenario import Scenario
-from .traffic import clients_of
+from .traffic import create_clients
 
 SECOND = 10_000  # tenths of a ms
-BEAT = SECOND // 2  # between a relay's beats
-FEW = 4  # units in use, as the program begins (tealsail/policy.py, Choice)
-OFFERED = 8  # units offered to the asked tracker
-SUBSET = 32  # units of a fixed subset of each relay
-WAITING = 256  # messages that wait at a stopped owner; more are lost
-BEGINS = 4 * SECOND  # of a trouble
-SPANS = {"none": 0, "lost": 8 * SECOND, "cut": 8 * SECOND, "stopped": 5 * SECOND}
+BEAT = SECOND // 2  # interval of a relay's beats
+MIN_UNITS_IN_USE = 4  # as the program begins (tealsail/policy.py, Choice)
+UNITS_OFFERED = 8  # to the load tracker that is asked
+SUBSET_SIZE = 32  # units of a fixed subset of each relay
+MAX_WAITING = 256  # messages that wait at a stopped relay; more are lost
+TROUBLE_START = 4 * SECOND
+TROUBLE_SPANS = {"none": 0, "lost": 8 * SECOND, "cut": 8 * SECOND, "stopped": 5 * SECOND}
 ASKED = "the asked tracker"
-NAMES = ("even draws", "two, seen exactly", ASKED, "few, no messages", "subset, no messages", "subset, digests")
-AGAINST, OURS = NAMES[-2:]
-SHOWN = ("p50_ms", "p99_ms", "waste", "herd", "herd_chance", "even_99th", "even_least", "bytes_s", "most_bytes_s")
+CHOOSERS = ("even draws", "two, seen exactly", ASKED, "few, no messages", "subset, no messages", "subset, digests")
+WITHOUT_DIGESTS, WITH_DIGESTS = CHOOSERS[-2:]
+SHOWN_FIGURES = (
+    "p50_ms",
+    "p99_ms",
+    "waste",
+    "herd",
+    "herd_chance",
+    "even_99th",
+    "even_least",
+    "bytes_s",
+    "most_bytes_s",
+)
 
 
 class Trouble(NamedTuple):
-    """What goes wrong with messages from `start` to `end`, in tenths of a ms."""
+    """A fault of messages from `start` to `end`, in tenths of a ms."""
 
-    kind: str = ""  # lost, cut (between halves of the relays), stopped
+    kind: str = ""  # none, lost, cut (between two halves of the relays) or stopped
     start: int = 0
     end: int = 0
-    stopped: int = 0  # relays whose messages wait
+    stopped: int = 0  # number of relays that are stopped, so that their messages wait
 
     @classmethod
-    def named(cls, kind: str, relays: int) -> "Trouble":
-        """The standard ones: all messages lost or halves cut for 8 s, or a fifth of the owners stopped for 5 s."""
-        if kind not in SPANS:
-            raise ValueError(f"--trouble={kind}: not one of {', '.join(SPANS)}")
-        return cls(kind, BEGINS, BEGINS + SPANS[kind], relays // 5)
-
-    def acts(self, now: int) -> bool:
+    def of_kind(cls, kind: str, relays: int) -> "Trouble":
+        """The standard troubles: all messages lost or halves of the relays cut off from each other for 8 s, or a fifth
+        of the relays stopped for 5 s.  Raises ValueError for any other kind."""
+        if kind not in TROUBLE_SPANS:
+            raise ValueError(f"--trouble={kind}: not one of {', '.join(TROUBLE_SPANS)}")
+        return cls(kind, TROUBLE_START, TROUBLE_START + TROUBLE_SPANS[kind], relays // 5)
+
+    def is_active(self, now: int) -> bool:
         return self.start <= now < self.end
 
 
-class Known:
-    """What a relay knows of a unit by itself, as the program does: attempts out, and answers' times over the usual."""
+class UnitKnowledge:
+    """What a relay knows of a unit by itself, as in the program: its shots in flight there (`out`), and the mean of the
+    latencies over the usual one (`pace`)."""
 
     __slots__ = ("out", "pace")
 
@@ -67,67 +79,69 @@
         self.out, self.pace = 0, 1.0
 
 
-CALM = Trouble()
+NO_TROUBLE = Trouble()
 
 
 class RelayStandIn:
-    """One relay: its own order of units, what it knows, and its digest machine if it has one."""
+    """One relay: its own order of units, what it knows of them, and its load digests if it has them."""
 
     def __init__(self, number: int, units: Sequence[Unit], seed: int, relays: int, has_digests: bool) -> None:
         self.number, self.chance = number, Chance(mix(seed, number, 23))
-        self.order = sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.some(units)
-        self.known: dict[str, Known] = {}
-        self.few = float(FEW)
-        self.usual = 0.0  # ms that an answer takes
+        self.order = (
+            sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.sample(units)
+        )
+        self.known: dict[str, UnitKnowledge] = {}
+        self.in_use_count = float(MIN_UNITS_IN_USE)
+        self.mean_latency = 0.0  # tenths of a ms
         self.digests = LoadDigests(number, relays, 0, Chance(mix(seed, number, 29))) if has_digests else None
         self.bytes = 0
 
-    def some(self, units: Sequence[Unit]) -> list[Unit]:
-        """The first of its order, drawn: to sort 12,000 for each of 1,300 relays takes too long."""
+    def sample(self, units: Sequence[Unit]) -> list[Unit]:
+        """64 random units in place of the whole order: to sort 12,000 units for each of 1,300 relays takes too long."""
         found: dict[str, Unit] = {}
         while len(found) < 64:
             unit = self.chance.pick(units)
             found[unit.name] = unit
         return list(found.values())
 
-    def of(self, unit: Unit) -> Known:
+    def knowledge_of(self, unit: Unit) -> UnitKnowledge:
         known = self.known.get(unit.name)
         if known is None:
-            known = self.known[unit.name] = Known()
+            known = self.known[unit.name] = UnitKnowledge()
         return known
 
     def beat(self) -> None:
-        self.few = max(FEW, 0.99 * self.few)
+        self.in_use_count = max(MIN_UNITS_IN_USE, 0.99 * self.in_use_count)
         for known in self.known.values():
             known.pace += 0.03 * (1 - known.pace)
 
-    def near(self) -> list[Unit]:
-        """The units in use: one more whenever all are busy."""
-        near = self.order[: int(self.few)]
-        if all(self.of(unit).out for unit in near):
-            self.few = min(len(self.order), self.few + 1)
-            near = self.order[: int(self.few)]
-        return near
+    def units_in_use(self) -> list[Unit]:
+        """The first units of its order; one more is added whenever all are busy."""
+        in_use = self.order[: int(self.in_use_count)]
+        if all(self.knowledge_of(unit).out for unit in in_use):
+            self.in_use_count = min(len(self.order), self.in_use_count + 1)
+            in_use = self.order[: int(self.in_use_count)]
+        return in_use
 
     def subset(self) -> list[Unit]:
-        return self.order[:SUBSET]
+        return self.order[:SUBSET_SIZE]
 
     def sent(self, unit: Unit, now: int) -> None:
-        self.of(unit).out += 1
+        self.knowledge_of(unit).out += 1
         if self.digests:
             self.digests.sent(unit.mark, now)
 
     def ended(self, unit: Unit, now: int, latency: int) -> None:
-        known = self.of(unit)
+        known = self.knowledge_of(unit)
         known.out -= 1
-        self.usual += 0.05 * (latency - self.usual) if self.usual else latency
-        known.pace += 0.1 * (min(8.0, latency / self.usual) - known.pace)
+        self.mean_latency += 0.05 * (latency - self.mean_latency) if self.mean_latency else latency
+        known.pace += 0.1 * (min(8.0, latency / self.mean_latency) - known.pace)
         if self.digests:
             self.digests.ended(unit.mark, now)
 
 
 class Tracker:
-    """The asked tracker, plain: told of each attempt after a message's time, asked before each."""
+    """A simple load tracker that is asked before each shot and learns its end with the delay of a message."""
 
     def __init__(self) -> None:
         self.out: Counter[str] = Counter()
@@ -138,29 +152,31 @@
 
 
 class Day:
-    """A day of one chooser."""
+    """A day with one chooser."""
 
-    def __init__(self, scenario: Scenario, seed: int, name: str, trouble: Trouble = CALM) -> None:
+    def __init__(self, scenario: Scenario, seed: int, name: str, trouble: Trouble = NO_TROUBLE) -> None:
         parts = scenario.parts()
         self.scenario, self.name, self.trouble = scenario, name, trouble
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
         self.units = list(self.fleet.units.values())
-        self.way, self.chance = parts.paths.near, Chance(mix(seed, 31))
+        self.one_way, self.chance = parts.paths.near, Chance(mix(seed, 31))
         least, most = scenario.network.notes_ms
-        self.note_least, self.note_span = int(least * 10), int((most - least) * 10)
+        self.least_delay, self.delay_span = int(least * 10), int((most - least) * 10)
         count = scenario.fleet.relays
         has_digests = name == "subset, digests"
         self.relays = [RelayStandIn(each, self.units, seed, count, has_digests) for each in range(count)]
-        self.tracker, self.clients, self.evenness = Tracker(), clients_of(scenario, seed), Evenness()
+        self.tracker, self.clients, self.evenness = Tracker(), create_clients(scenario, seed), Evenness()
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = self.now = 0
+        self.sequence = self.now = 0
         self.held: list[tuple[RelayStandIn, int, bytes]] = []
-        self.began: dict[tuple[int, int], int] = {}
+        self.started_at: dict[tuple[int, int], int] = {}
         self.served, self.ways = array("q"), array("q")
         self.choosers: dict[str, Callable[[RelayStandIn], Unit]] = {
             "even draws": lambda relay: self.chance.pick(self.units),
             "two, seen exactly": lambda relay: self.least_of_two(self.units, lambda unit: len(unit.jobs)),
-            "few, no messages": lambda relay: self.least_of_two(relay.near(), lambda unit: self.own_cost(relay, unit)),
+            "few, no messages": lambda relay: self.least_of_two(
+                relay.units_in_use(), lambda unit: self.own_cost(relay, unit)
+            ),
             "subset, no messages": lambda relay: min(relay.subset(), key=lambda unit: self.own_cost(relay, unit)),
             "subset, digests": lambda relay: min(relay.subset(), key=lambda unit: self.cost(relay, unit)),
         }
@@ -169,38 +185,38 @@
     def least_of_two(self, units: Sequence[Unit], cost: Callable[[Unit], float]) -> Unit:
         if len(units) == 1:
             return units[0]
-        first = int(self.chance.share() * len(units))
-        second = int(self.chance.share() * (len(units) - 1))
-        one, two = units[first], units[second + (second >= first)]
-        return one if cost(one) <= cost(two) else two
+        first_index = int(self.chance.share() * len(units))
+        second_index = int(self.chance.share() * (len(units) - 1))
+        first_unit, second_unit = units[first_index], units[second_index + (second_index >= first_index)]
+        return first_unit if cost(first_unit) <= cost(second_unit) else second_unit
 
     def own_cost(self, relay: RelayStandIn, unit: Unit) -> float:
-        known = relay.of(unit)
+        known = relay.knowledge_of(unit)
         return (known.out + self.chance.share()) * known.pace
 
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
-        known = relay.of(unit)
+        known = relay.knowledge_of(unit)
         return (known.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
 
     # time
-    def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (at, self.count, call, what))
+    def call_at(self, at: int, call: Callable[..., None], *what: Any) -> None:
+        self.sequence += 1
+        heapq.heappush(self.heap, (at, self.sequence, call, what))
 
-    def note(self) -> int:
-        """When a message that goes out now comes in."""
-        return self.now + self.note_least + int(self.chance.share() * self.note_span)
+    def message_arrival(self) -> int:
+        """When a message that is sent now arrives."""
+        return self.now + self.least_delay + int(self.chance.share() * self.delay_span)
 
     def play(self) -> dict[str, float]:
         self.evenness(Head(0, 1, "import", self.scenario.name, 0, {}, self.scenario.plain()))
         for line in self.fleet.lines:
             self.evenness(line)
         for relay in self.relays:
-            self.later(int(self.chance.share() * BEAT), self.beat, relay)
+            self.call_at(int(self.chance.share() * BEAT), self.beat, relay)
             if relay.digests:
-                self.later(relay.digests.due, self.tick, relay)
+                self.call_at(relay.digests.due, self.tick, relay)
         if self.trouble.kind == "stopped":
-            self.later(self.trouble.end, self.release)
+            self.call_at(self.trouble.end, self.release)
         clients, heap = self.clients, self.heap
         while True:
             due = clients.due
@@ -210,92 +226,92 @@
             elif due is not None:
                 self.now = due
                 self.arrive(clients.next())
-            if due is None and not self.began:
+            if due is None and not self.started_at:
                 return self.figures()
 
     def beat(self, relay: RelayStandIn) -> None:
         relay.beat()
-        self.later(self.now + BEAT, self.beat, relay)
+        self.call_at(self.now + BEAT, self.beat, relay)
 
-    # requests
+    # invocations
     def arrive(self, arrival: Any) -> None:
         relay = self.relays[arrival.relay]
-        self.began[arrival.relay, arrival.number] = self.now
+        self.started_at[arrival.relay, arrival.number] = self.now
         if self.name == ASKED:
-            self.later(self.note(), self.ask, relay, arrival)
+            self.call_at(self.message_arrival(), self.ask, relay, arrival)
             return
-        self.attempt(relay, arrival, self.choosers[self.name](relay))
+        self.send_shot(relay, arrival, self.choosers[self.name](relay))
 
     def ask(self, relay: RelayStandIn, arrival: Any) -> None:
-        offered = relay.near()
-        if len(offered) < OFFERED:
-            offered = relay.order[:OFFERED]
+        offered = relay.units_in_use()
+        if len(offered) < UNITS_OFFERED:
+            offered = relay.order[:UNITS_OFFERED]
         unit = self.tracker.least(offered, self.chance)
         self.tracker.out[unit.name] += 1
-        self.later(self.note(), self.attempt, relay, arrival, unit)
+        self.call_at(self.message_arrival(), self.send_shot, relay, arrival, unit)
 
-    def attempt(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
+    def send_shot(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
         relay.sent(unit, self.now)
         unit.take(self.now, Asked((arrival, self.now), arrival.first, arrival.workload))
-        self.after(unit)
+        self.collect(unit)
 
     def wake(self, unit: Unit, at: int) -> None:
         if unit.wake_at == at:
             unit.wake_at = NEVER
             unit.wake(self.now)
-            self.after(unit)
+            self.collect(unit)
 
-    def after(self, unit: Unit) -> None:
+    def collect(self, unit: Unit) -> None:
         for (arrival, _), work in unit.taken:
             self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for (arrival, sent), outcome in said:
+        outcomes, unit.said = unit.said, []
+        for (arrival, sent), outcome in outcomes:
             self.evenness(Done(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
             relay = self.relays[arrival.relay]
             relay.ended(unit, self.now, self.now - sent)
-            began = self.began.pop((arrival.relay, arrival.number))
+            started_at = self.started_at.pop((arrival.relay, arrival.number))
             if outcome == "served":
-                self.served.append(self.now - began + 2 * self.way)
+                self.served.append(self.now - started_at + 2 * self.one_way)
             if self.name == ASKED:
-                self.later(self.note(), self.told, unit)
+                self.call_at(self.message_arrival(), self.shot_ended, unit)
         if unit.due < NEVER and unit.due != unit.wake_at:
             unit.wake_at = unit.due
-            self.later(unit.due, self.wake, unit, unit.due)
+            self.call_at(unit.due, self.wake, unit, unit.due)
 
-    def told(self, unit: Unit) -> None:
+    def shot_ended(self, unit: Unit) -> None:
         self.tracker.out[unit.name] -= 1
 
     # digests
     def tick(self, relay: RelayStandIn) -> None:
         if self.is_stopped(relay.number):
-            self.later(self.trouble.end, self.tick, relay)
+            self.call_at(self.trouble.end, self.tick, relay)
             return
         self.send(relay, relay.digests.tick(self.now))
-        self.later(max(self.now + 1, relay.digests.due), self.tick, relay)
+        self.call_at(max(self.now + 1, relay.digests.due), self.tick, relay)
 
     def is_stopped(self, number: int) -> bool:
-        return self.trouble.kind == "stopped" and number < self.trouble.stopped and self.trouble.acts(self.now)
+        return self.trouble.kind == "stopped" and number < self.trouble.stopped and self.trouble.is_active(self.now)
 
     def is_lost(self, sender: int, to: int) -> bool:
-        if not self.trouble.acts(self.now):
+        if not self.trouble.is_active(self.now):
             return False
         return self.trouble.kind == "lost" or self.trouble.kind == "cut" and sender % 2 != to % 2
 
     def send(self, relay: RelayStandIn, sends: Sequence[Any]) -> None:
         for to, data in sends:
             if not self.is_lost(relay.number, to):
-                self.later(self.note(), self.receive, self.relays[to], relay.number, data)
+                self.call_at(self.message_arrival(), self.receive, self.relays[to], relay.number, data)
 
     def receive(self, relay: RelayStandIn, sender: int, data: bytes) -> None:
         if self.is_stopped(relay.number):
-            if len(self.held) < WAITING * self.trouble.stopped:
+            if len(self.held) < MAX_WAITING * self.trouble.stopped:
                 self.held.append((relay, sender, data))
             return
         self.send(relay, relay.digests.received(sender, data, self.now))
 
     def release(self) -> None:
-        """Stopped owners go on; what waited comes at once."""
+        """Stopped relays run again; the messages that waited arrive at once."""
         held, self.held = self.held, []
         for relay, sender, data in held:
             self.receive(relay, sender, data)
@@ -311,9 +327,10 @@
         return found
 
 
-def one(scenario: Scenario, seed: int, name: str, trouble: Trouble) -> dict[str, float]:
-    found = Day(scenario, seed, name, trouble).play()
-    return {figure: found[figure] for figure in SHOWN if figure in found}
+def play_one(scenario: Scenario, seed: int, name: str, trouble: Trouble) -> dict[str, float]:
+    """The figures to show of a day with a chooser."""
+    figures = Day(scenario, seed, name, trouble).play()
+    return {figure: figures[figure] for figure in SHOWN_FIGURES if figure in figures}
 
 
 def table(
@@ -324,20 +341,20 @@
     trouble: str,
     progress: Callable[[int, int], None],
 ) -> tuple[dict[str, dict[str, Bar]], dict[str, Difference]]:
-    """By chooser and figure, and the digests less no messages, day by day; all on the same days.
-    Raises ValueError for a chooser or a trouble that there is not."""
-    unknown = [name for name in names if name not in NAMES]
+    """Bars by chooser and figure, and the subset's figures with digests minus those without, paired by day; all are
+    played on the same days.  Raises ValueError for an unknown chooser or trouble."""
+    unknown = [name for name in names if name not in CHOOSERS]
     if unknown:
-        raise ValueError(f"--choosers: {unknown[0]!r} is none of {'; '.join(NAMES)}")
-    kind = Trouble.named(trouble, scenario.fleet.relays)
+        raise ValueError(f"--choosers: {unknown[0]!r} is not one of {'; '.join(CHOOSERS)}")
+    standard_trouble = Trouble.of_kind(trouble, scenario.fleet.relays)
     work = [(name, day_seed(scenario, replica)) for replica in range(replicas) for name in names]
     found: dict[str, list[dict[str, float]]] = {name: [] for name in names}
     with ProcessPoolExecutor(jobs or None) as pool:
-        waiting = [(name, pool.submit(one, scenario, seed, name, kind)) for name, seed in work]
-        for done, (name, future) in enumerate(waiting, 1):
+        futures = [(name, pool.submit(play_one, scenario, seed, name, standard_trouble)) for name, seed in work]
+        for done, (name, future) in enumerate(futures, 1):
             found[name].append(future.result())
             progress(done, len(work))
-    differ = {}
-    if AGAINST in found and OURS in found:
-        differ = differences(found[AGAINST], found[OURS])
-    return {name: bars(figures) for name, figures in found.items()}, differ
+    gaps = {}
+    if WITHOUT_DIGESTS in found and WITH_DIGESTS in found:
+        gaps = differences(found[WITHOUT_DIGESTS], found[WITH_DIGESTS])
+    return {name: bars(figures) for name, figures in found.items()}, gaps
--- a/tealsail/lab/fields.py
+++ b/tealsail/lab/fields.py
@@ -1,4 +1,4 @@
-"""The fields of a typed document as rows of a table, made from its types alone."""
+"""A table of the fields of a typed document, made from its types."""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Row(NamedTuple):
-    """All as text."""
+    """One field, all as text."""
 
     field: str
     kind: str
@@ -17,20 +17,21 @@
 
 
 def rows(kind: type, path: str = "") -> Iterator[Row]:
-    """Depth first, in the order of the types."""
+    """Rows of a Struct type and the types within it, depth first; `path` begins the fields' names."""
     for field in msgspec.structs.fields(kind):
         name = f"{path}{field.encode_name}"
-        told = inspect.type_info(field.type)
-        many = isinstance(told, inspect.ListType) and isinstance(told.item_type, inspect.StructType)
-        struct = told.item_type if many else told
+        info = inspect.type_info(field.type)
+        is_list = isinstance(info, inspect.ListType) and isinstance(info.item_type, inspect.StructType)
+        struct = info.item_type if is_list else info
         if isinstance(struct, inspect.StructType):
-            yield from rows(struct.cls, f"{name}[]." if many else f"{name}.")
+            yield from rows(struct.cls, f"{name}[]." if is_list else f"{name}.")
         else:
-            yield Row(name, word(told), bounds(told), default(field))
+            yield Row(name, type_name(info), bounds(info), default(field))
 
 
-def word(told: Any) -> str:
-    match told:
+def type_name(info: Any) -> str:
+    """The name of a type for operators, such as "whole number"."""
+    match info:
         case inspect.FloatType():
             return "number"
         case inspect.IntType():
@@ -40,22 +41,23 @@
         case inspect.BoolType():
             return "true or false"
         case inspect.VarTupleType() | inspect.ListType():
-            return f"list of {word(told.item_type)}"
+            return f"list of {type_name(info.item_type)}"
         case inspect.TupleType():
-            return f"{len(told.item_types)} of {word(told.item_types[0])}"
+            return f"{len(info.item_types)} of {type_name(info.item_types[0])}"
         case inspect.DictType():
             return "table"
         case inspect.LiteralType():
-            return " or ".join(map(str, told.values))
+            return " or ".join(map(str, info.values))
     return "any"
 
 
-def bounds(told: Any) -> str:
-    if isinstance(told, inspect.TupleType):
-        return bounds(told.item_types[0])
-    if isinstance(told, (inspect.VarTupleType, inspect.ListType)):
-        least = f"at least {told.min_length}" if told.min_length else ""
-        return " ".join(filter(None, (bounds(told.item_type), least)))
+def bounds(info: Any) -> str:
+    """The bounds of a type, or of the items of a list type."""
+    if isinstance(info, inspect.TupleType):
+        return bounds(info.item_types[0])
+    if isinstance(info, (inspect.VarTupleType, inspect.ListType)):
+        least = f"at least {info.min_length}" if info.min_length else ""
+        return " ".join(filter(None, (bounds(info.item_type), least)))
     signs = (
         ("ge", ">="),
         ("gt", ">"),
@@ -65,11 +67,12 @@
         ("max_length", "length <="),
         ("pattern", ""),
     )
-    found = [(sign, getattr(told, name, None)) for name, sign in signs]
+    found = [(sign, getattr(info, name, None)) for name, sign in signs]
     return " ".join(f"{sign} {value}".strip() for sign, value in found if value is not None)
 
 
 def default(field: msgspec.structs.FieldInfo) -> str:
+    """The default of a field; "-" if it is empty."""
     if field.required:
         return "must be given"
     value = field.default if field.default is not msgspec.NODEFAULT else field.default_factory()
--- a/tealsail/lab/imports.py
+++ b/tealsail/lab/imports.py
@@ -1,4 +1,4 @@
-"""Records made from other traces: CSV for now."""
+"""Records made from traces of other programs, which are CSV files."""
 
 import csv
 from collections.abc import Iterator
@@ -9,13 +9,13 @@
 from ..record.lines import VERSION, Head, Take
 
 COLUMNS = ("at_ms", "workload", "customer", "key")
-MOST_NAMES = 10_000  # different workloads or customers
-LONGEST = 400  # characters of a name or key
-SECOND = 10_000
+MAX_NAMES = 10_000  # different workloads or customers
+MAX_TEXT_LENGTH = 400  # characters of a name or key
+SECOND = 10_000  # tenths of a ms
 
 
 class Imported(NamedTuple):
-    """Times are tenths of a ms."""
+    """What was imported: lines taken and skipped, steps back of the clock.  Times are tenths of a ms."""
 
     lines: int
     span: int
@@ -26,6 +26,8 @@
 
 
 class Row(NamedTuple):
+    """One line of a trace."""
+
     at: float  # milliseconds
     workload: str
     customer: str
@@ -33,13 +35,13 @@
 
 
 def rows(path: Path | str, problems: list[str]) -> Iterator[Row]:
-    """The lines that can be read; of the others the count and the first few problems.  Raises ValueError for a file
-    without the columns."""
+    """Yields the lines that can be read; the problems of the others are appended to `problems`.  Raises ValueError for
+    a file without the required columns."""
     with open(path, newline="", encoding="utf-8", errors="replace") as file:
         table = csv.DictReader(file)
         missing = [name for name in COLUMNS[:2] if name not in (table.fieldnames or [])]
         if missing:
-            raise ValueError(f"{path}: no column {missing[0]}; wanted are {', '.join(COLUMNS)}")
+            raise ValueError(f"{path}: no column {missing[0]}; expected are {', '.join(COLUMNS)}")
         while True:
             try:
                 row = next(table)
@@ -50,17 +52,17 @@
                 continue
             try:
                 at = float(row["at_ms"])
-                words = [str(row.get(name) or "") for name in COLUMNS[1:]]
-                if not 0 <= at < 1e15 or not words[0] or max(map(len, words)) > LONGEST:
+                texts = [str(row.get(name) or "") for name in COLUMNS[1:]]
+                if not 0 <= at < 1e15 or not texts[0] or max(map(len, texts)) > MAX_TEXT_LENGTH:
                     raise ValueError("out of bounds")
             except (TypeError, ValueError) as problem:
                 problems.append(f"line {table.line_num}: {problem}")
                 continue
-            yield Row(at, *words)
+            yield Row(at, *texts)
 
 
 class Problems(list):
-    """Keeps the count of all and the text of the first."""
+    """A list that counts all problems and keeps only the first."""
 
     count = 0
 
@@ -71,18 +73,19 @@
 
 
 def from_csv(source: Path | str, target: Path | str, start: int | None = None) -> Imported:
-    """A record of arrivals.  A step back of the clock counts as no time passed; gaps stay as they are.
+    """Writes a record of a trace's arrivals.  Where the trace's clock steps back, no time passes; gaps are kept.
 
-    `start`: Unix milliseconds of the record's zero; the first line's where None.  Two passes, one line in memory.
+    `start`: Unix milliseconds of the record's time 0, by default those of the first line.  The file is read twice, with
+    one line in memory.  Raises ValueError for a file without the required columns or with too many names.
     """
     workloads: dict[str, int] = {}
     customers: dict[str, int] = {}
     for row in rows(source, Problems()):
         workloads.setdefault(row.workload, len(workloads))
         customers.setdefault(row.customer, len(customers))
-        if max(len(workloads), len(customers)) > MOST_NAMES:
-            raise ValueError(f"{source}: more than {MOST_NAMES} workloads or customers")
-    problems, count, steps_back, gap, at, last = Problems(), 0, 0, 0, 0, None
+        if max(len(workloads), len(customers)) > MAX_NAMES:
+            raise ValueError(f"{source}: more than {MAX_NAMES} workloads or customers")
+    problems, count, steps_back, longest_gap, at, previous = Problems(), 0, 0, 0, 0, None
     writer = Writer(target)
     writer(
         Head(
@@ -98,14 +101,14 @@
         )
     )
     for row in rows(source, problems):
-        if last is None:
-            last = row.at if start is None else start
-        passed = round((row.at - last) * 10)
+        if previous is None:
+            previous = row.at if start is None else start
+        passed = round((row.at - previous) * 10)
         steps_back += passed < 0
-        gap, at, last = max(gap, passed), at + max(0, passed), row.at
+        longest_gap, at, previous = max(longest_gap, passed), at + max(0, passed), row.at
         count += 1
         writer(
             Take(at, 0, count, at, workloads[row.workload], customers[row.customer], row.key, at + 3 * SECOND, count)
         )
     writer.close()
-    return Imported(count, at, problems.count, problems[0] if problems else "", steps_back, gap)
+    return Imported(count, at, problems.count, problems[0] if problems else "", steps_back, longest_gap)
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -1,7 +1,7 @@
-"""One judge of a large fleet: what it hears, what that costs, and when it votes; honest relays and mad ones.
+"""One judge of a large fleet: the messages that it gets, their cost, and when it votes; also with faulty relays.
 
-The judge is the facade that real relays use; of the others only what they tell is played: outcomes drawn for each,
-told in the form, at the times and to the number of receivers that the module has them tell.
+The judge is the facade that real relays use.  Of the other relays only the messages are simulated: random outcomes for
+each, sent in the form, at the times and to the number of receivers that tealsail/policy.py has for them.
 """
 
 import time
@@ -15,39 +15,44 @@
 from ..notes import count_notes
 from ..parts import mix
 from ..policy import CROWD, GROUPS, JUDGES, ROW, THINNEST
-from .costs import scenario
+from .costs import sized_scenario
 
-FLEETS = (50, 500, 1_000, 2_500, 10_000)
-BEAT, TENTHS = 5_000, 10_000  # tenths of a ms
-UNITS, ON_TRIAL_UNITS = 60, 12
-SECONDS = 24
-SERVED, FAILED, BUCKET = 0, 1, 4  # of a row; the bucket of the usual latency
-START = 1_000 * TENTHS
+FLEET_SIZES = (50, 500, 1_000, 2_500, 10_000)
+BEAT = 5_000  # tenths of a ms
+SECOND = 10_000  # tenths of a ms
+UNITS = 60
+ON_TRIAL_UNITS = 12
+RUN_S = 24
+# places in a row of counts
+SERVED = 0
+FAILED = 1
+BUCKET = 4  # latency bucket of all answers here
+START = 1_000 * SECOND  # tenths of a ms
 
 
-class Heard_Fleet(NamedTuple):
-    """Of one fleet.  `vote_s`: from the first outcome to the judge's first vote, -1 for none."""
+class JudgeRun(NamedTuple):
+    """One run of a judge.  `vote_s`: seconds from the first outcome to the judge's first vote, -1 for none."""
 
     relays: int
-    notes: float  # that come to the judge a second
-    taken: float  # that it takes
-    sent_bytes: float  # by one relay a second, to all receivers
-    cpu: float  # part of a core that hearing costs the judge
+    notes: float  # messages a second that reach the judge
+    accepted: float  # messages a second that it accepts
+    sent_bytes: float  # bytes a second that one relay sends to all receivers
+    cpu: float  # part of a core that the judge spends on messages
     vote: str
     vote_s: float
 
 
-class Fleet:
-    """Outcomes of all relays but the judge, cumulative: relays x cells."""
+class FleetOutcomes:
+    """Cumulative counts of outcomes of all relays, an array of relays x cells, and what each has told of them."""
 
     def __init__(self, relays: int, rate: float, errors: float, seed: int) -> None:
         self.chance = numpy.random.default_rng(seed)
         self.rate, self.errors = rate, errors
         self.counts = numpy.zeros((relays, len(GROUPS) * ROW), dtype=numpy.int64)
-        self.told = numpy.zeros_like(self.counts)
+        self.sent = numpy.zeros_like(self.counts)
 
     def work(self, seconds: float) -> None:
-        """`rate` outcomes a second in canary and baseline each; the baseline fails 0.3% of the time."""
+        """Adds outcomes of some seconds, `rate` a second for each of canary and baseline; 0.3% of the baseline fail."""
         for group, errors in ((0, self.errors), (1, 0.003)):
             many = self.chance.poisson(self.rate * seconds, len(self.counts))
             failed = self.chance.binomial(many, errors)
@@ -57,82 +62,89 @@
             self.counts[:, first + BUCKET] += many - failed
 
     def notes(self, relay: int, beat: int, thin: int, matched: bool = True, rows: bool = True) -> list[bytes]:
-        """What a relay tells at that beat, as the module has it (tealsail/policy.py, Judge.tell).  Not `matched`: as
-        it was, when only failures of the canary were told each half second; not `rows`: as it was, cell by cell."""
-        counts, told = self.counts[relay], self.told[relay]
-        pressing = counts[FAILED] > told[FAILED] or matched and counts[ROW + FAILED] > told[ROW + FAILED]
-        if not ((beat // 2 + relay) % thin == 0 and (beat % 2 or pressing)):
+        """The messages of a relay at a beat, as in tealsail/policy.py, Judge.tell; one relay of `thin` sends at a time.
+        `matched` and `rows` are off for the messages of earlier versions, in which only failures of the canary were
+        told each half second, and in which changes were told by cell and not by row."""
+        counts, sent = self.counts[relay], self.sent[relay]
+        has_new_failures = counts[FAILED] > sent[FAILED] or matched and counts[ROW + FAILED] > sent[ROW + FAILED]
+        if not ((beat // 2 + relay) % thin == 0 and (beat % 2 or has_new_failures)):
             return []
-        whole = (beat // 2 + relay) % 4 == 0
-        changed = numpy.repeat((counts != told).reshape(-1, ROW).any(axis=1), ROW) if rows else counts != told
-        cells = [(int(cell), int(counts[cell])) for cell in numpy.flatnonzero(counts * (changed | whole))]
-        self.told[relay] = counts
+        is_full = (beat // 2 + relay) % 4 == 0
+        changed = numpy.repeat((counts != sent).reshape(-1, ROW).any(axis=1), ROW) if rows else counts != sent
+        cells = [(int(cell), int(counts[cell])) for cell in numpy.flatnonzero(counts * (changed | is_full))]
+        self.sent[relay] = counts
         return count_notes(2, START, cells, len(counts)) if cells else []
 
 
-def judge_of(relays: int) -> int:
-    """The first in the order that is drawn for build 2."""
+def find_judge(relays: int) -> int:
+    """The relay that comes first in the judges' order for build 2."""
     return max(range(relays), key=lambda at: mix(2, at))
 
 
-def heard(
+def play_judge(
     relays: int,
     rate: float,
     errors: float,
     seed: int = 1,
-    thinned: bool = True,
-    mad: int = 0,
+    in_turns: bool = True,
+    faulty: int = 0,
     lies: int = 200,
     guarded: bool = True,
-    seconds: int = SECONDS,
+    seconds: int = RUN_S,
     matched: bool = True,
     together: bool = False,
-    lasting: bool = False,
-    turns: tuple[float, float] = (1e9, 0.0),
+    is_released: bool = False,
+    turns_bad: tuple[float, float] = (1e9, 0.0),
     restart: float = 1e9,
     lost: tuple[float, float] = (1e9, 1e9),
     earlier: float = 0.0,
-) -> Heard_Fleet:
-    """`rate`: outcomes a second of canary and of baseline at each relay; `mad` relays tell `lies` notes a second that
-    the canary fails, each of another start.  `together`: all relays started in the same half second, so they tell in
-    the same. `lasting`: the build has been released, its units all fail a little as the judge itself sees them, and
-    the day ends with a vote back only; else with any vote.  `turns`: from that second on the canary fails with that
-    share.  `restart`: at that second the judge starts anew and knows nothing of what was told; `lost`: between these
-    seconds no note comes; `earlier`: that part of the relays tells as relays of before do, while a fleet is
-    rolled."""
-    now, index = START, judge_of(relays)
-    facts = scenario(relays, UNITS).facts(index)
-
-    def started() -> Facade:
-        """As a relay starts: from the list and where the build stands."""
-        facade = Facade(facts, seed, lambda: now)
-        facade.report(Standing(2, 0, "released" if lasting else "on trial", 1.0 if lasting else 0.2, now - START))
+) -> JudgeRun:
+    """Runs a judge until it votes, for `seconds` at the most.
+
+    `rate`: outcomes a second of canary and of baseline at each relay, `errors`: the canary's share of failures;
+    `in_turns`: relays of large fleets send in turns; `faulty` relays send `lies` messages a second that the canary
+    fails, each with another start time; `guarded`: messages are limited by sender; `matched` as in
+    FleetOutcomes.notes; `together`: all relays started in the same half second, so they send in the same;
+    `is_released`: the build has been released, all its units fail a little as the judge itself sees them, and only a
+    vote back ends the run; `turns_bad`: from that second on the canary fails with that share; `restart`: at that second
+    the judge restarts and has lost all messages; `lost`: between these seconds no message arrives; `earlier`: the part
+    of the relays that send as an earlier version does, as during an upgrade of the fleet.
+    """
+    now, index = START, find_judge(relays)
+    settings = sized_scenario(relays, UNITS).parsed_settings(index)
+
+    def start_judge() -> Facade:
+        """A relay that has just started, with the list of units and the roll-out state."""
+        facade = Facade(settings, seed, lambda: now)
+        facade.report(
+            Standing(2, 0, "released" if is_released else "on trial", 1.0 if is_released else 0.2, now - START)
+        )
         facade.report(
             Units(
                 "whole",
                 [
-                    Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * TENTHS)
+                    Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * SECOND)
                     for unit in range(UNITS)
                 ],
             )
         )
         return facade
 
-    facade, anew = started(), False
-    fleet, flood = Fleet(relays, rate, errors, seed), Flood(limits(len(facade.relay.judge.pooled.sums)))
-    thin = 1 + min(THINNEST, relays // CROWD) if thinned else 1
+    facade, has_restarted = start_judge(), False
+    fleet, flood = FleetOutcomes(relays, rate, errors, seed), Flood(limits(len(facade.relay.judge.pooled.sums)))
+    thin = 1 + min(THINNEST, relays // CROWD) if in_turns else 1
     senders = [relay for relay in range(relays) if relay != index]
-    liars = senders[:mad]
-    come = taken = sent = 0
-    spent, vote, vote_s = 0.0, "none", -1.0
+    faulty_relays = senders[:faulty]
+    arrived = accepted = sent_bytes = 0
+    cpu_s, vote, vote_s = 0.0, "none", -1.0
     for beat in range(2 * seconds):
         now += BEAT
-        if now - START > turns[0] * TENTHS:
-            fleet.errors = turns[1]
-        fleet.work(BEAT / TENTHS)
-        mail = [
+        if now - START > turns_bad[0] * SECOND:
+            fleet.errors = turns_bad[1]
+        fleet.work(BEAT / SECOND)
+        messages = [
             (relay, data)
-            for relay in senders[mad:]
+            for relay in senders[faulty:]
             for data in fleet.notes(
                 relay,
                 beat + (0 if together else mix(relay, 5) % 2),
@@ -141,61 +153,68 @@
                 relay >= earlier * relays,
             )
         ]
-        sent += sum(len(data) for _, data in mail)
-        for relay in liars:
-            mail += [
+        sent_bytes += sum(len(data) for _, data in messages)
+        for relay in faulty_relays:
+            messages += [
                 (relay, data)
                 for lie in range(lies // 2)
                 for data in count_notes(
                     2, mix(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
                 )
             ]
-        if not anew and now - START >= restart * TENTHS:
-            facade, anew = started(), True
-        if lost[0] * TENTHS <= now - START < lost[1] * TENTHS:
-            mail = []
-        order = fleet.chance.permutation(len(mail))
+        if not has_restarted and now - START >= restart * SECOND:
+            facade, has_restarted = start_judge(), True
+        if lost[0] * SECOND <= now - START < lost[1] * SECOND:
+            messages = []
+        order = fleet.chance.permutation(len(messages))
         before = time.process_time()
         for place in order:
-            relay, data = mail[place]
+            relay, data = messages[place]
             if not guarded or flood.allows(relay, now):
-                taken += 1
+                accepted += 1
                 facade.report(Heard(relay, data))
-        spent += time.process_time() - before
-        come += len(mail)
-        for unit in facade.relay.units.values() if lasting else ():
+        cpu_s += time.process_time() - before
+        arrived += len(messages)
+        for unit in facade.relay.units.values() if is_released else ():
             unit.failing = max(unit.failing, 0.01)
-        votes = [each for each in facade.tick().votes if not lasting or each.verdict == "back"]
+        votes = [each for each in facade.tick().votes if not is_released or each.verdict == "back"]
         if votes:
-            vote, vote_s = votes[0].verdict, (now - START) / TENTHS
+            vote, vote_s = votes[0].verdict, (now - START) / SECOND
             break
-    lasted = (beat + 1) / 2
-    return Heard_Fleet(
-        relays, come / lasted, taken / lasted, sent * (JUDGES + 1) / lasted / relays, spent / lasted, vote, vote_s
+    run_s = (beat + 1) / 2
+    return JudgeRun(
+        relays,
+        arrived / run_s,
+        accepted / run_s,
+        sent_bytes * (JUDGES + 1) / run_s / relays,
+        cpu_s / run_s,
+        vote,
+        vote_s,
     )
 
 
 class Row(NamedTuple):
-    """One fleet: before (all relays told each second, and failures of the canary each half), and now."""
+    """A fleet's size and its runs: `before`, as in an earlier version, all relays sent each second, and failures of the
+    canary each half second; `after`, relays send in turns."""
 
     relays: int
-    before: Heard_Fleet
-    after: Heard_Fleet
-    back_before: Heard_Fleet  # the same with a build that fails 5%
-    back_after: Heard_Fleet
+    before: JudgeRun
+    after: JudgeRun
+    back_before: JudgeRun  # with a build that fails 5%
+    back_after: JudgeRun
 
 
 def table(
-    fleets: tuple[int, ...] = FLEETS, rate: float = 2.0, progress: Callable[[int, int], None] | None = None
+    fleets: tuple[int, ...] = FLEET_SIZES, rate: float = 2.0, progress: Callable[[int, int], None] | None = None
 ) -> list[Row]:
-    """A good build and one that fails 5%, by fleet size; the relays started together."""
+    """Runs with a good build and with one that fails 5%, by fleet size; all relays started together."""
     rows = []
     for place, relays in enumerate(fleets):
         rows.append(
             Row(
                 relays,
                 *(
-                    heard(relays, rate, errors, thinned=now, matched=now, together=True)
+                    play_judge(relays, rate, errors, in_turns=now, matched=now, together=True)
                     for errors in (0.003, 0.05)
                     for now in (False, True)
                 ),
@@ -206,31 +225,39 @@
     return rows
 
 
-def lies(
-    mads: tuple[int, ...] = (0, 1, 5), relays: int = 50, rate: float = 20.0
-) -> list[tuple[int, Heard_Fleet, Heard_Fleet]]:
-    """A good build, with mad relays among the fleet: without the limit on notes, and with it."""
+def faulty_relay_runs(
+    faulty_counts: tuple[int, ...] = (0, 1, 5), relays: int = 50, rate: float = 20.0
+) -> list[tuple[int, JudgeRun, JudgeRun]]:
+    """Numbers of faulty relays in a fleet with a good build, and the runs without the limit on messages and with it."""
     return [
-        (mad, heard(relays, rate, 0.003, mad=mad, guarded=False), heard(relays, rate, 0.003, mad=mad)) for mad in mads
+        (
+            faulty,
+            play_judge(relays, rate, 0.003, faulty=faulty, guarded=False),
+            play_judge(relays, rate, 0.003, faulty=faulty),
+        )
+        for faulty in faulty_counts
     ]
 
 
 class Mixed(NamedTuple):
-    """While a fleet is rolled: how many of so many days end with the build sent back."""
+    """A fleet during an upgrade: the numbers of runs in which the build is sent back."""
 
-    earlier: float  # that part of the relays is of before
+    earlier: float  # part of the relays that run the earlier version
     good: int
-    bad: int  # fails 5%, after eight seconds without messages
+    bad: int  # with a build that fails 5%, after eight seconds without messages
 
 
-def mixed(parts: tuple[float, ...] = (0.0, 0.1, 0.25, 0.5, 1.0), seeds: int = 5, relays: int = 400) -> list[Mixed]:
-    """A good build of relays that started together, and a bad one whose evidence was lost at first."""
+def play_mixed_fleets(
+    parts: tuple[float, ...] = (0.0, 0.1, 0.25, 0.5, 1.0), seeds: int = 5, relays: int = 400
+) -> list[Mixed]:
+    """Runs with a good build and relays that started together, and with a bad build whose first messages are lost, for
+    each part of relays of the earlier version."""
     return [
         Mixed(
             part,
             *(
                 sum(
-                    heard(
+                    play_judge(
                         relays,
                         rate,
                         errors,
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -12,7 +12,7 @@
 from ...record.lines import End, Take
 from ...world.clients import Arrival
 from ...world.day import Day
-from ..traffic import clients_of
+from ..traffic import create_clients
 from .process_messages import AllAnswered, ArrivalsOver, DayBegin, FinalReport, Message, RelayStates
 from .trial_setup import TrialSetup
 
@@ -144,7 +144,7 @@
     def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
         self.setup, self.index, self.count = setup, index, count
         # each member draws all arrivals, as the model does, surges among them, and passes over those of others
-        self.clients = Day(setup.scenario.parts(), setup.seed, clients_of(setup.scenario, setup.seed)).clients
+        self.clients = Day(setup.scenario.parts(), setup.seed, create_clients(setup.scenario, setup.seed)).clients
         self.idle: list[list[ClientConnection]] = [[] for _ in range(setup.relays)]
         self.ready_relays: set[int] = set()
         self.last_ending: list[int] = []  # relays that were ending by the last message
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -21,9 +21,9 @@
 from ...world.day import Day
 from ...world.rules import Slack
 from ..figures import Result
-from ..runs import Judged
+from ..runs import RecordEvaluation
 from ..scenario import Scenario, convert
-from ..traffic import clients_of
+from ..traffic import create_clients
 from .addresses import LIST, PLATFORM, PortBlock
 from .control_plane import PING, DiscoveryService, PlatformService
 from .process_fleet import ProcessFleet
@@ -71,7 +71,7 @@
         self.setup = TrialSetup(
             reactor, scenario, seed, self.port_block.port, self.lines.append, self.report_violation, self.receive
         )
-        self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
+        self.day = Day(scenario.parts(), seed, create_clients(scenario, seed))
         self.port_numbers: dict[str, int] = {}
         self.processes = ProcessFleet(
             self.setup, self.day, folder, self.port_number, self.relays_changed, self.stop_members
@@ -104,7 +104,15 @@
     def start(self) -> None:
         setup, port = self.setup, self.port_block.port
         setup.record_line(
-            Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
+            Head(
+                0,
+                VERSION,
+                "trial",
+                self.scenario.name,
+                self.seed,
+                self.scenario.parsed_settings(0),
+                self.scenario.plain(),
+            )
         )
         self.reactor.listenTCP(port + LIST, self.list, 512)
         self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
@@ -293,10 +301,10 @@
         ]
 
 
-def judge(trial: Trial, path: str) -> tuple[Result, Judged, bool]:
+def judge(trial: Trial, path: str) -> tuple[Result, RecordEvaluation, bool]:
     """Figures and broken rules from the record, which goes to `path` if there is one; and whether the trial is void."""
     late, late_share = trial.lateness()
-    judged = Judged(trial.scenario.plain(), SLACK)
+    judged = RecordEvaluation(trial.scenario.plain(), SLACK)
     writer = Writer(path) if path else None
     resent, taken = {tuple(each) for report in trial.final_reports for each in report.resent}, set()
     for line in trial.record():
--- a/tealsail/lab/losses.py
+++ b/tealsail/lab/losses.py
@@ -1,6 +1,6 @@
-"""What the faults of a script cost: each option with its script and without, on the same days.
+"""Costs of the faults of a script: days of each option with its script and without, on the same random numbers.
 
-For each option and seed a day is played twice, so what chance does to a day is in both.  Times are counted from the
+For each option and seed a day is played twice, so that chance affects both days alike.  Times are counted from the
 script's first fault, on service smoothed over three seconds.
 """
 
@@ -11,15 +11,17 @@
 from .bars import Bar, Difference, bars, differences
 from .figures import SECOND, Result
 from .runs import Progress, days
-from .scenario import Scenario, convert, over
+from .scenario import Scenario, convert, merge
 
-WITHIN, SMOOTH = 0.02, 3  # of the undisturbed day's service; seconds
-STAYS = 3  # seconds in which it must stay there
-WINDOW = 2  # seconds of a zone's shots
+TOLERANCE = 0.02  # by which service may be below that of the undisturbed day
+SMOOTHING_S = 3
+STABLE_S = 3  # for which service must stay within the tolerance
+OVERSHOOT_WINDOW_S = 2
 
 
 class Loss(NamedTuple):
-    """One option: its days with the faults, those without, and figures of each pair with their bars."""
+    """One option: its days with the faults (`hit`) and without (`calm`), figures of each pair of days, and their bars
+    (none for a single pair)."""
 
     name: str
     hit: list[Result]
@@ -28,40 +30,47 @@
     bars: dict[str, Bar]
 
 
-def smooth(values: list[float], seconds: int = SMOOTH) -> numpy.ndarray:
+def smooth(values: list[float], seconds: int = SMOOTHING_S) -> numpy.ndarray:
+    """The moving average over some seconds, of the same length; the first and last values are repeated at the ends."""
     padded = numpy.pad(numpy.array(values), (seconds // 2, seconds - 1 - seconds // 2), mode="edge")
     return numpy.convolve(padded, numpy.ones(seconds) / seconds, "valid")
 
 
 def figures(hit: Result, calm: Result, at: int, lost: set[str]) -> dict[str, float]:
-    """`at`: the second of the first fault; `lost`: zones that it takes.
+    """Figures of a pair of days.  `at`: the second of the first fault; `lost`: zones that the script takes away.
 
-    recover_s: until service is within WITHIN of the undisturbed day's and stays for STAYS seconds; out_s: all seconds
-    from the fault on in which it is not; cost: payoff given away from the fault on, over payoff asked; overshoot: the
-    most that a zone that is not lost was sent in WINDOW seconds, over its mean on the undisturbed day.
+    recover_s: seconds until service is within TOLERANCE of the undisturbed day's and stays so for STABLE_S; out_s: all
+    seconds from the fault on in which it is not; lowest: least service; cost: payoff lost from the fault on, over
+    payoff asked; overshoot: the largest number of shots that a zone that is not lost got in OVERSHOOT_WINDOW_S, over
+    its mean on the undisturbed day.
     """
-    most = min(len(hit.series["service"]), len(calm.series["service"]))
-    with_it, without = (smooth(each.series["service"])[:most] for each in (hit, calm))
-    out = with_it[at:] < without[at:] - WITHIN
-    back = next((second for second in range(len(out)) if not out[second : second + STAYS].any()), len(out))
-    asked = numpy.array(hit.series["asked"][at:most])
-    gap = numpy.array(calm.series["service"][at:most]) - numpy.array(hit.series["service"][at:most])
+    length = min(len(hit.series["service"]), len(calm.series["service"]))
+    with_it, without = (smooth(each.series["service"])[:length] for each in (hit, calm))
+    is_out = with_it[at:] < without[at:] - TOLERANCE
+    recovery = next(
+        (second for second in range(len(is_out)) if not is_out[second : second + STABLE_S].any()), len(is_out)
+    )
+    asked = numpy.array(hit.series["asked"][at:length])
+    lost_service = numpy.array(calm.series["service"][at:length]) - numpy.array(hit.series["service"][at:length])
     found = {
         "service": hit.figures["service"],
-        "cost": float((gap * asked).sum() / (asked.sum() or 1)),
-        "recover_s": float(back),
-        "out_s": float(out.sum()),
+        "cost": float((lost_service * asked).sum() / (asked.sum() or 1)),
+        "recover_s": float(recovery),
+        "out_s": float(is_out.sum()),
         "lowest": float(with_it[at:].min(initial=1.0)),
     }
     found |= {name: hit.figures[name] for name in ("late", "rejected", "forfeited", "shots") if name in hit.figures}
-    sent, usual = shots_to(hit), shots_to(calm)
-    over_all = [0.0]
-    for zone, shots in sent.items():
-        if zone not in lost and zone in usual and usual[zone][at:].mean() > 0:
-            over_all.append(
-                float(smooth(list(shots[at : most - 1]), WINDOW).max(initial=0.0) / usual[zone][at : most - 1].mean())
+    shots_by_zone, usual_shots = shots_to(hit), shots_to(calm)
+    overshoots = [0.0]
+    for zone, shots in shots_by_zone.items():
+        if zone not in lost and zone in usual_shots and usual_shots[zone][at:].mean() > 0:
+            overshoots.append(
+                float(
+                    smooth(list(shots[at : length - 1]), OVERSHOOT_WINDOW_S).max(initial=0.0)
+                    / usual_shots[zone][at : length - 1].mean()
+                )
             )
-    found["overshoot"] = max(over_all)
+    found["overshoot"] = max(overshoots)
     if "spill_peak" in hit.figures:
         found["spill_peak"] = hit.figures["spill_peak"]
     found["cold"] = max(hit.series.get("cold", [0.0]))
@@ -69,7 +78,7 @@
 
 
 def shots_to(day: Result) -> dict[str, numpy.ndarray]:
-    """By zone, shots from everywhere by second."""
+    """By zone of units, the shots of all relays by second."""
     rows = {name.partition(">")[2]: [] for name in day.series if name.startswith("shots.")}
     length = len(day.series["asked"])
     for name, values in day.series.items():
@@ -81,23 +90,24 @@
 
 
 def losses(scenarios: list[Scenario], replicas: int, jobs: int, progress: Progress | None = None) -> list[Loss]:
-    """Raises ValueError for a scenario without a fault."""
+    """Plays each scenario `replicas` times with its script and as often without.  Raises ValueError for a scenario
+    without a fault."""
     options, starts = [], []
     for each in scenarios:
         faults = each.faults()
         if not faults:
             raise ValueError(f"{each.name}: its script has no fault")
         starts.append((faults[0].at // SECOND, {fault.zone for fault in faults if fault.kind == "lose"}))
-        calm = convert(over(each.plain(), {"script": ""}), each.name)
+        calm = convert(merge(each.plain(), {"script": ""}), each.name)
         options += [[each] * replicas, [calm] * replicas]
-    played, found = days(options, jobs, progress), []
+    played, result = days(options, jobs, progress), []
     for place, (each, (at, lost)) in enumerate(zip(scenarios, starts)):
         hit, calm = played[2 * place].results, played[2 * place + 1].results
-        rows = [figures(one, other, at, lost) for one, other in zip(hit, calm)]
-        found.append(Loss(each.name, hit, calm, rows, bars(rows) if replicas > 1 else {}))
-    return found
+        rows = [figures(hit_day, calm_day, at, lost) for hit_day, calm_day in zip(hit, calm)]
+        result.append(Loss(each.name, hit, calm, rows, bars(rows) if replicas > 1 else {}))
+    return result
 
 
-def compared(first: Loss, second: Loss) -> dict[str, Difference]:
-    """The second over the first, day by day."""
+def compare(first: Loss, second: Loss) -> dict[str, Difference]:
+    """By figure, `second` minus `first`, paired by day."""
     return differences(first.figures, second.figures)
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -1,4 +1,4 @@
-"""Model runs: one day, many days of one option in several processes, and two options on the same days."""
+"""Runs of the model: one day, many days of options in several processes, and the differences between two options."""
 
 import os
 from collections.abc import Callable, Iterator
@@ -18,16 +18,16 @@
 from .scenario import Scenario
 from .virtual import Model
 
-Progress = Callable[[int, int], None]  # done, of how many
+Progress = Callable[[int, int], None]  # called with the days done and their total
 
 
 def day_seed(scenario: Scenario, replica: int) -> int:
-    """The seed of one replica; two options with one scenario seed share it."""
+    """The seed of one replica's day; options with the same scenario seed get the same."""
     return mix(scenario.seed, replica, 11) >> 2
 
 
-class Judged:
-    """What is made of a record, line by line: figures, rules, the stated limit on spill, and how even the load was."""
+class RecordEvaluation:
+    """Evaluates a record line by line: figures, rules, the operator's limit on spill, and how even the load was."""
 
     def __init__(self, day: dict[str, Any], slack: Slack = Slack()) -> None:
         self.figures, self.rules, self.spill, self.evenness = Figures(), Rules(slack), spill_of(day), Evenness()
@@ -42,7 +42,7 @@
         return self.rules.breaches
 
     def result(self, late: int) -> Result:
-        """All that is known of the day, once its record has ended."""
+        """The day's result, once its record has ended; `late`: the worst lateness of the player, in tenths of a ms."""
         rules, spill = self.rules, self.spill
         rules.close()
         broken = {name: count for name, count in rules.counts.items() if count}
@@ -62,35 +62,36 @@
 
 
 def play(scenario: Scenario, seed: int, record: Path | str | None = None) -> tuple[Result, list[Breach]]:
-    """One day in virtual time; with `record`, written there.  The rules are always checked."""
-    judged = Judged(scenario.plain())
+    """Plays one day in virtual time and checks the rules; writes its record to the path `record`, if given."""
+    evaluation = RecordEvaluation(scenario.plain())
     writer = Writer(record) if record else None
-    model = Model(scenario, seed, [*judged.listeners, *([writer] if writer else [])])
+    model = Model(scenario, seed, [*evaluation.listeners, *([writer] if writer else [])])
     try:
         model.play()
     finally:
         if writer:
             writer.close()
-    result = judged.result(0)
+    result = evaluation.result(0)
     if model.faults:
         result.breaches["faults"] = model.faults
-    return result, judged.breaches
+    return result, evaluation.breaches
 
 
-def judge(path: Path | str, slack: Slack = Slack()) -> tuple[Result, list[Breach]]:
-    """The same figures and rules from a record."""
-    judged, late = None, 0
+def evaluate_record(path: Path | str, slack: Slack = Slack()) -> tuple[Result, list[Breach]]:
+    """Figures and broken rules of a recorded day.  Raises Unreadable for a file that is not a record."""
+    evaluation, late = None, 0
     for line in read(path):
-        if judged is None:  # a record's first line is its head
-            judged = Judged(line.day, slack)
+        if evaluation is None:  # a record's first line is its head
+            evaluation = RecordEvaluation(line.day, slack)
         elif isinstance(line, Close):
             late = line.late
-        judged(line)
-    return judged.result(late), judged.breaches
+        evaluation(line)
+    return evaluation.result(late), evaluation.breaches
 
 
 def spill_of(day: dict[str, Any]) -> Spill | None:
-    """The checker of the stated limit, where a day has zones; without tiers nothing is stated and nothing breaks it."""
+    """The checker of the limit on spill, for a day with several zones.  Without `zones` in the operator's document
+    there is no limit, so nothing breaks it."""
     if len(day.get("fleet", {}).get("zones", [])) < 2:
         return None
     zones = convert(day.get("document", {})).zones
@@ -98,7 +99,7 @@
 
 
 class Option(NamedTuple):
-    """Many days of one option: a result for each, bars for each figure, and rules broken."""
+    """Many days of one option: a result for each day, a bar for each figure, and the broken rules."""
 
     name: str
     results: list[Result]
@@ -106,47 +107,53 @@
     breaches: list[Breach]
 
 
-def one_day(scenario: Scenario, seed: int) -> tuple[Result, list[Breach]]:
+def play_one(scenario: Scenario, seed: int) -> tuple[Result, list[Breach]]:
+    """Plays one day in a worker process; only the first broken rules go back to the parent."""
     result, breaches = play(scenario, seed)
     return result, breaches[: MOST_TOLD // 5]
 
 
 def days(options: list[list[Scenario]], jobs: int = 0, progress: Progress | None = None) -> list[Option]:
-    """Each option as a list of scenarios, one for each replica; replica k of all options has one seed."""
+    """Plays options, each a list of scenarios, one for each replica; replica k has the same seed in all options whose
+    scenarios have the same.  `jobs`: processes, 0 for one on each core."""
     work = [
-        (place, replica, each, day_seed(each, replica))
-        for place, replicas in enumerate(options)
+        (option, replica, each, day_seed(each, replica))
+        for option, replicas in enumerate(options)
         for replica, each in enumerate(replicas)
     ]
-    done: dict[tuple[int, int], tuple[Result, list[Breach]]] = {}
-    for count, (key, outcome) in enumerate(carried_out(work, jobs or os.cpu_count() or 1), 1):
-        done[key] = outcome
+    outcomes_by_day: dict[tuple[int, int], tuple[Result, list[Breach]]] = {}
+    for count, (key, outcome) in enumerate(play_all(work, jobs or os.cpu_count() or 1), 1):
+        outcomes_by_day[key] = outcome
         if progress:
             progress(count, len(work))
-    found = []
-    for place, replicas in enumerate(options):
-        mine = [done[place, replica] for replica in range(len(replicas))]
-        results = [result for result, _ in mine]
-        known = bars([each.figures for each in results]) if len(mine) > 1 else {}
-        found.append(
+    played = []
+    for option, replicas in enumerate(options):
+        outcomes = [outcomes_by_day[option, replica] for replica in range(len(replicas))]
+        results = [result for result, _ in outcomes]
+        figure_bars = bars([each.figures for each in results]) if len(outcomes) > 1 else {}
+        played.append(
             Option(
-                replicas[0].name, results, known, [breach for _, breaches in mine for breach in breaches][:MOST_TOLD]
+                replicas[0].name,
+                results,
+                figure_bars,
+                [breach for _, breaches in outcomes for breach in breaches][:MOST_TOLD],
             )
         )
-    return found
+    return played
 
 
-def carried_out(work: list[tuple[int, int, Scenario, int]], jobs: int) -> Iterator[tuple[tuple[int, int], Any]]:
+def play_all(work: list[tuple[int, int, Scenario, int]], jobs: int) -> Iterator[tuple[tuple[int, int], Any]]:
+    """Yields (option, replica) and the outcome of each day as it ends; `work` holds option, replica, scenario, seed."""
     if jobs == 1 or len(work) == 1:
-        for place, replica, scenario, seed in work:
-            yield (place, replica), one_day(scenario, seed)
+        for option, replica, scenario, seed in work:
+            yield (option, replica), play_one(scenario, seed)
         return
     with ProcessPoolExecutor(min(jobs, len(work))) as pool:
-        waiting = {pool.submit(one_day, scenario, seed): (place, replica) for place, replica, scenario, seed in work}
-        for future in as_completed(waiting):
-            yield waiting[future], future.result()
+        futures = {pool.submit(play_one, scenario, seed): (option, replica) for option, replica, scenario, seed in work}
+        for future in as_completed(futures):
+            yield futures[future], future.result()
 
 
-def compared(first: Option, second: Option) -> dict[str, Difference]:
-    """B over A on the same days."""
+def compare(first: Option, second: Option) -> dict[str, Difference]:
+    """By figure, `second` minus `first`, paired by day."""
     return differences([each.figures for each in first.results], [each.figures for each in second.results])
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -27,7 +27,7 @@
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
-from ..traffic import clients_of
+from ..traffic import create_clients
 from . import words
 from .addresses import ScaleAddresses
 from .backends import Backends
@@ -84,7 +84,7 @@
 
 def duty_owners(scenario: Scenario) -> list[int]:
     """Who may own a duty in this day, as relays themselves see it: the load tracker's seats and each build's judges."""
-    facade = Facade(scenario.facts(0), 1, lambda: 0)
+    facade = Facade(scenario.parsed_settings(0), 1, lambda: 0)
     owners = dict.fromkeys(facade.relay.guide.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
         facade.report(Standing(build, 0, "on trial", scenario.platform.caps[0], 0))
@@ -147,7 +147,7 @@
         self.port_block = PortBlock(1)  # ports: relays' addresses tell them apart
         self.setup = TrialSetup(reactor, scenario, seed, self.port_block.port, self.tell, self.wrong, self.part_said)
         self.setup.addresses = ScaleAddresses(self.port_block.port)
-        self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
+        self.day = Day(scenario.parts(), seed, create_clients(scenario, seed))
         self.numbers: dict[str, int] = {}
         self.names: list[str] = []
         for name in self.day.fleet.units:
@@ -160,7 +160,7 @@
         self.list = DiscoveryService(self.setup, self.day, self.number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
         own = Day(
-            scenario.parts(), seed, clients_of(scenario, seed)
+            scenario.parts(), seed, create_clients(scenario, seed)
         ).fleet.units  # of real relays; machines of the day idle
         self.backends = Backends(self.setup, own, self.fell)
         self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
@@ -212,7 +212,7 @@
     def start(self) -> None:
         self.started_at = time.monotonic()
         scenario, port = self.scenario, self.port_block.port
-        self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
+        self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.parsed_settings(0), scenario.plain()))
         self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
         self.reactor.listenTCP(port + LIST, self.list, CONNECTIONS)
         self.reactor.listenTCP(port + PLATFORM, self.platform, CONNECTIONS)
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -29,7 +29,7 @@
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
-from ..traffic import clients_of
+from ..traffic import create_clients
 from . import words
 from .addresses import ScaleAddresses
 from .backends import Backends
@@ -108,7 +108,7 @@
         self.writer(Head(0, VERSION, "trial", self.scenario.name, cast.seed, {}))
         self.setup = TrialSetup(reactor, self.scenario, cast.seed, cast.port, self.writer, self.wrong, say)
         self.setup.addresses = ScaleAddresses(cast.port)
-        day = Day(self.scenario.parts(), cast.seed, clients_of(self.scenario, cast.seed))
+        day = Day(self.scenario.parts(), cast.seed, create_clients(self.scenario, cast.seed))
         self.clients, self.lags = day.clients, day.roster.lag
         self.listing = Listing(self.setup, day)
         self.backends = Backends(self.setup, day.fleet.units, lambda name: say(words.Fell(name)))
@@ -174,11 +174,11 @@
         age = max(0, self.setup.now() - rollout.since) / 10
         state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
         seed = mix(self.cast.seed, relay, self.setup.now(), 17)
-        facts = self.scenario.facts(relay)
+        parsed_settings = self.scenario.parsed_settings(relay)
         known = self.listing.whole()
         everyone = str(self.setup.addresses.everyone(relay))
         return RelayConfiguration(
-            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts
+            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, parsed_settings
         )
 
     def start(self, relay: int) -> None:
--- a/tealsail/lab/scale/reading.py
+++ b/tealsail/lab/scale/reading.py
@@ -8,7 +8,7 @@
 
 from ...record.lines import End, Fault, Line, Log, Take, Unit
 from ...world.rules import Slack
-from ..runs import Judged
+from ..runs import RecordEvaluation
 from ..scenario import Scenario
 from .director import Played, duty_owners
 
@@ -112,7 +112,7 @@
 class Seconds:
     """Figures by second of the day, from the record's lines as they pass."""
 
-    def __init__(self, judged: Judged, real: list[int], seconds: int) -> None:
+    def __init__(self, judged: RecordEvaluation, real: list[int], seconds: int) -> None:
         self.judged, self.real = judged, set(real)
         self.shots, self.wasted, self.herd = [0] * seconds, [0] * seconds, [0.0] * seconds
         self.asked, self.kept = [0] * seconds, [0] * seconds
@@ -158,7 +158,7 @@
 
 def read_run(scenario: Scenario, played: Played, lines: list[Line]) -> Run:
     """All that is known of a run."""
-    judged = Judged(scenario.plain(), SLACK)
+    judged = RecordEvaluation(scenario.plain(), SLACK)
     for relays, stalls in zip(
         played.hollow, played.stalls
     ):  # the checker's own allowance for a process that did not run
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -1,8 +1,8 @@
-"""Scenarios: TOML of the operators, typed and checked, and what the world and the relays are made of by them.
+"""Scenarios: operators' TOML files, typed and validated, and converted to parts of the world and relays' settings.
 
-A scenario says what a fleet is, what its clients do, which builds come and what goes wrong.  `base` names another
-file whose tables this one lies over, so an option is a file of a few lines.  Times here are in the unit that a field's
-name ends in; the world's are tenths of a millisecond.
+A scenario describes a fleet, its clients, the builds that are offered and the faults.  `base` names another file whose
+tables this one overrides, so a variant is a file of a few lines.  Times of a scenario are in the unit that the field's
+name ends in; times of the world are tenths of a millisecond.
 """
 
 import tomllib
@@ -23,42 +23,48 @@
 from ..world.fleet import Layout
 from ..world.network import Paths
 from ..world.unit import Kind
-from .script import Unclear, read_script
+from .script import BadScript, read_script
 
-TENTHS, DEEPEST = 10, 8  # in a millisecond; files that lie over each other
+TENTHS_PER_MS = 10
+MAX_BASE_DEPTH = 8  # files that override each other
+# names in a scenario -> names in the platform's settings
 EFFECTS = {"harmless": "read_like", "stamped": "idempotency_key", "one-shot": "non_idempotent"}
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
-Time = Annotated[float, Meta(ge=0, le=1e7)]
+Duration = Annotated[float, Meta(ge=0, le=1e7)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-Some = Annotated[int, Meta(ge=1, le=100_000)]
-Word = Annotated[str, Meta(pattern=r"^[A-Za-z0-9_-]{1,40}$")]
+PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
+Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9_-]{1,40}$")]
 
 
 class BadScenario(Exception):
-    """One clear line with the path of the field."""
+    """A scenario that can't be used; the text is one line with the path of the field."""
 
 
 class Strict(Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """A table in which every field is known."""
+    """Base of the tables; unknown fields are errors."""
 
 
 class Work(Strict):
-    """Milliseconds of one core: a mean and a coefficient of variation, or quantiles at even steps."""
+    """Distribution of the work of an invocation, in milliseconds of one core: a lognormal given by its mean and
+    coefficient of variation, or quantiles at equal steps of probability, which take precedence."""
 
     mean_ms: Positive = 20.0
     cv: Annotated[float, Meta(ge=0, le=10)] = 0.5
     quantiles_ms: list[Positive] = []
 
     def table(self) -> Table:
+        """The distribution as a table of quantiles, in tenths of a ms."""
         if self.quantiles_ms:
-            return Table(tuple(max(1, round(each * TENTHS)) for each in sorted(self.quantiles_ms)))
-        return lognormal(self.mean_ms * TENTHS, self.cv)
+            return Table(tuple(max(1, round(each * TENTHS_PER_MS)) for each in sorted(self.quantiles_ms)))
+        return lognormal(self.mean_ms * TENTHS_PER_MS, self.cv)
 
 
 class WorkloadTable(Strict):
-    name: Word
+    """A kind of invocation: its effect, its share of the arrivals, its work, latency target, deadline and value."""
+
+    name: Name
     effect: str = "harmless"
     share: Positive = 1.0
     work: Work = Work()
@@ -68,111 +74,128 @@
 
 
 class CustomerTable(Strict):
-    name: Word
+    """A customer and its share of the arrivals."""
+
+    name: Name
     share: Positive = 1.0
 
 
 class FleetTable(Strict):
-    relays: Some = 3
-    units: Some = 12
-    zones: tuple[Word, ...] = ("a",)
-    cells: Some = 1
-    speeds: Share = 0.1
-    start_ms: tuple[Time, Time] = (800.0, 2000.0)
-    drain_ms: Time = 2000.0
-    notice_ms: Time = 3000.0
-    beside: bool = False
+    """Relays and units, and how units start and end."""
+
+    relays: PositiveCount = 3
+    units: PositiveCount = 12
+    zones: tuple[Name, ...] = ("a",)
+    cells: PositiveCount = 1
+    speeds: Share = 0.1  # machines' speeds lie evenly within 1 ± this
+    start_ms: tuple[Duration, Duration] = (800.0, 2000.0)  # least and most
+    drain_ms: Duration = 2000.0
+    notice_ms: Duration = 3000.0
+    beside: bool = False  # units of a new build start beside the old ones, not in their place
 
 
 class UnitTable(Strict):
+    """What all units are like; see tealsail/world/unit.py, Kind."""
+
     cores: Positive = 2.0
-    slots: Some = 16
+    slots: PositiveCount = 16
     room: Count = 32
     drag: Share = 0.0
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3
-    warm_up_ms: Time = 4000.0
+    warm_up_ms: Duration = 4000.0
     fall_multiple: Positive = 4.0
     fall_ms: Positive = 1500.0
     stops: bool = True
-    report_every_ms: Time = 0.0
-    report_delay_ms: Time = 0.0
+    report_every_ms: Duration = 0.0
+    report_delay_ms: Duration = 0.0
     errors: Share = 0.0
-    handshake_work_ms: Time = 0.0  # of a core, for each new connection
-    connections: Count = 0  # held at a time, 0: no limit
+    handshake_work_ms: Duration = 0.0  # of one core, for each new connection
+    connections: Count = 0  # open at a time; 0: no limit
 
 
 class ClientTable(Strict):
-    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0
+    """Arrivals at the relays, and how clients repeat."""
+
+    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0  # first tries a second, at all relays
     skew: Annotated[float, Meta(ge=0, le=4)] = 0.0
-    hot: Positive = 1.0  # relay 0 gets so many times what it would get by skew
-    keys: Some = 1000
+    hot: Positive = 1.0  # factor on relay 0's part of the arrivals, over what it gets by `skew`
+    keys: PositiveCount = 1000
     repeats: Count = 0
     repeat_after_ms: Positive = 100.0
     marks: bool = True
-    there_ms: Time = 0.0  # what the relay and its sockets add on the way to a unit
-    back_ms: Time = 0.0  # and on the way back
-    trace: str = ""  # a record whose first tries are sent in place of drawn ones
+    there_ms: Duration = 0.0  # overhead of the relay and its sockets on the way to a unit
+    back_ms: Duration = 0.0  # the same on the way back
+    trace: str = ""  # path of a record whose first tries replace random arrivals
 
 
 class ListTable(Strict):
-    late_ms: tuple[Time, Time] = (200.0, 900.0)
+    """How late relays learn of changes of the list of units: least and most."""
+
+    late_ms: tuple[Duration, Duration] = (200.0, 900.0)
 
 
 class PlatformTable(Strict):
+    """Stages of a roll-out and how votes move them."""
+
     caps: Annotated[tuple[Share, ...], Meta(min_length=1)] = (0.2, 0.5, 1.0)
     shares: Annotated[tuple[Annotated[float, Meta(gt=0, le=1)], ...], Meta(min_length=1)] = (0.25, 0.5, 1.0)
     bake_ms: Positive = 1000.0
     on_votes: Count = 1
     back_votes: Count = 1
     vote_life_ms: Positive = 6000.0
-    votes_per_second: Some = 50
-    by_clock_ms: Time = 0.0
+    votes_per_second: PositiveCount = 50
+    by_clock_ms: Duration = 0.0
     free_shots: Count = 1
     span_ms: Positive = 2000.0
-    news_ms: Time = 5.0
+    news_ms: Duration = 5.0
 
 
 class NetworkTable(Strict):
-    near_ms: Time = 0.2
-    far_ms: Time = 1.0
-    handshake_ms: Time = 0.5
-    notes_ms: tuple[Time, Time] = (0.5, 5.0)
+    """One-way latencies, messages between relays, and connections to units."""
+
+    near_ms: Duration = 0.2
+    far_ms: Duration = 1.0
+    handshake_ms: Duration = 0.5
+    notes_ms: tuple[Duration, Duration] = (0.5, 5.0)
     notes_loss: Share = 0.0
     connect_ms: Positive = 250.0
     idle_ms: Positive = 10_000.0
-    distances_ms: dict[str, Time] = {}  # "a b" = 12.0
+    distances_ms: dict[str, Duration] = {}  # "a b" = 12.0
 
 
 class BuildTable(Strict):
-    """`only` names a workload; `turns_s`: its fault shows from an age of the unit drawn between these."""
+    """A build that is offered, and its faults.  `only`: the one workload that they affect; `turns_s`: least and most
+    age of a unit from which they show, drawn for each unit."""
 
     number: Annotated[int, Meta(ge=1, lt=65_536)]
-    offered_s: Time
+    offered_s: Duration
     pace: Positive = 1.0
     errors: Share = 0.0
     wrong: Share = 0.0
     only: str = ""
     above: Annotated[float, Meta(ge=0)] = 0.0
-    fitted: bool = False  # pace and errors as `fit` has them
-    turns_s: tuple[Time, Time] = (0.0, 0.0)
+    fitted: bool = False  # pace and errors come from the file `fit`
+    turns_s: tuple[Duration, Duration] = (0.0, 0.0)
 
 
 class TrialTable(Strict):
-    """Of trials alone.  `beside` is another checkout of the program (the landing before, say), run by this part of
-    the relays at the start; `switch` in the script moves relays from one to the other."""
+    """Options of trials only.  `beside` is another checkout of the program, such as the previous release, that
+    `beside_part` of the relays run at the start; `switch` in the script moves relays from one to the other."""
 
     beside: str = ""
     beside_part: Share = 0.0
 
 
 class Scenario(Strict, kw_only=True):
+    """A whole scenario; its methods build what a day is made of."""
+
     name: Annotated[str, Meta(min_length=1, max_length=80)]
     seconds: Annotated[float, Meta(gt=0, le=100_000)] = 60.0
     seed: Annotated[int, Meta(ge=0, lt=1 << 62)] = 1
     about: str = ""
-    build: Annotated[int, Meta(ge=0, lt=65_535)] = 1  # what runs at the start
+    build: Annotated[int, Meta(ge=0, lt=65_535)] = 1  # the build that runs at the start
     script: str = ""
-    fit: str = ""  # a file of `record fit --json`: work and overhead come from there
+    fit: str = ""  # path of a file of `record fit --json`, which gives work and overhead
     fleet: FleetTable = FleetTable()
     unit: UnitTable = UnitTable()
     clients: ClientTable = ClientTable()
@@ -183,13 +206,13 @@
     customer: Annotated[list[CustomerTable], Meta(max_length=1000)] = []
     builds: Annotated[list[BuildTable], Meta(max_length=100)] = []
     trial: TrialTable = TrialTable()
-    document: dict[str, Any] = {}  # the relays' operator's document, as in deploy/tealsail.toml
-    settings: dict[str, Any] = {}  # over the relays' own, in the platform's names, as paths
+    document: dict[str, Any] = {}  # the operator's document of the relays, as in deploy/tealsail.toml
+    settings: dict[str, Any] = {}  # path in the platform's settings -> value that overrides the relays' own
 
-    # what the world is made of
+    # parts of the world
     @property
     def span(self) -> int:
-        """The day's length in tenths of a ms."""
+        """Length of the day in tenths of a ms."""
         return int(self.seconds * 10_000)
 
     def layout(self) -> Layout:
@@ -245,7 +268,7 @@
             tuple(table.caps),
             tuple(table.shares),
             tenths(table.bake_ms),
-            80_000,
+            80_000,  # launched_by, 8 s: not an option of scenarios
             table.on_votes,
             table.back_votes,
             tenths(table.vote_life_ms),
@@ -256,7 +279,7 @@
     def paths(self) -> Paths:
         table = self.network
         least, most = tenths_pair(table.notes_ms)
-        distances = {tuple(pair.split()): tenths(far) for pair, far in table.distances_ms.items()}
+        distances = {tuple(zones.split()): tenths(milliseconds) for zones, milliseconds in table.distances_ms.items()}
         return Paths(
             tenths(table.near_ms),
             tenths(table.far_ms),
@@ -290,8 +313,8 @@
         return read_script(self.script)
 
     def parts(self) -> Parts:
-        """All that the world is made of."""
-        late = tenths_pair(self.roster.late_ms)
+        """Everything that tealsail/world/day.py needs."""
+        list_lateness = tenths_pair(self.roster.late_ms)
         return Parts(
             self.layout(),
             self.kind(),
@@ -304,18 +327,19 @@
             self.plan(),
             self.paths(),
             self.relay_zones(),
-            late,
+            list_lateness,
             [(int(each.offered_s * 10_000), each.number) for each in self.builds],
             self.faults(),
             self.span,
         )
 
     def plain(self) -> dict[str, Any]:
-        """As a plain map that `convert` reads."""
+        """As nested dicts that `convert` reads."""
         return msgspec.to_builtins(self)
 
     def relay_settings(self, relay: int) -> dict[str, Any]:
-        """What the platform tells that relay, in its own names and units."""
+        """The settings that the platform sends to that relay, in the platform's names and units (ms).  Raises
+        BadScenario for a path in `settings` that leads through a value."""
         platform, unit, network = self.platform, self.unit, self.network
         tree: dict[str, Any] = {
             "fleetSize": self.fleet.relays,
@@ -373,48 +397,51 @@
             "feedback": {"fields": ["util", "queue"] if unit.report_every_ms else []},
         }
         for path, value in self.settings.items():
-            lay(tree, path, value)
+            set_by_path(tree, path, value)
         return tree
 
-    def operators(self) -> Document:
-        """Raises BadDocument."""
+    def operator_document(self) -> Document:
+        """The operator's document of the relays.  Raises BadDocument."""
         return read_document(self.document)
 
-    def facts(self, relay: int) -> dict[str, Any]:
-        """The same under the module's names."""
+    def parsed_settings(self, relay: int) -> dict[str, Any]:
+        """The relay's settings under the names that the relay uses, with times in tenths of a ms."""
         return facts(nested(self.relay_settings(relay)))
 
 
 def tenths(milliseconds: float) -> int:
-    return round(milliseconds * TENTHS)
+    """Whole tenths of a millisecond."""
+    return round(milliseconds * TENTHS_PER_MS)
 
 
 def tenths_pair(pair: tuple[float, float]) -> tuple[int, int]:
     return tenths(pair[0]), tenths(pair[1])
 
 
-def lay(tree: dict[str, Any], path: str, value: Any) -> None:
-    """Sets one setting by its path; raises BadScenario where the path leads through what is no table."""
-    *way, last = path.split(".")
-    for name in way:
+def set_by_path(tree: dict[str, Any], path: str, value: Any) -> None:
+    """Sets the value at a dotted path, with the tables that are missing.  Raises BadScenario if the path leads through
+    a value that is not a table."""
+    *tables, last = path.split(".")
+    for name in tables:
         tree = tree.setdefault(name, {})
         if not isinstance(tree, dict):
-            raise BadScenario(f"settings.{path}: {name} is no table")
+            raise BadScenario(f"settings.{path}: {name} is not a table")
     tree[last] = value
 
 
-def over(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
-    """Tables lie over tables field by field; anything else replaces what it lies over."""
-    result = dict(below)
-    for name, value in above.items():
-        under = result.get(name)
-        result[name] = over(under, value) if isinstance(under, dict) and isinstance(value, dict) else value
+def merge(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    """A new tree: tables of `changes` override those of `base` field by field; other values replace the old ones."""
+    result = dict(base)
+    for name, value in changes.items():
+        old = result.get(name)
+        result[name] = merge(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return result
 
 
 def read_tree(path: Path, depth: int = 0) -> dict[str, Any]:
-    if depth > DEEPEST:
-        raise BadScenario(f"{path}: base: more than {DEEPEST} files lie over each other")
+    """A file's tables over those of its base; `depth` counts the files above it.  Raises BadScenario."""
+    if depth > MAX_BASE_DEPTH:
+        raise BadScenario(f"{path}: base: more than {MAX_BASE_DEPTH} files override each other")
     try:
         with open(path, "rb") as file:
             tree = tomllib.load(file)
@@ -422,22 +449,22 @@
         raise BadScenario(f"{path}: {problem}") from None
     for table, name in ((tree, "fit"), (tree.get("clients", {}), "trace"), (tree.get("trial", {}), "beside")):
         if isinstance(table, dict) and isinstance(table.get(name), str) and table[name]:
-            table[name] = str(path.parent / table[name])  # as seen from the file that names it
+            table[name] = str(path.parent / table[name])  # relative to the file that names it
     base = tree.pop("base", None)
     if base is None:
         return tree
     if not isinstance(base, str):
-        raise BadScenario(f"{path}: base: not a file's name")
-    return over(read_tree(path.parent / base, depth + 1), tree)
+        raise BadScenario(f"{path}: base: not a file name")
+    return merge(read_tree(path.parent / base, depth + 1), tree)
 
 
 def read(path: Path | str, changes: dict[str, Any] | None = None) -> Scenario:
-    """A scenario from its file, with `changes` laid over it.  Raises BadScenario with one line."""
-    return convert(over(read_tree(Path(path)), changes or {}), str(path))
+    """Reads a scenario's file; `changes` override its fields.  Raises BadScenario."""
+    return convert(merge(read_tree(Path(path)), changes or {}), str(path))
 
 
 def convert(tree: dict[str, Any], where: str = "scenario") -> Scenario:
-    """The same from a plain map."""
+    """Validates nested dicts; `where` begins the text of errors.  Raises BadScenario."""
     try:
         scenario = msgspec.convert(tree, Scenario)
     except msgspec.ValidationError as problem:
@@ -448,70 +475,71 @@
 
 
 def check(scenario: Scenario, where: str) -> None:
-    """Fields against each other."""
+    """Checks what a single field's type can't: fields against each other, names and files.  Raises BadScenario."""
 
-    def wrong(path: str, text: str) -> None:
+    def fail(path: str, text: str) -> None:
         raise BadScenario(f"{where}: {path}: {text}")
 
     names = [each.name for each in scenario.workload]
-    for place, each in enumerate(scenario.workload):
+    for index, each in enumerate(scenario.workload):
         if each.effect not in EFFECTS:
-            wrong(f"workload[{place}].effect", f"{each.effect!r} is none of {', '.join(EFFECTS)}")
+            fail(f"workload[{index}].effect", f"{each.effect!r} is not one of {', '.join(EFFECTS)}")
         if each.promised_ms > each.abandon_ms:
-            wrong(f"workload[{place}].promised_ms", "later than abandon_ms")
-    for field, listed in (
+            fail(f"workload[{index}].promised_ms", "later than abandon_ms")
+    for field, values in (
         ("workload", names),
         ("customer", [each.name for each in scenario.customer]),
         ("fleet.zones", scenario.fleet.zones),
         ("builds", [each.number for each in scenario.builds]),
     ):
-        twice = next((name for name in listed if listed.count(name) > 1), None)
-        if twice is not None:
-            wrong(field, f"{twice} is there twice")
-    for place, each in enumerate(scenario.builds):
+        repeated = next((name for name in values if values.count(name) > 1), None)
+        if repeated is not None:
+            fail(field, f"{repeated} is listed twice")
+    for index, each in enumerate(scenario.builds):
         if each.only and each.only not in names:
-            wrong(f"builds[{place}].only", f"no workload {each.only!r}")
+            fail(f"builds[{index}].only", f"no workload {each.only!r}")
         if each.number <= scenario.build:
-            wrong(f"builds[{place}].number", f"not above the build at the start, {scenario.build}")
+            fail(f"builds[{index}].number", f"not above the build at the start, {scenario.build}")
         if each.turns_s[0] > each.turns_s[1]:
-            wrong(f"builds[{place}].turns_s", "the first is later than the second")
+            fail(f"builds[{index}].turns_s", "the first is later than the second")
     for field in ("fleet.start_ms", "list.late_ms", "network.notes_ms"):
-        table, name = field.split(".")
-        least, most = getattr(getattr(scenario, table.replace("list", "roster")), name)
+        table_name, name = field.split(".")
+        least, most = getattr(getattr(scenario, table_name.replace("list", "roster")), name)
         if least > most:
-            wrong(field, "the first is more than the second")
-    parts = weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
-    if scenario.clients.rate * scenario.seconds * max(parts) / sum(parts) > 0.9 * STREAM:
-        wrong("clients.rate", f"more than {STREAM} first tries at one relay in {scenario.seconds:.0f} s")
+            fail(field, "the first is greater than the second")
+    arrival_weights = weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
+    # a tenth of the numbers is kept free, since arrivals are random
+    if scenario.clients.rate * scenario.seconds * max(arrival_weights) / sum(arrival_weights) > 0.9 * STREAM:
+        fail("clients.rate", f"more than {STREAM} first tries at one relay in {scenario.seconds:.0f} s")
     if len(scenario.platform.caps) < len(scenario.platform.shares):
-        wrong("platform.caps", "fewer than platform.shares")
+        fail("platform.caps", "fewer than platform.shares")
     for pair in scenario.network.distances_ms:
         if len(pair.split()) != 2 or not set(pair.split()) <= set(scenario.fleet.zones):
-            wrong(f"network.distances_ms.{pair}", "not two of fleet.zones")
+            fail(f"network.distances_ms.{pair}", "not two of fleet.zones")
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
-            scenario.operators().seats(scenario.facts(relay))
+            scenario.operator_document().seats(scenario.parsed_settings(relay))
     except BadDocument as problem:
-        wrong("document", str(problem))
-    if scenario.operators().recording:
-        wrong("document.recording", "a model or trial writes its own record")
+        fail("document", str(problem))
+    if scenario.operator_document().recording:
+        fail("document.recording", "a model or trial writes its own record")
     try:
         faults = scenario.faults()
-    except Unclear as problem:
-        wrong("script", str(problem))
+    except BadScript as problem:
+        fail("script", str(problem))
     if scenario.trial.beside and not (Path(scenario.trial.beside) / "tealsail" / "__main__.py").exists():
-        wrong("trial.beside", f"no checkout of the program at {scenario.trial.beside}")
+        fail("trial.beside", f"no checkout of the program at {scenario.trial.beside}")
     customers = [each.name for each in scenario.customer]
     for fault in faults:
         if fault.kind == "surge" and scenario.clients.trace:
-            wrong("script", f"{fault.text!r}: recorded traffic can't surge")
+            fail("script", f"{fault.text!r}: recorded traffic can't surge")
         if fault.kind == "surge" and fault.who and fault.who not in customers:
-            wrong("script", f"{fault.text!r}: no customer {fault.who}")
+            fail("script", f"{fault.text!r}: no customer {fault.who}")
         if fault.zone and fault.zone not in scenario.fleet.zones:
-            wrong("script", f"{fault.text!r}: no zone {fault.zone}")
-        for who in (fault.who, fault.party[0]):
-            if who.isdigit() and int(who) >= scenario.fleet.relays:
-                wrong("script", f"{fault.text!r}: there are relays 0 to {scenario.fleet.relays - 1}")
+            fail("script", f"{fault.text!r}: no zone {fault.zone}")
+        for relay_name in (fault.who, fault.party[0]):
+            if relay_name.isdigit() and int(relay_name) >= scenario.fleet.relays:
+                fail("script", f"{fault.text!r}: there are relays 0 to {scenario.fleet.relays - 1}")
         for zone in (fault.whom.removeprefix("zone "), fault.party[3]):
             if (fault.whom.startswith("zone ") or zone == fault.party[3]) and zone and zone not in scenario.fleet.zones:
-                wrong("script", f"{fault.text!r}: no zone {zone}")
+                fail("script", f"{fault.text!r}: no zone {zone}")
--- a/tealsail/lab/script.py
+++ b/tealsail/lab/script.py
@@ -1,4 +1,4 @@
-"""The language of what goes wrong in a day: one sentence a line, read with a grammar, into typed values.
+"""The language of fault scripts: one sentence a line, parsed by a grammar into typed faults.
 
 at 12s kill 3 units of zone b for 10s
 from 20s for 8s customer acme x 5
@@ -62,24 +62,26 @@
 NAME: /[A-Za-z][A-Za-z0-9_-]*/
 %ignore /[ \t]+/
 """
-LONGEST = 64 * 1024  # characters of a script
-UNITS = {"ms": 10, "s": 10_000, "m": 600_000}  # in tenths of a ms
-EVERY_PART = 1.0
-LASTING = ("surge", "list", "platform silent", "platform busy", "notes", "ring", "stale lists", "hold relays")
-OF_UNITS, OF_RELAYS = ("kill", "hang", "silence", "drain"), ("kill", "pause", "restart", "switch")
+MAX_SCRIPT_LENGTH = 64 * 1024  # characters
+TIME_UNITS = {"ms": 10, "s": 10_000, "m": 600_000}  # in tenths of a ms
+ALL = 1.0  # as a part
+NEED_DURATION = ("surge", "list", "platform silent", "platform busy", "notes", "ring", "stale lists", "hold relays")
+UNIT_VERBS = ("kill", "hang", "silence", "drain")
+RELAY_VERBS = ("kill", "pause", "restart", "switch")
 
 
-class Unclear(Exception):
-    """A script that can't be read: one line with its line and column."""
+class BadScript(Exception):
+    """A script that can't be read; the text is one line with the line and column of the script."""
 
 
 @v_args(inline=True)
 class Reader(Transformer):
-    """Turns the grammar's trees into faults."""
+    """Turns the grammar's trees into faults; methods have the names of rules and terminals.  Those of parties and
+    troubles return fields of a Fault; `relays` among them marks a party of relays."""
 
     def TIME(self, text: Any) -> int:
         digits = text.rstrip("ms")
-        return round(float(digits) * UNITS[text[len(digits) :]])
+        return round(float(digits) * TIME_UNITS[text[len(digits) :]])
 
     def PERCENT(self, text: Any) -> float:
         return float(text[:-1]) / 100
@@ -105,7 +107,7 @@
         return {"part": part}
 
     def every(self) -> dict[str, Any]:
-        return {"part": EVERY_PART}
+        return {"part": ALL}
 
     def in_zone(self, zone: str) -> dict[str, Any]:
         return {"zone": zone}
@@ -124,11 +126,11 @@
 
     def struck(self, verb: str, whom: dict[str, Any]) -> dict[str, Any]:
         relays = "relays" in whom
-        if verb not in (OF_RELAYS if relays else OF_UNITS):
-            raise Unclear(f"{'relays' if relays else 'units'} can't be told to {verb}")
-        return {"kind": f"{verb} relays" if relays else verb, **self.bare(whom)}
+        if verb not in (RELAY_VERBS if relays else UNIT_VERBS):
+            raise BadScript(f"{'relays' if relays else 'units'} can't be told to {verb}")
+        return {"kind": f"{verb} relays" if relays else verb, **self.without_mark(whom)}
 
-    def bare(self, whom: dict[str, Any]) -> dict[str, Any]:
+    def without_mark(self, whom: dict[str, Any]) -> dict[str, Any]:
         return {name: value for name, value in whom.items() if name != "relays"}
 
     def one_relay(self, number: int) -> dict[str, Any]:
@@ -141,22 +143,22 @@
         return {"relays": True, "part": part, **(scope or {})}
 
     def every_relay(self, scope: dict[str, Any] | None = None) -> dict[str, Any]:
-        return {"relays": True, "part": EVERY_PART, **(scope or {})}
+        return {"relays": True, "part": ALL, **(scope or {})}
 
     def role(self, name: Any) -> dict[str, Any]:
         return {"relays": True, "who": str(name)}
 
     def hold(self, relays: dict[str, Any], part: float) -> dict[str, Any]:
-        return {"kind": "hold relays", **self.bare(relays), "times": part}
+        return {"kind": "hold relays", **self.without_mark(relays), "times": part}
 
     def list_stale_at(self, relays: dict[str, Any]) -> dict[str, Any]:
-        return {"kind": "stale lists", **self.bare(relays)}
+        return {"kind": "stale lists", **self.without_mark(relays)}
 
     def step(self, relays: dict[str, Any], seconds: Any) -> dict[str, Any]:
-        return {"kind": "step clocks", **self.bare(relays), "times": float(seconds[:-1])}
+        return {"kind": "step clocks", **self.without_mark(relays), "times": float(seconds[:-1])}
 
     def run_clocks(self, relays: dict[str, Any], times: float) -> dict[str, Any]:
-        return {"kind": "run clocks", **self.bare(relays), "times": times}
+        return {"kind": "run clocks", **self.without_mark(relays), "times": times}
 
     def slow(self, which: dict[str, Any], *rest: Any) -> dict[str, Any]:
         scope = rest[0] if len(rest) > 1 else {}
@@ -180,19 +182,19 @@
     def platform_busy(self) -> dict[str, Any]:
         return {"kind": "platform busy"}
 
-    def lost(self, part: float = EVERY_PART) -> dict[str, Any]:
+    def lost(self, part: float = ALL) -> dict[str, Any]:
         return {"who": "lost", "times": part}
 
-    def late(self, far: int, part: float = EVERY_PART) -> dict[str, Any]:
+    def late(self, far: int, part: float = ALL) -> dict[str, Any]:
         return {"who": "late", "times": part, "far": far}
 
-    def reordered(self, far: int, part: float = EVERY_PART) -> dict[str, Any]:
+    def reordered(self, far: int, part: float = ALL) -> dict[str, Any]:
         return {"who": "reordered", "times": part, "far": far}
 
-    def doubled(self, part: float = EVERY_PART) -> dict[str, Any]:
+    def doubled(self, part: float = ALL) -> dict[str, Any]:
         return {"who": "doubled", "times": part}
 
-    def replayed(self, far: int, part: float = EVERY_PART) -> dict[str, Any]:
+    def replayed(self, far: int, part: float = ALL) -> dict[str, Any]:
         return {"who": "replayed", "times": part, "far": far}
 
     def notes(self, trouble: dict[str, Any]) -> dict[str, Any]:
@@ -212,7 +214,7 @@
         return {"whom": "others"}
 
     def cut(self, relays: dict[str, Any], others: dict[str, Any], one_way: Any = None) -> dict[str, Any]:
-        return {"kind": "cut", **self.bare(relays), **others, "one_way": bool(one_way)}
+        return {"kind": "cut", **self.without_mark(relays), **others, "one_way": bool(one_way)}
 
     def ring(self) -> dict[str, Any]:
         return {"kind": "ring"}
@@ -229,12 +231,12 @@
 
 
 def read_script(text: str) -> list[Fault]:
-    """The faults of a script, in the order of their times; each keeps its own line of text.  Raises Unclear."""
-    if len(text) > LONGEST:
-        raise Unclear(f"longer than {LONGEST} characters")
+    """The faults of a script in order of time, each with its line of text.  Raises BadScript."""
+    if len(text) > MAX_SCRIPT_LENGTH:
+        raise BadScript(f"longer than {MAX_SCRIPT_LENGTH} characters")
     faults = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.split("#")[0].rstrip()  # the rest is a comment
+        words = line.split("#")[0].rstrip()  # without a comment
         if not words.strip():
             continue
         try:
@@ -243,23 +245,23 @@
             ended = getattr(getattr(problem, "token", None), "type", "") == "$END"
             column = len(words) + 1 if ended or problem.column < 1 else problem.column
             wanted = getattr(problem, "accepts", None) or getattr(problem, "allowed", None) or ()
-            raise Unclear(
+            raise BadScript(
                 f"line {number}, column {min(column, len(words) + 1)}: {words.strip()!r} can't be read "
-                "there" + (f"; {hint(wanted)}" if wanted else "")
+                "there" + (f"; {expected_tokens(wanted)}" if wanted else "")
             ) from None
         except VisitError as problem:
-            raise Unclear(f"line {number}: {words.strip()!r}: {problem.orig_exc}") from None
+            raise BadScript(f"line {number}: {words.strip()!r}: {problem.orig_exc}") from None
         except (LarkError, OverflowError) as problem:
-            raise Unclear(f"line {number}: {problem}") from None
-        if fault.kind in LASTING and not fault.span:
-            raise Unclear(f"line {number}: {words.strip()!r} needs a time that it lasts")
+            raise BadScript(f"line {number}: {problem}") from None
+        if fault.kind in NEED_DURATION and not fault.span:
+            raise BadScript(f"line {number}: {words.strip()!r} needs a time that it lasts")
         if fault.kind in ("slow", "surge") and fault.times <= 0:
-            raise Unclear(f"line {number}: {words.strip()!r}: a factor above nothing")
+            raise BadScript(f"line {number}: {words.strip()!r}: the factor must be above 0")
         faults.append(fault._replace(text=" ".join(words.split())))
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def hint(wanted: Any) -> str:
-    """What might stand there, in words."""
+def expected_tokens(wanted: Any) -> str:
+    """The tokens that would be accepted, in words."""
     words = sorted({str(each).strip("_").lower().replace("$end", "the end") for each in wanted})
     return "expected " + ", ".join(words[:8])
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -1,4 +1,4 @@
-"""Recorded traffic as a day's clients: the first tries of a record, at their recorded times."""
+"""Clients of a day that send the first tries of a record at their recorded times."""
 
 from collections.abc import Iterator
 
@@ -7,11 +7,12 @@
 from ..world.clients import STREAM, Arrival, Clients, Habits, Workload
 from .scenario import BadScenario, Scenario
 
-MOST = STREAM - 1  # first tries of a trace
+MAX_FIRST_TRIES = STREAM - 1  # of a trace, so that their numbers stay below STREAM
 
 
 class Trace(Clients):
-    """In place of drawn arrivals.  Repeats are the clients' own, as drawn.  Reads on as the day goes on."""
+    """Clients whose first tries come from the scenario's trace, which is read as the day goes on.  Repeats are drawn as
+    for random arrivals."""
 
     def __init__(self, scenario: Scenario, habits: Habits, workloads: list[Workload], seed: int) -> None:
         super().__init__(
@@ -24,10 +25,11 @@
         )
         self.relays, self.notes, self.path = scenario.fleet.relays, Notes(), scenario.clients.trace
         self.lines = self.arrivals(scenario)
-        self.coming = next(self.lines, None)
+        self.next_arrival = next(self.lines, None)
 
     def arrivals(self, scenario: Scenario) -> Iterator[Arrival]:
-        """In order of their times; a step back of the clock counts as no time passed.  Raises BadScenario."""
+        """Yields the first tries in order of time; where the recorded clock steps back, no time passes.  Raises
+        BadScenario for a file that can't be read or does not suit the scenario."""
         try:
             lines = read(self.path, self.notes)
             head = next(lines, None)
@@ -35,22 +37,22 @@
             raise BadScenario(f"clients.trace: {problem}") from None
         if not isinstance(head, Head):
             raise BadScenario(f"clients.trace: {self.path}: empty")
-        places = {each.name: place for place, each in enumerate(scenario.workload)}
-        theirs = [each.get("name") for each in head.facts.get("workloads", [])]
-        missing = [name for name in theirs if name not in places]
+        workload_indexes = {each.name: index for index, each in enumerate(scenario.workload)}
+        trace_workloads = [each.get("name") for each in head.facts.get("workloads", [])]
+        missing = [name for name in trace_workloads if name not in workload_indexes]
         if missing:
             raise BadScenario(f"clients.trace: {self.path}: no workload {missing[0]} in the scenario")
-        customers = {each.name: place for place, each in enumerate(scenario.customer)}
-        whose = [customers.get(each.get("name"), 0) for each in head.facts.get("customers", [])] or [0]
+        customer_indexes = {each.name: index for index, each in enumerate(scenario.customer)}
+        trace_customers = [customer_indexes.get(each.get("name"), 0) for each in head.facts.get("customers", [])] or [0]
         at = last = count = 0
         for line in lines:
             if not isinstance(line, Take) or line.number != line.first:
                 continue
             at, last = at + max(0, line.intended - last), line.intended
             count += 1
-            if at >= self.span or count > MOST:
+            if at >= self.span or count > MAX_FIRST_TRIES:
                 return
-            workload = places[theirs[line.workload]]
+            workload = workload_indexes[trace_workloads[line.workload]]
             yield Arrival(
                 at,
                 count,
@@ -58,22 +60,22 @@
                 at,
                 line.relay % self.relays,
                 workload,
-                whose[line.customer] if line.customer < len(whose) else 0,
+                trace_customers[line.customer] if line.customer < len(trace_customers) else 0,
                 line.key,
                 at + self.workloads[workload].abandon,
             )
 
     @property
     def due(self) -> int | None:
-        return self.coming.at if self.coming else None
+        return self.next_arrival.at if self.next_arrival else None
 
     def next(self) -> Arrival:
-        arrival, self.coming = self.coming, next(self.lines, None)
+        arrival, self.next_arrival = self.next_arrival, next(self.lines, None)
         return arrival
 
 
-def clients_of(scenario: Scenario, seed: int) -> Clients:
-    """Recorded where the scenario names a trace, else drawn."""
+def create_clients(scenario: Scenario, seed: int) -> Clients:
+    """The scenario's clients: with recorded arrivals if it names a trace, else with random ones."""
     if scenario.clients.trace:
         return Trace(scenario, scenario.habits(), scenario.workloads(), seed)
     return Clients(
--- a/tealsail/lab/trials.py
+++ b/tealsail/lab/trials.py
@@ -1,4 +1,4 @@
-"""Trials: a scenario played for real in a process of its own, and what came of it."""
+"""Trials: days of a scenario with real relays on loopback, each played by a process of its own."""
 
 import json
 import subprocess
@@ -15,15 +15,17 @@
 
 from ..world.rules import Breach
 from .figures import Result
-from .runs import day_seed, judge
+from .runs import day_seed, evaluate_record
 from .scenario import Scenario
 
-FIRST_REAL = 1000  # replicas' seeds lie below, real days' from here on
-MORE, EACH = 90.0, 0.5  # seconds beyond the day's length, and for each relay: then a trial is ended
+FIRST_TRIAL_REPLICA = 1000  # smaller replica numbers are those of the model's days
+# a trial is ended once it exceeds the day's length by these
+TIMEOUT_S = 90.0
+TIMEOUT_PER_RELAY_S = 0.5
 
 
-class Void(ValueError):
-    """A trial that can't be judged, in one sentence."""
+class VoidTrial(ValueError):
+    """A trial that gives no figures; the text says why in one sentence."""
 
 
 def play(
@@ -34,15 +36,15 @@
     progress: Callable[[int, int], None] | None = None,
     on_time: bool = True,
 ) -> tuple[Result, list[Breach]]:
-    """Real relays on loopback for the length of the scenario.  Raises Void where the trial itself broke, or ran late
-    unless that does not matter (`on_time`): the rules hold on a busy machine too, figures don't."""
+    """Plays a scenario with real relays on loopback.  Raises VoidTrial if the trial itself failed or, with `on_time`,
+    ran late: on a busy machine the rules hold, but the figures mean nothing."""
     with tempfile.TemporaryDirectory() as folder:
-        kept = Path(logs) if logs else Path(folder)
-        kept.mkdir(parents=True, exist_ok=True)
-        told = {
+        log_folder = Path(logs) if logs else Path(folder)
+        log_folder.mkdir(parents=True, exist_ok=True)
+        order = {
             "scenario": scenario.plain(),
             "seed": seed,
-            "folder": str(kept),
+            "folder": str(log_folder),
             "record": str(Path(record).absolute()) if record else "",
         }
         process = subprocess.Popen(
@@ -51,75 +53,79 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        ticking = threading.Event()
+        ended = threading.Event()
         if progress:
-            threading.Thread(target=ticks, args=(ticking, progress, scenario.seconds), daemon=True).start()
+            threading.Thread(target=report_progress, args=(ended, progress, scenario.seconds), daemon=True).start()
         try:
-            out, errors = process.communicate(
-                json.dumps(told).encode(), timeout=scenario.seconds + MORE + EACH * scenario.fleet.relays
+            output, errors = process.communicate(
+                json.dumps(order).encode(),
+                timeout=scenario.seconds + TIMEOUT_S + TIMEOUT_PER_RELAY_S * scenario.fleet.relays,
             )
         except subprocess.TimeoutExpired:
             process.kill()
             process.communicate()
-            raise Void(f"{scenario.name}: the trial did not end by itself") from None
+            raise VoidTrial(f"{scenario.name}: the trial did not end in time") from None
         finally:
-            ticking.set()
-    if process.returncode or not out:
-        raise Void(f"{scenario.name}: the trial broke: {errors.decode(errors='replace').strip()[-400:]}")
-    return read(scenario, json.loads(out), on_time)
+            ended.set()
+    if process.returncode or not output:
+        raise VoidTrial(f"{scenario.name}: the trial failed: {errors.decode(errors='replace').strip()[-400:]}")
+    return read(scenario, json.loads(output), on_time)
 
 
 def days(
     scenarios: list[Scenario], repeats: int, at_once: int, keep: str | None, progress: Callable[[int, int], None]
 ) -> list[list[tuple[Result, list[Breach]]]]:
-    """So many real days of each scenario, in turns, so that drift of the machine hits all alike.  What is found in
-    `keep` from before is not played again.  A void day is played once more; a second time raises Void."""
-    work = [(place, repeat) for repeat in range(repeats) for place in range(len(scenarios))]
+    """Plays `repeats` days of each scenario, in turns, so that drift of the machine affects all alike.  Days whose
+    files are in the folder `keep` are not played again.  A void day is played once more; if it is void again, VoidTrial
+    is raised."""
+    work = [(option, repeat) for repeat in range(repeats) for option in range(len(scenarios))]
     folder = Path(keep) if keep else None
     if folder:
         folder.mkdir(parents=True, exist_ok=True)
 
-    def one(key: tuple[int, int]) -> tuple[Result, list[Breach]]:
-        place, repeat = key
-        name = f"{'ABCDEFGH'[place]}-{repeat}"
-        kept = folder / f"{name}.json" if folder else None
-        record = folder / f"{name}.record.gz" if folder else None
-        if kept and kept.exists():
-            result, breaches = msgspec.json.decode(kept.read_bytes(), type=tuple[Result, list[Breach]])
-            if record.exists():  # the figures of today from the record of then
-                again, _ = judge(record)
-                result = msgspec.structs.replace(again, breaches=result.breaches, late_ms=result.late_ms)
+    def play_one(key: tuple[int, int]) -> tuple[Result, list[Breach]]:
+        option, repeat = key
+        name = f"{'ABCDEFGH'[option]}-{repeat}"
+        result_path = folder / f"{name}.json" if folder else None
+        record_path = folder / f"{name}.record.gz" if folder else None
+        if result_path and result_path.exists():
+            result, breaches = msgspec.json.decode(result_path.read_bytes(), type=tuple[Result, list[Breach]])
+            if record_path.exists():  # the figures are computed anew from the record
+                evaluated, _ = evaluate_record(record_path)
+                result = msgspec.structs.replace(evaluated, breaches=result.breaches, late_ms=result.late_ms)
             return result, breaches
-        scenario = scenarios[place]
-        seed = day_seed(scenario, FIRST_REAL + repeat)
+        scenario = scenarios[option]
+        seed = day_seed(scenario, FIRST_TRIAL_REPLICA + repeat)
         try:
-            found = play(scenario, seed, record)
-        except Void:
-            found = play(scenario, seed, record)
-        if kept:
-            kept.write_bytes(msgspec.json.encode(found))
-        return found
-
-    done = {}
+            outcome = play(scenario, seed, record_path)
+        except VoidTrial:
+            outcome = play(scenario, seed, record_path)
+        if result_path:
+            result_path.write_bytes(msgspec.json.encode(outcome))
+        return outcome
+
+    outcomes = {}
     with ThreadPoolExecutor(at_once) as pool:
-        for count, (key, found) in enumerate(zip(work, pool.map(one, work)), 1):
-            done[key] = found
+        for count, (key, outcome) in enumerate(zip(work, pool.map(play_one, work)), 1):
+            outcomes[key] = outcome
             progress(count, len(work))
-    return [[done[place, repeat] for repeat in range(repeats)] for place in range(len(scenarios))]
+    return [[outcomes[option, repeat] for repeat in range(repeats)] for option in range(len(scenarios))]
 
 
 def read(scenario: Scenario, tree: dict[str, Any], on_time: bool = True) -> tuple[Result, list[Breach]]:
+    """Converts the JSON output of a trial's process; `problems` become breaches.  Raises VoidTrial, as `play`."""
     result = msgspec.convert(tree["result"], Result)
     if tree["void"] and on_time:
-        raise Void(
-            f"{scenario.name}: the trial ran late itself: one arrival in a hundred by {result.late_ms:.1f} ms; "
+        raise VoidTrial(
+            f"{scenario.name}: the trial itself ran late: one arrival in a hundred by {result.late_ms:.1f} ms; "
             "it is not judged"
         )
     breaches = [Breach(*each) for each in tree["breaches"]]
     return result, breaches + [Breach(0, "problems", text) for text in tree["problems"][:10]]
 
 
-def ticks(ticking: threading.Event, progress: Callable[[int, int], None], seconds: float) -> None:
+def report_progress(ended: threading.Event, progress: Callable[[int, int], None], seconds: float) -> None:
+    """Reports the seconds played until `ended` is set."""
     start = time.monotonic()
-    while not ticking.wait(0.5):
+    while not ended.wait(0.5):
         progress(int(min(seconds, time.monotonic() - start)), int(seconds))
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -1,7 +1,7 @@
-"""A day in virtual time: the world's machines and real relays' decisions on one heap of events.
+"""The model: a day in virtual time, with the world's machines and the relays' decisions on one heap of events.
 
 Each relay is the facade that real relays use (tealsail/facade.py), driven as tealsail/net/relay.py drives it.  The same
-scenario and seed give the same events, byte for byte, on any machine.
+scenario and seed give the same events, byte for byte, on any machine.  Times are tenths of a millisecond.
 """
 
 import heapq
@@ -18,100 +18,115 @@
 from ..world.roster import Entry
 from ..world.unit import NEVER, Asked, Unit
 from .scenario import Scenario
-from .traffic import clients_of
+from .traffic import create_clients
 
-BUFFER = 256  # notes that wait at a process that does not run; more are lost, as at a socket
-GRACE = 600_000  # tenths of a ms after the last arrival: then a day is cut off
-LINGER, LOOK, BOOT = 5_000, 500, 6_000  # of a planned restart: until it takes no more, looks, its start
+SOCKET_BUFFER = 256  # messages that wait at a process that does not run; more are lost, as at a socket
+MAX_OVERTIME = 600_000  # tenths of a ms after the scenario's length, at which the day is cut off
+# planned restart of a relay, in tenths of a ms
+RESTART_NOTICE = 5_000  # from the order until the relay takes no more invocations
+DRAIN_CHECK_INTERVAL = 500
+BOOT_TIME = 6_000
 
 
-class Out:
-    """A shot on its way, at a unit or on its way back."""
+class InFlightShot:
+    """A shot on its way to a unit, at the unit or on its way back."""
 
-    __slots__ = ("serving", "place", "unit", "name", "over", "holds", "new")
+    __slots__ = ("invocation", "place", "unit", "name", "is_over", "connection_unit", "is_new_connection")
 
-    def __init__(self, serving: "Serving", place: int, name: str) -> None:
-        self.serving, self.place, self.name, self.over = serving, place, name, False
+    def __init__(self, invocation: "Invocation", place: int, name: str) -> None:
+        self.invocation, self.place, self.name, self.is_over = invocation, place, name, False
         self.unit: Unit | None = None
-        self.holds: Unit | None = None  # whose connection it uses
-        self.new = False  # and whether that was made for it
+        self.connection_unit: Unit | None = None  # the unit whose connection it uses
+        self.is_new_connection = False  # the connection was opened for it
 
 
-class Serving:
-    """One invocation at its relay."""
+class Invocation:
+    """An invocation at its relay, with its shots in flight by place."""
 
-    __slots__ = ("arrival", "number", "outs", "over", "wrong")
+    __slots__ = ("arrival", "number", "shots", "is_over", "is_wrong")
 
     def __init__(self, arrival: Arrival, number: int) -> None:
-        self.arrival, self.number, self.over, self.wrong = arrival, number, False, False
-        self.outs: dict[int, Out] = {}
+        self.arrival, self.number, self.is_over, self.is_wrong = arrival, number, False, False
+        self.shots: dict[int, InFlightShot] = {}
 
 
-class Door:
-    """One relay of the model: a facade, what it serves, and the connections that it keeps."""
+class ModelRelay:
+    """One relay of the model: a facade, its invocations, and its idle connections to units."""
 
     def __init__(self, model: "Model", index: int, start: int) -> None:
         self.model, self.index = model, index
-        facts = model.scenario.facts(index)
-        self.rate, self.since, self.zero = 1.0, model.now, model.now  # its clock: how fast, and what it showed when
-        self.stopped, self.notes = -1, 0  # since when its process does not run; notes that wait for it
+        settings = model.scenario.parsed_settings(index)
+        self.rate = 1.0  # of its clock
+        self.clock_set_at = model.now  # when the rate was set
+        self.clock_reading = model.now  # what its clock showed then
+        self.stopped_at = -1  # when its process was stopped; -1: it runs
+        self.waiting_messages = 0  # messages that came while it was stopped
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
-        self.duties = ""  # who acts for the fleet, as it last logged
-        self.facade = Facade(facts, mix(model.seed, index, start, 7), self.clock, model.document.seats(facts))
-        self.serving: dict[int, Serving] = {}
-        self.kept: dict[str, list[int]] = {}  # unit -> idle connections, and when one was last used
+        self.duties = ""  # the last log line of load tracker and judges
+        self.facade = Facade(settings, mix(model.seed, index, start, 7), self.clock, model.document.seats(settings))
+        self.invocations: dict[int, Invocation] = {}
+        # unit -> number of idle connections, and when one was last used
+        self.idle_connections: dict[str, list[int]] = {}
         self.timer = NEVER
-        self.leaving = False  # it has been told to end, and takes no more
+        self.is_draining = False  # it is to restart and takes no more invocations
 
-    # its process
+    # process
     def clock(self) -> int:
-        """What its clock shows: the day's time, unless the script has it fast or slow."""
+        """The reading of its clock: the day's time, unless the script makes the clock fast or slow."""
         now = self.model.now
-        return now if self.rate == 1.0 and self.zero == self.since else self.zero + int((now - self.since) * self.rate)
+        return (
+            now
+            if self.rate == 1.0 and self.clock_reading == self.clock_set_at
+            else self.clock_reading + int((now - self.clock_set_at) * self.rate)
+        )
 
-    def run_clock(self, rate: float) -> None:
-        self.zero, self.since, self.rate = self.clock(), self.model.now, rate
+    def set_clock_rate(self, rate: float) -> None:
+        self.clock_reading, self.clock_set_at, self.rate = self.clock(), self.model.now, rate
 
-    def later(self, due: int) -> int:
-        """The day's time of a time on its clock."""
+    def day_time(self, due: int) -> int:
+        """The day's time at which its clock shows `due`."""
         return (
-            due if self.rate == 1.0 and self.zero == self.since else self.since + int((due - self.zero) / self.rate) + 1
+            due
+            if self.rate == 1.0 and self.clock_reading == self.clock_set_at
+            else self.clock_set_at + int((due - self.clock_reading) / self.rate) + 1
         )
 
-    def waits(self, first: int, call: Callable[..., None], *what: Any) -> bool:
-        """Whether its process does not run: then the event waits for it; its timers (`first` 0) go before its
-        sockets."""
-        if self.stopped < 0:
+    def defer(self, priority: int, call: Callable[..., None], *what: Any) -> bool:
+        """Queues the event if the process is stopped, and returns whether it is.  Once the process runs again, its
+        timers (`priority` 0) go before its sockets (1)."""
+        if self.stopped_at < 0:
             return False
-        self.backlog.append((first, call, what))
+        self.backlog.append((priority, call, what))
         return True
 
     def stop(self) -> None:
-        if self.stopped < 0:
-            self.stopped, self.notes = self.model.now, 0
-            self.model.tell(Life(self.model.now, self.index, "stopped"))
-
-    def go_on(self) -> None:
-        """It runs again: what waited comes at once, and after a gap it trusts nothing older, as the daemon does."""
-        if self.stopped < 0:
+        if self.stopped_at < 0:
+            self.stopped_at, self.waiting_messages = self.model.now, 0
+            self.model.record(Life(self.model.now, self.index, "stopped"))
+
+    def resume(self) -> None:
+        """Runs the process again: deferred events come at once.  After a long gap it discards all older state and its
+        connections, and fetches list and roll-out state again, as the daemon does."""
+        if self.stopped_at < 0:
             return
-        model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
-        self.stopped, self.backlog = -1, []
-        model.tell(Life(model.now, self.index, "on"))
+        model, gap, backlog = self.model, self.model.now - self.stopped_at, self.backlog
+        self.stopped_at, self.backlog = -1, []
+        model.record(Life(model.now, self.index, "on"))
         if gap > GAP * TENTHS:
             disregard(self.facade.relay, self.clock())
-            for name, (idle, _) in self.kept.items():
+            for name, (idle, _) in self.idle_connections.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
-            self.kept.clear()
-            model.later(model.now + model.news_wait, model.anew, self.index)
+            self.idle_connections.clear()
+            model.call_at(model.now + model.platform_delay, model.refresh, self.index)
         for _, call, what in sorted(backlog, key=lambda each: each[0]):
             call(*what)
         self.schedule()
 
-    def take(self, arrival: Arrival) -> None:
+    def receive(self, arrival: Arrival) -> None:
+        """Records an invocation that has come to the relay's socket, and begins it."""
         model = self.model
-        model.tell(
+        model.record(
             Take(
                 model.now,
                 self.index,
@@ -124,478 +139,501 @@
                 arrival.first,
             )
         )
-        if not self.waits(1, self.taken, arrival):
-            self.taken(arrival)
+        if not self.defer(1, self.begin, arrival):
+            self.begin(arrival)
 
-    def taken(self, arrival: Arrival) -> None:
+    def begin(self, arrival: Arrival) -> None:
         model, facade = self.model, self.facade
-        workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
+        workload, customer = model.workload_names[arrival.workload], model.customer_names[arrival.customer]
         repeat = arrival.repeat and model.parts.habits.marks
         number, step = facade.pick(
             workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
         )
-        serving = self.serving[number] = Serving(arrival, number)
-        self.follow(serving, step)
+        invocation = self.invocations[number] = Invocation(arrival, number)
+        self.carry_out_step(invocation, step)
         self.schedule()
 
-    def follow(self, serving: Serving, step: Step) -> None:
-        if type(step) is Shoot and serving.over:
-            self.facade.report(Outcome(serving.number, step.place, "moot"))
+    def carry_out_step(self, invocation: Invocation, step: Step) -> None:
+        """Carries out the facade's next step for an invocation."""
+        if type(step) is Shoot and invocation.is_over:
+            self.facade.report(Outcome(invocation.number, step.place, "moot"))
         elif type(step) is Shoot:
-            self.shoot(serving, step)
+            self.shoot(invocation, step)
         elif type(step) is Reject:
-            self.end(serving, "rejected", step.come_back)
+            self.send_answer(invocation, "rejected", step.come_back)
         elif type(step) is Forfeit:
-            self.end(serving, "forfeited")
-        if serving.over and not serving.outs:
-            self.serving.pop(serving.number, None)
+            self.send_answer(invocation, "forfeited")
+        if invocation.is_over and not invocation.shots:
+            self.invocations.pop(invocation.number, None)
 
-    def end(self, serving: Serving, answer: str, come_back: int = 0) -> None:
-        if serving.over:
+    def send_answer(self, invocation: Invocation, answer: str, retry_after: int = 0) -> None:
+        """Sends the client its answer; `retry_after`: advised wait before a repeat, in tenths of a ms, 0 for none."""
+        if invocation.is_over:
             return
-        serving.over, model = True, self.model
-        if model.back:
-            model.later(model.now + model.back, model.answered, self.index, serving.arrival, answer, come_back)
+        invocation.is_over, model = True, self.model
+        if model.return_delay:
+            model.call_at(
+                model.now + model.return_delay, model.answered, self.index, invocation.arrival, answer, retry_after
+            )
         else:
-            model.answered(self.index, serving.arrival, answer, come_back)
+            model.answered(self.index, invocation.arrival, answer, retry_after)
 
-    def shoot(self, serving: Serving, step: Shoot) -> None:
+    def shoot(self, invocation: Invocation, step: Shoot) -> None:
+        """Sends a shot to its unit, over an idle connection if there is one, and sets its time-out."""
         model, now = self.model, self.model.now
         name = model.unit_names[step.unit]
-        believed = self.facade.relay.units[step.unit].build
-        out = serving.outs[step.place] = Out(serving, step.place, name)
-        model.tell(ShotLine(now, self.index, serving.arrival.number, step.place, name, believed, step.wait))
-        model.later(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.overdue, out)
+        listed_build = self.facade.relay.units[step.unit].build
+        shot = invocation.shots[step.place] = InFlightShot(invocation, step.place, name)
+        model.record(ShotLine(now, self.index, invocation.arrival.number, step.place, name, listed_build, step.wait))
+        model.call_at(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.time_out, shot)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
-        way = model.day.network.way(self.index, zone)
+        one_way = model.day.network.way(self.index, zone)
         if unit is None or unit.dead:  # refused at once
-            self.kept.pop(name, None)
-            model.later(now + 2 * way, self.came, out, "unreachable")
+            self.idle_connections.pop(name, None)
+            model.call_at(now + 2 * one_way, self.shot_ended, shot, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
-            unit.disconnect(self.kept.pop(name, (0, 0))[0])
-            model.later(now + model.connect_wait, self.came, out, "unreachable")
+            unit.disconnect(self.idle_connections.pop(name, (0, 0))[0])
+            model.call_at(now + model.connect_wait, self.shot_ended, shot, "unreachable")
         else:
-            kept = self.kept.get(name)
-            if kept and kept[0] and now - kept[1] < model.idle_time:
-                kept[0] -= 1
-                out.holds, wait = unit, 3 * way  # it proves itself by an empty query first
+            idle = self.idle_connections.get(name)
+            if idle and idle[0] and now - idle[1] < model.idle_time:
+                idle[0] -= 1
+                shot.connection_unit, wait = unit, 3 * one_way  # an empty query first proves that the connection works
             elif unit.connect():
-                out.holds, out.new, wait = unit, True, 3 * way + model.parts.paths.handshake
-                model.tell(Met(now, self.index, name))
+                shot.connection_unit, shot.is_new_connection, wait = (
+                    unit,
+                    True,
+                    3 * one_way + model.parts.paths.handshake,
+                )
+                model.record(Met(now, self.index, name))
             else:
-                return model.later(now + 2 * way, self.came, out, "full")
-            model.later(now + wait + model.there, model.reach, self, out, unit)
+                return model.call_at(now + 2 * one_way, self.shot_ended, shot, "full")
+            model.call_at(now + wait + model.outward_delay, model.reach_unit, self, shot, unit)
 
     def expire(self, unit: Unit, used: int) -> None:
-        """Connections that have stood idle since then end."""
-        kept = self.kept.get(unit.name)
-        if kept and kept[1] <= used and self.model.doors[self.index] is self:
-            unit.disconnect(kept[0])
-            kept[0] = 0
-
-    def came(self, out: Out, outcome: str) -> None:
-        """A shot has ended, for this relay."""
-        if out.over or self.waits(1, self.came, out, outcome):
+        """Closes the idle connections to a unit if none was used since `used`."""
+        idle = self.idle_connections.get(unit.name)
+        if idle and idle[1] <= used and self.model.relays[self.index] is self:
+            unit.disconnect(idle[0])
+            idle[0] = 0
+
+    def shot_ended(self, shot: InFlightShot, outcome: str) -> None:
+        """The relay learns the outcome of a shot."""
+        if shot.is_over or self.defer(1, self.shot_ended, shot, outcome):
             return
-        out.over, serving, model = True, out.serving, self.model
-        serving.outs.pop(out.place, None)
+        shot.is_over, invocation, model = True, shot.invocation, self.model
+        invocation.shots.pop(shot.place, None)
         load = None
-        if outcome == "wrong":  # a relay can't tell
-            serving.wrong, outcome = True, "served"
-        if out.holds and outcome in ("served", "error", "full"):
-            kept = self.kept.setdefault(out.name, [0, 0])
-            kept[0], kept[1] = kept[0] + 1, model.now
-            if out.holds.kind.connections:
-                model.later(model.now + model.idle_time, self.expire, out.holds, model.now)
-        elif out.holds:
-            out.holds.disconnect()
+        if outcome == "wrong":  # a relay can't see that an answer is wrong
+            invocation.is_wrong, outcome = True, "served"
+        if shot.connection_unit and outcome in ("served", "error", "full"):
+            idle = self.idle_connections.setdefault(shot.name, [0, 0])
+            idle[0], idle[1] = idle[0] + 1, model.now
+            if shot.connection_unit.kind.connections:
+                model.call_at(model.now + model.idle_time, self.expire, shot.connection_unit, model.now)
+        elif shot.connection_unit:
+            shot.connection_unit.disconnect()
         if outcome in ("served", "error", "full"):
-            load = out.unit.load(model.now) if out.unit and out.unit.kind.report_every else None
-        model.tell(Came(model.now, self.index, serving.arrival.number, out.place, outcome))
-        step = self.facade.report(Outcome(serving.number, out.place, outcome, load))
+            load = shot.unit.load(model.now) if shot.unit and shot.unit.kind.report_every else None
+        model.record(Came(model.now, self.index, invocation.arrival.number, shot.place, outcome))
+        step = self.facade.report(Outcome(invocation.number, shot.place, outcome, load))
         if outcome == "served":
-            self.end(serving, "wrong" if serving.wrong else "served")
-        self.follow(serving, step)
+            self.send_answer(invocation, "wrong" if invocation.is_wrong else "served")
+        self.carry_out_step(invocation, step)
         self.schedule()
 
-    def overdue(self, out: Out) -> None:
-        if not out.over and not self.waits(0, self.overdue, out):
-            self.give_up(out, "timeout")
+    def time_out(self, shot: InFlightShot) -> None:
+        if not shot.is_over and not self.defer(0, self.time_out, shot):
+            self.cancel_shot(shot, "timeout")
 
-    def give_up(self, out: Out, outcome: str) -> None:
-        if out.unit:
-            self.model.later(
-                self.model.now + self.model.day.network.way(self.index, out.unit.zone), self.model.stop, out
+    def cancel_shot(self, shot: InFlightShot, outcome: str) -> None:
+        """Ends a shot before its answer, and stops it at its unit if it got there."""
+        if shot.unit:
+            self.model.call_at(
+                self.model.now + self.model.day.network.way(self.index, shot.unit.zone), self.model.stop_shot, shot
             )
-        self.came(out, outcome if out.unit else "moot")  # nothing was written yet
+        self.shot_ended(shot, outcome if shot.unit else "moot")  # moot: nothing had been written
 
     def schedule(self) -> None:
-        """As the daemon does: at once what is wanted, else when the facade is due."""
+        """Ticks the facade at once if it wants something, else sets a timer for when it is due, as the daemon does."""
         facade = self.facade
-        if self.stopped >= 0:
-            return  # it looks when it runs again
+        if self.stopped_at >= 0:
+            return  # `resume` schedules
         wants = facade.wants
         if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
-            return self.ticked()
+            return self.tick()
         due = facade.wakes[0][0] if facade.wakes else NEVER
         if due < self.timer:
             self.timer = due
-            self.model.later(max(self.later(due), self.model.now), self.wake, due)
+            self.model.call_at(max(self.day_time(due), self.model.now), self.wake, due)
 
     def wake(self, due: int) -> None:
-        if due == self.timer and self.model.doors[self.index] is self and not self.waits(0, self.wake, due):
+        if due == self.timer and self.model.relays[self.index] is self and not self.defer(0, self.wake, due):
             self.timer = NEVER
-            self.ticked()
+            self.tick()
 
-    def ticked(self) -> None:
+    def tick(self) -> None:
+        """Ticks the facade and carries out what it wants."""
         model, wants = self.model, self.facade.tick()
         guide, judges = self.facade.relay.guide, self.facade.relay.judge.order[:3]
         duties = f"duties keeper={guide.keeper()} judges={','.join(str(each) for each in judges)}"
         if duties != self.duties:
             self.duties = duties
-            model.tell(Log(model.now, self.index, duties))
+            model.record(Log(model.now, self.index, duties))
         for text in wants.lines:
-            model.tell(Log(model.now, self.index, text))
+            model.record(Log(model.now, self.index, text))
         for number, step in wants.steps:
-            if number in self.serving:
-                self.follow(self.serving[number], step)
+            if number in self.invocations:
+                self.carry_out_step(self.invocations[number], step)
             elif type(step) is Shoot:
                 self.facade.report(Outcome(number, step.place, "moot"))
         for to, data in wants.notes:
-            for other in range(len(model.doors)) if to < 0 else (to,):
+            for other in range(len(model.relays)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
-                    model.later(model.now + wait, model.note, other, self.index, data)
+                    model.call_at(model.now + wait, model.deliver_message, other, self.index, data)
         for vote in wants.votes:
-            model.later(model.now + model.news_wait, model.vote, self, *vote)
+            model.call_at(model.now + model.platform_delay, model.vote, self, *vote)
         for what in wants.calls_off:
             self.call_off(what)
         self.schedule()
 
     def call_off(self, what: CallOff) -> None:
-        serving = self.serving.get(what.number)
-        if serving and what.place in serving.outs:
-            self.give_up(serving.outs[what.place], "cancelled")
+        invocation = self.invocations.get(what.number)
+        if invocation and what.place in invocation.shots:
+            self.cancel_shot(invocation.shots[what.place], "cancelled")
 
-    def listed(self, entries: list[Entry], kind: str) -> None:
+    def receive_list(self, entries: list[Entry], kind: str) -> None:
+        """Takes entries of the list of units; `kind` as in facade.Units."""
         model = self.model
-        if self.waits(1, self.listed, entries, kind):
+        if self.defer(1, self.receive_list, entries, kind):
             return
         for entry in entries:
-            model.tell(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
-        ahead = self.clock() - model.now  # units' starts are told in the time of all others' clocks
-        told = [model.listed(entry) for entry in entries]
+            model.record(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
+        ahead = self.clock() - model.now  # units' starts come in the time of the other machines' clocks
+        listed = [model.list_entry(entry) for entry in entries]
         self.facade.report(
             Units(
                 kind,
-                told
+                listed
                 if not ahead
-                else [each._replace(started=each.started and max(1, each.started + ahead)) for each in told],
+                else [each._replace(started=each.started and max(1, each.started + ahead)) for each in listed],
             )
         )
         self.schedule()
 
-    def stood(self) -> None:
+    def receive_state(self) -> None:
+        """Takes the platform's roll-out state."""
         model, state = self.model, self.model.day.desk.state
-        if self.waits(1, self.stood):
+        if self.defer(1, self.receive_state):
             return
-        model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
+        model.record(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
         self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, model.now - state.since))
         self.schedule()
 
 
 class Model:
-    """One run.  `listeners` get each line of the record as it happens; `events` counts what was played."""
+    """One run of a scenario.  `listeners` get each line of the record as it happens; `events` counts the events that
+    were played, `faults` the internal errors of the relays."""
 
     def __init__(self, scenario: Scenario, seed: int, listeners: list[Callable[[Line], Any]]) -> None:
         self.scenario, self.seed, self.listeners = scenario, seed, listeners
-        self.now = self.events = self.count = 0
-        self.document = scenario.operators()
+        self.now = self.events = self.sequence = 0
+        self.document = scenario.operator_document()
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.parts = scenario.parts()
-        self.day = Day(self.parts, seed, clients_of(scenario, seed))
-        self.day.roles = self.acting
-        self.names = [each.name for each in scenario.workload]
-        self.whose = [each.name for each in scenario.customer] or [""]
+        self.day = Day(self.parts, seed, create_clients(scenario, seed))
+        self.day.roles = self.acting_relays
+        self.workload_names = [each.name for each in scenario.workload]
+        self.customer_names = [each.name for each in scenario.customer] or [""]
         self.zones = {name: place for place, name in enumerate(scenario.fleet.zones)}
         self.unit_names: dict[int, str] = {}
         self.connect_wait = int(scenario.network.connect_ms * 10)
         self.idle_time = int(scenario.network.idle_ms * 10)
-        self.there, self.back = int(scenario.clients.there_ms * 10), int(scenario.clients.back_ms * 10)
-        self.news_wait = int(scenario.platform.news_ms * 10)
-        self.open = self.waiting = 0  # invocations without an answer; repeats to come
-        self.day_at = NEVER  # when the day is woken next
-        self.doors: list[Door | None] = []
-        self.starts = [0] * scenario.fleet.relays
+        self.outward_delay, self.return_delay = int(scenario.clients.there_ms * 10), int(scenario.clients.back_ms * 10)
+        self.platform_delay = int(scenario.platform.news_ms * 10)
+        self.open_invocations = self.pending_repeats = 0  # invocations without an answer, repeats to come
+        self.day_due = NEVER  # when the day is to be woken next
+        self.relays: list[ModelRelay | None] = []
+        self.start_counts = [0] * scenario.fleet.relays
         self.faults = 0
 
     def clock(self) -> int:
         return self.now
 
-    def tell(self, line: Line) -> None:
+    def record(self, line: Line) -> None:
         for listener in self.listeners:
             listener(line)
 
-    def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (at, self.count, call, what))
+    def call_at(self, at: int, call: Callable[..., None], *what: Any) -> None:
+        self.sequence += 1
+        heapq.heappush(self.heap, (at, self.sequence, call, what))
 
     def play(self) -> "Model":
-        """The whole day, and on until all is answered."""
+        """Plays the whole day, and on until every invocation has its answer."""
         scenario = self.scenario
-        self.tell(Head(0, VERSION, "model", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
-        self.took_up()
+        self.record(Head(0, VERSION, "model", scenario.name, self.seed, scenario.parsed_settings(0), scenario.plain()))
+        self.follow_day()
         for relay in range(scenario.fleet.relays):
-            self.doors.append(None)
+            self.relays.append(None)
             self.start(relay)
-        self.arrivals()
+        self.schedule_arrival()
         heap, pop = self.heap, heapq.heappop
-        end = scenario.span + GRACE
-        while heap and (self.now < scenario.span or self.open or self.waiting) and self.now < end:
+        end = scenario.span + MAX_OVERTIME
+        while heap and (self.now < scenario.span or self.open_invocations or self.pending_repeats) and self.now < end:
             self.now, _, call, what = pop(heap)
             self.events += 1
             call(*what)
-        self.faults += sum(door.facade.faults for door in self.doors if door)
+        self.faults += sum(model_relay.facade.faults for model_relay in self.relays if model_relay)
         return self
 
     # relays
     def start(self, relay: int) -> None:
-        """From what is known at that place: the list as its agent has it, and the platform's state."""
-        self.starts[relay] += 1
-        door = self.doors[relay] = Door(self, relay, self.starts[relay])
-        self.tell(Life(self.now, relay, "up"))
+        """Starts a relay with the list as it was last told there, and the platform's roll-out state."""
+        self.start_counts[relay] += 1
+        model_relay = self.relays[relay] = ModelRelay(self, relay, self.start_counts[relay])
+        self.record(Life(self.now, relay, "up"))
         roster = self.day.roster
-        door.stood()
-        door.listed(roster.whole(roster.told[relay]), "old copy")
+        model_relay.receive_state()
+        model_relay.receive_list(roster.whole(roster.told[relay]), "old copy")
 
-    def end(self, relay: int) -> None:
-        """Killed: what it had at hand is lost with it, and its connections end."""
-        door, self.doors[relay] = self.doors[relay], None
-        if door is None:
+    def kill(self, relay: int) -> None:
+        """Kills a relay: its invocations are lost and its connections end."""
+        model_relay, self.relays[relay] = self.relays[relay], None
+        if model_relay is None:
             return
-        self.tell(Life(self.now, relay, "down"))
-        self.faults += door.facade.faults
-        for name, (idle, _) in door.kept.items():
+        self.record(Life(self.now, relay, "down"))
+        self.faults += model_relay.facade.faults
+        for name, (idle, _) in model_relay.idle_connections.items():
             if name in self.day.fleet.units:
                 self.day.fleet.units[name].disconnect(idle)
-        for _, call, what in door.backlog:  # what it had not even read
-            if call == door.taken:
-                self.open -= 1
-                self.tell(End(self.now, relay, what[0].number, "lost"))
-        for serving in door.serving.values():
-            for out in serving.outs.values():
-                out.over = True
-                if out.holds:
-                    out.holds.disconnect()
-                if out.unit:
-                    self.later(self.now + self.parts.paths.near, self.stop, out)
-            if not serving.over:
-                serving.over = True
-                self.open -= 1
-                self.tell(End(self.now, relay, serving.arrival.number, "lost"))
-
-    def acting(self, name: str) -> list[int]:
-        """Who acts for the fleet as that, by the word of most relays."""
-        words: dict[int, int] = {}
-        for door in self.doors:
-            if door:
-                relay = door.facade.relay
+        for _, call, what in model_relay.backlog:  # invocations that it had not read yet
+            if call == model_relay.begin:
+                self.open_invocations -= 1
+                self.record(End(self.now, relay, what[0].number, "lost"))
+        for invocation in model_relay.invocations.values():
+            for shot in invocation.shots.values():
+                shot.is_over = True
+                if shot.connection_unit:
+                    shot.connection_unit.disconnect()
+                if shot.unit:
+                    self.call_at(self.now + self.parts.paths.near, self.stop_shot, shot)
+            if not invocation.is_over:
+                invocation.is_over = True
+                self.open_invocations -= 1
+                self.record(End(self.now, relay, invocation.arrival.number, "lost"))
+
+    def acting_relays(self, name: str) -> list[int]:
+        """The relays that act as `keeper` (the load tracker), `judge` or `judges`, as most relays see it."""
+        votes: dict[int, int] = {}
+        for model_relay in self.relays:
+            if model_relay:
+                relay = model_relay.facade.relay
                 for each in (
                     [relay.guide.keeper()] if name == "keeper" else relay.judge.order[: 3 if name == "judges" else 1]
                 ):
-                    words[each] = words.get(each, 0) + 1
-        best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
+                    votes[each] = votes.get(each, 0) + 1
+        best = sorted((each for each in votes if each >= 0), key=lambda each: (-votes[each], each))
         return best[: 3 if name == "judges" else 1]
 
-    def anew(self, relay: int) -> None:
-        """One that did not run for a while asks for what others keep."""
-        door, roster = self.doors[relay], self.day.roster
-        if door and self.day.network.has(self.now, relay, "list"):
-            door.listed(roster.whole(roster.told[relay]), "whole")
-        if door:
-            self.tell_state(relay)
+    def refresh(self, relay: int) -> None:
+        """A relay that was stopped for a while gets the whole list and the roll-out state again."""
+        model_relay, roster = self.relays[relay], self.day.roster
+        if model_relay and self.day.network.has(self.now, relay, "list"):
+            model_relay.receive_list(roster.whole(roster.told[relay]), "whole")
+        if model_relay:
+            self.send_state(relay)
 
     def carry_out(self, order: Order) -> None:
-        """What the script does to a relay's process.  A step of its wall clock moves nothing: its time is even
-        (tealsail/choices/clock.py).  A relay from another checkout is only restarted: the model has one program."""
-        door = self.doors[order.relay]
+        """Does to a relay's process what the script orders.  A step of the wall clock has no effect, since relays go
+        by a steady clock (tealsail/choices/clock.py).  A switch to another checkout is only a restart: the model has
+        one program."""
+        model_relay = self.relays[order.relay]
         match order.what:
             case "down":
-                self.end(order.relay)
-            case "up" if door is None:
+                self.kill(order.relay)
+            case "up" if model_relay is None:
                 self.start(order.relay)
             case "restart" | "switch":
                 self.restart(order.relay)
-            case "stop" if door:
-                door.stop()
-            case "on" if door:
-                door.go_on()
-            case "rate" if door:
-                door.run_clock(order.amount)
+            case "stop" if model_relay:
+                model_relay.stop()
+            case "on" if model_relay:
+                model_relay.resume()
+            case "rate" if model_relay:
+                model_relay.set_clock_rate(order.amount)
 
     def restart(self, relay: int) -> None:
-        """Planned: its clients still come for a moment, what it has is finished, then it starts anew."""
-        self.later(self.now + LINGER, self.leave, relay)
-
-    def leave(self, relay: int) -> None:
-        door = self.doors[relay]
-        if door:
-            door.leaving = True
-            self.left(door)
-
-    def left(self, door: Door) -> None:
-        if self.doors[door.index] is not door:
-            return  # killed meanwhile
-        if door.serving:
-            return self.later(self.now + LOOK, self.left, door)
-        self.end(door.index)
-        self.later(self.now + BOOT, self.start, door.index)
-
-    def note(self, to: int, sender: int, data: bytes) -> None:
-        door = self.doors[to]
-        if door and door.stopped >= 0:
-            door.notes += 1
-            if door.notes <= BUFFER:
-                door.waits(1, self.note, to, sender, data)
-        elif door:
-            door.facade.report(Heard(sender, data))
-            door.schedule()
-
-    def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
-        if not self.day.network.has(self.now, door.index, "platform"):
-            answer = "nothing"  # it never came
+        """A planned restart: invocations still come for a moment, those at hand are finished, then it starts again."""
+        self.call_at(self.now + RESTART_NOTICE, self.begin_drain, relay)
+
+    def begin_drain(self, relay: int) -> None:
+        model_relay = self.relays[relay]
+        if model_relay:
+            model_relay.is_draining = True
+            self.finish_drain(model_relay)
+
+    def finish_drain(self, model_relay: ModelRelay) -> None:
+        """Ends a draining relay once it has nothing to serve, and starts it again."""
+        if self.relays[model_relay.index] is not model_relay:
+            return  # it was killed meanwhile
+        if model_relay.invocations:
+            return self.call_at(self.now + DRAIN_CHECK_INTERVAL, self.finish_drain, model_relay)
+        self.kill(model_relay.index)
+        self.call_at(self.now + BOOT_TIME, self.start, model_relay.index)
+
+    def deliver_message(self, to: int, sender: int, data: bytes) -> None:
+        """Delivers a message between relays; a stopped relay keeps SOCKET_BUFFER of them."""
+        model_relay = self.relays[to]
+        if model_relay and model_relay.stopped_at >= 0:
+            model_relay.waiting_messages += 1
+            if model_relay.waiting_messages <= SOCKET_BUFFER:
+                model_relay.defer(1, self.deliver_message, to, sender, data)
+        elif model_relay:
+            model_relay.facade.report(Heard(sender, data))
+            model_relay.schedule()
+
+    def vote(self, model_relay: ModelRelay, build: int, stage: int, verdict: str) -> None:
+        """A relay's vote reaches the platform, which answers or, if it is silent or cut off, lets it time out."""
+        if not self.day.network.has(self.now, model_relay.index, "platform"):
+            answer = "nothing"  # the vote was lost
         else:
-            answer = self.day.vote(self.now, door.index, build, stage, verdict)
-            self.took_up()
-        wait = self.news_wait if answer != "nothing" else int(self.scenario.facts(0)["vote_wait"])
-        self.later(self.now + wait, self.counted, door, "timeout" if answer == "nothing" else answer)
-
-    def counted(self, door: Door, answer: str) -> None:
-        if self.doors[door.index] is door and not door.waits(1, self.counted, door, answer):
-            door.facade.report(Counted(answer))
-            door.schedule()
+            answer = self.day.vote(self.now, model_relay.index, build, stage, verdict)
+            self.follow_day()
+        wait = self.platform_delay if answer != "nothing" else int(self.scenario.parsed_settings(0)["vote_wait"])
+        self.call_at(self.now + wait, self.vote_answered, model_relay, "timeout" if answer == "nothing" else answer)
+
+    def vote_answered(self, model_relay: ModelRelay, answer: str) -> None:
+        if self.relays[model_relay.index] is model_relay and not model_relay.defer(
+            1, self.vote_answered, model_relay, answer
+        ):
+            model_relay.facade.report(Counted(answer))
+            model_relay.schedule()
 
     # clients
-    def arrivals(self) -> None:
+    def schedule_arrival(self) -> None:
         due = self.day.clients.due
         if due is not None:
-            self.later(due, self.arrive)
+            self.call_at(due, self.arrive)
 
     def arrive(self) -> None:
-        self.serve(self.day.clients.next())
-        self.arrivals()
+        self.dispatch(self.day.clients.next())
+        self.schedule_arrival()
 
-    def again(self, arrival: Arrival) -> None:
-        self.waiting -= 1
-        self.serve(arrival)
+    def repeat(self, arrival: Arrival) -> None:
+        self.pending_repeats -= 1
+        self.dispatch(arrival)
 
-    def answered(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
+    def answered(self, relay: int, arrival: Arrival, answer: str, retry_after: int) -> None:
         """An answer has come to its client."""
-        self.open -= 1
-        self.tell(End(self.now, relay, arrival.number, answer))
-        again = self.day.clients.answered(self.now, arrival, answer, come_back)
+        self.open_invocations -= 1
+        self.record(End(self.now, relay, arrival.number, answer))
+        again = self.day.clients.answered(self.now, arrival, answer, retry_after)
         if again:
-            self.waiting += 1
-            self.later(again.at, self.again, again)
-
-    def serve(self, arrival: Arrival) -> None:
-        """The front gives it to its relay, or to the next one that is up."""
-        many = len(self.doors)
-        for step in range(many):
-            door = self.doors[(arrival.relay + step) % many]
-            if door and not door.leaving:
-                self.open += 1
-                return door.take(arrival)
+            self.pending_repeats += 1
+            self.call_at(again.at, self.repeat, again)
+
+    def dispatch(self, arrival: Arrival) -> None:
+        """Gives an invocation to its relay, or to the next one that is up and does not drain."""
+        count = len(self.relays)
+        for step in range(count):
+            model_relay = self.relays[(arrival.relay + step) % count]
+            if model_relay and not model_relay.is_draining:
+                self.open_invocations += 1
+                return model_relay.receive(arrival)
 
     # units
-    def reach(self, door: Door, out: Out, unit: Unit) -> None:
-        """The last byte of a shot has come to its unit."""
-        if out.over:
+    def reach_unit(self, model_relay: ModelRelay, shot: InFlightShot, unit: Unit) -> None:
+        """A shot has reached its unit."""
+        if shot.is_over:
             return
         if unit.dead:
-            return door.came(out, "unreachable")
-        out.unit = unit
-        arrival = out.serving.arrival
-        unit.take(self.now, Asked((door, out), arrival.first, arrival.workload), out.new)
-        self.touch(unit)
-
-    def stop(self, out: Out) -> None:
-        for ref in [ref for ref in out.unit.jobs if ref[1] is out]:
-            out.unit.stop(self.now, ref)
-        self.touch(out.unit)
-
-    def touch(self, unit: Unit) -> None:
-        """Takes up what a unit said, and when it wants to be woken."""
-        for (door, out), work in unit.taken:
-            self.tell(Ran(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
+            return model_relay.shot_ended(shot, "unreachable")
+        shot.unit = unit
+        arrival = shot.invocation.arrival
+        unit.take(self.now, Asked((model_relay, shot), arrival.first, arrival.workload), shot.is_new_connection)
+        self.collect(unit)
+
+    def stop_shot(self, shot: InFlightShot) -> None:
+        for ref in [ref for ref in shot.unit.jobs if ref[1] is shot]:
+            shot.unit.stop(self.now, ref)
+        self.collect(shot.unit)
+
+    def collect(self, unit: Unit) -> None:
+        """Takes a unit's new outcomes, and sets a timer for when it is due."""
+        for (model_relay, shot), work in unit.taken:
+            self.record(Ran(self.now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, work))
         unit.taken.clear()
         if unit.said:
             said, unit.said = unit.said, []
             network, now = self.day.network, self.now
-            for (door, out), outcome in said:
-                self.tell(Done(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
-                if not out.over and network.reaches(now, door.index, unit.name, unit.zone):
-                    self.later(now + network.way(door.index, unit.zone), door.came, out, outcome)
+            for (model_relay, shot), outcome in said:
+                self.record(
+                    Done(now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, outcome)
+                )
+                if not shot.is_over and network.reaches(now, model_relay.index, unit.name, unit.zone):
+                    self.call_at(now + network.way(model_relay.index, unit.zone), model_relay.shot_ended, shot, outcome)
         if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
             unit.told_fallen = True
             self.day.fallen(self.now, unit)
-            self.took_up()
+            self.follow_day()
         due = unit.due
         if due < unit.wake_at:
             unit.wake_at = due
-            self.later(due, self.wake_unit, unit, due)
+            self.call_at(due, self.wake_unit, unit, due)
 
     def wake_unit(self, unit: Unit, due: int) -> None:
         if due == unit.wake_at:
             unit.wake_at = NEVER
             unit.wake(self.now)
-            self.touch(unit)
+            self.collect(unit)
 
     # the day
     def wake_day(self, due: int) -> None:
-        if due == self.day_at:
-            self.day_at = NEVER
+        if due == self.day_due:
+            self.day_due = NEVER
             self.day.wake(self.now)
-            self.took_up()
+            self.follow_day()
 
-    def took_up(self) -> None:
-        """Carries out what the day left to do."""
+    def follow_day(self) -> None:
+        """Carries out what the day has left to do, and sets a timer for when it is due."""
         day = self.day
         left = day.left()
         for line in left.lines:
-            self.tell(line)
+            self.record(line)
         for unit in left.touched:
-            self.touch(unit)
+            self.collect(unit)
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
-                self.later(self.now + lag, self.tell_list, relay, version)
+                self.call_at(self.now + lag, self.send_list, relay, version)
         if day.moved and self.now >= day.desk.silent_until:
             day.moved = False
-            for relay in range(len(self.doors)):
-                self.later(self.now + self.news_wait, self.tell_state, relay)
+            for relay in range(len(self.relays)):
+                self.call_at(self.now + self.platform_delay, self.send_state, relay)
         for order in left.relays:
             self.carry_out(order)
         due = day.due
-        if due < self.day_at:
-            self.day_at = due
-            self.later(max(due, self.now + 1), self.wake_day, due)
+        if due < self.day_due:
+            self.day_due = due
+            self.call_at(max(due, self.now + 1), self.wake_day, due)
 
-    def tell_list(self, relay: int, version: int) -> None:
+    def send_list(self, relay: int, version: int) -> None:
         if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
-            return  # told once it moves again, or is reached
+            return  # the list is sent once it is no longer stale or cut off
         _, entries = self.day.roster.news(relay, version)
-        if entries and self.doors[relay]:
-            self.doors[relay].listed(entries, "changes")
+        if entries and self.relays[relay]:
+            self.relays[relay].receive_list(entries, "changes")
 
-    def tell_state(self, relay: int) -> None:
+    def send_state(self, relay: int) -> None:
         if (
-            self.doors[relay]
+            self.relays[relay]
             and self.now >= self.day.desk.silent_until
             and self.day.network.has(self.now, relay, "platform")
         ):
-            self.doors[relay].stood()
+            self.relays[relay].receive_state()
 
-    def listed(self, entry: Entry) -> Listed:
+    def list_entry(self, entry: Entry) -> Listed:
+        """An entry of the list in the facade's form."""
         number = unit_number(entry.name)
         self.unit_names[number] = entry.name
         return Listed(
