--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -11,7 +11,7 @@
 from tealsail.lab import baselines, hunt, runs
 from tealsail.lab.loopback import addresses, clock_offset
 from tealsail.lab.scenario import BadScenario, convert
-from tealsail.lab.script import Unclear, read_script
+from tealsail.lab.script import BadScript, read_script
 from tealsail.record.lines import Came, Done, End, Head, Life, Log, Met, Ran, Shot, Take, Told, Unit
 from tealsail.world.evenness import Evenness
 from tealsail.world.network import Network, Paths, Trouble
@@ -56,7 +56,7 @@
             ("at 1s cut neighbours", "needs a time"),
             ("at 1s kill relays 0", "can't be read"),
         ):
-            with self.assertRaisesRegex(Unclear, said):
+            with self.assertRaisesRegex(BadScript, said):
                 read_script(text)
         for text, said in (
             ("at 1s kill relay 8", "relays 0 to 7"),
@@ -131,7 +131,7 @@
     def play(self, script: str, seed: int = 5, **more: object) -> tuple[runs.Result, list, list]:
         scenario = convert(day(**{"fleet": FLEET, "clients": {"rate": 200}, "seconds": 12, "script": script} | more))
         lines: list = []
-        judged = runs.Judged(scenario.plain())
+        judged = runs.RecordEvaluation(scenario.plain())
         runs.Model(scenario, seed, [*judged.listeners, lines.append]).play()
         result = judged.result(0)
         self.assertEqual([str(each) for each in judged.breaches], [])
@@ -272,7 +272,7 @@
             )
         )
         found = {
-            name: baselines.baseline(scenario, 5, name)
+            name: baselines.play_baseline(scenario, 5, name)
             for name in ("even draws", "two, seen exactly", "all, seen exactly")
         }
         blind, two, bound = found.values()
@@ -280,13 +280,13 @@
         self.assertTrue(0.05 < two["waste"] < blind["waste"] - 0.1)
         self.assertTrue(bound["p99_ms"] < two["p99_ms"] < blind["p99_ms"])
         self.assertLess(blind["herd"], 2 * blind["herd_chance"])
-        self.assertEqual(found["even draws"], baselines.baseline(scenario, 5, "even draws"))  # the same twice
+        self.assertEqual(found["even draws"], baselines.play_baseline(scenario, 5, "even draws"))  # the same twice
 
     def test_subsets_are_of_different_units_and_a_round_visits_all(self) -> None:
         units = [mock.Mock(jobs=[], spec_set=["name", "jobs"]) for _ in range(20)]
         choosers = baselines.Choosers(units, 3, 1)
-        self.assertTrue(all(len({id(unit) for unit in subset}) == baselines.FEW for subset in choosers.subsets))
-        self.assertEqual(len({id(choosers.robin(0)) for _ in range(20)}), 20)
+        self.assertTrue(all(len({id(unit) for unit in subset}) == baselines.SUBSET_SIZE for subset in choosers.subsets))
+        self.assertEqual(len({id(choosers.round_robin(0)) for _ in range(20)}), 20)
 
 
 class Halts(unittest.TestCase):
@@ -345,8 +345,8 @@
     @given(st.integers(0, 1 << 40))
     def test_every_schedule_is_a_script_of_the_language(self, seed: int) -> None:
         scenario = convert(day(fleet=FLEET))
-        lines = hunt.schedule(scenario, seed)
-        self.assertTrue(hunt.FEWEST <= len(lines) <= hunt.MOST)
+        lines = hunt.draw_schedule(scenario, seed)
+        self.assertTrue(hunt.MIN_LINES <= len(lines) <= hunt.MAX_LINES)
         self.assertEqual(len(read_script("\n".join(lines))), len(lines))
 
     def test_a_day_that_wastes_is_found_and_told_by_its_shortest_script(self) -> None:
@@ -356,10 +356,10 @@
             "from 1s for 4s notes lost 100%",
             "at 2s step clocks of 2 relays by +60s",
         ]
-        calm, worst = (hunt.failing(scenario, 3, each, {"waste": 0.0}).get("waste", 0.0) for each in ([], lines))
+        calm, worst = (hunt.find_failures(scenario, 3, each, {"waste": 0.0}).get("waste", 0.0) for each in ([], lines))
         self.assertGreater(worst, calm)
         limits = {"waste": (calm + worst) / 2}
-        short = hunt.shrink(lines, lambda left: bool(hunt.failing(scenario, 3, left, limits)))
+        short = hunt.shrink(lines, lambda left: bool(hunt.find_failures(scenario, 3, left, limits)))
         self.assertEqual(short, [lines[1]])
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 from tealsail.lab import bars, costs, fits, losses, runs
 from tealsail.lab.figures import Figures, Result
 from tealsail.lab.scenario import BadScenario, convert, read
-from tealsail.lab.script import Unclear, read_script
+from tealsail.lab.script import BadScript, read_script
 from tealsail.lab.virtual import Model
 from tealsail.record import files
 from tealsail.record.lines import Came, End, Head, Log, Shot, Stage, Take, Told, Vote, encode
@@ -79,17 +79,17 @@
             ("at 12s kil 3 units", "line 1, column 8: .* expected customer, cut"),
             ("at 3s kill 3 units of", "line 1, column 22: .* expected build, zone"),
             ("at 3s list stale", "line 1: .* needs a time"),
-            ("from 3s for 2s slow 1 unit x 0", "a factor above nothing"),
+            ("from 3s for 2s slow 1 unit x 0", "the factor must be above 0"),
             ("x" * 70_000, "longer than"),
         ):
-            with self.assertRaisesRegex(Unclear, where):
+            with self.assertRaisesRegex(BadScript, where):
                 read_script(text)
 
     @given(st.text(alphabet="atfromunis 0123456789.%x#bkl\n", max_size=60))
     def test_any_text_is_read_or_turned_down(self, text) -> None:
         try:
             read_script(text)
-        except Unclear as problem:
+        except BadScript as problem:
             self.assertNotIn("\n", str(problem))
 
     @given(st.integers(0, 900), st.integers(1, 900), st.integers(1, 50), st.sampled_from(["kill", "hang", "silence"]))
@@ -118,7 +118,7 @@
         ):
             with self.subTest(where), self.assertRaisesRegex(BadScenario, where) as caught:
                 scenario = convert(day(**change), "s.toml")
-                scenario.facts(0)
+                scenario.parsed_settings(0)
             self.assertNotIn("\n", str(caught.exception))
 
     def test_files_lie_over_each_other_and_a_ring_of_them_ends(self) -> None:
@@ -133,7 +133,7 @@
         for path in EXAMPLES.glob("*.toml"):
             scenario = read(path)
             self.assertEqual(convert(scenario.plain()), scenario)
-            self.assertEqual(scenario.facts(0)["relays"], scenario.fleet.relays)
+            self.assertEqual(scenario.parsed_settings(0)["relays"], scenario.fleet.relays)
 
 
 class Days(unittest.TestCase):
@@ -315,7 +315,7 @@
                 convert(day(clients={"trace": str(path)}, script="from 1s for 1s traffic x 2"))
 
     def test_a_fleet_of_many_relays_goes_on_by_three_judges(self) -> None:
-        scenario = costs.scenario(60, 60, 8)
+        scenario = costs.sized_scenario(60, 60, 8)
         lines: list = []
         Model(scenario, 1, [lines.append]).play()
         self.assertLessEqual(len({line.relay for line in self.of(lines, Log) if "verdict" in line.text}), 12)
@@ -547,7 +547,7 @@
         self.assertEqual([len(first.hit), len(second.calm)], [2, 2])
         self.assertGreater(first.bars["spill_peak"].mean, 0.8)  # even: two thirds are foreign
         self.assertLess(second.bars["spill_peak"].mean, 0.35)
-        self.assertGreater(losses.compared(first, second)["rejected"].mean, 0)
+        self.assertGreater(losses.compare(first, second)["rejected"].mean, 0)
         self.assertFalse(any(day.breaches for day in second.hit + second.calm))
         with self.assertRaisesRegex(ValueError, "no fault"):
             losses.losses([convert(day())], 2, 1)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -5,7 +5,7 @@
 from hypothesis import given, strategies as st
 
 from tealsail.choices.flood import SECOND, Flood, Limits, limits
-from tealsail.lab.judging import Fleet, heard, mixed
+from tealsail.lab.judging import FleetOutcomes, play_judge, play_mixed_fleets
 from tealsail.notes import PAST, STARTS, Pool, count_notes, read
 from tealsail.parts import beyond
 from tealsail.policy import GROUPS, JUDGES, ROW
@@ -153,7 +153,7 @@
         failed told, so a judge heard of 0.3% failures as of a third."""
         for relays, rate in ((400, 20.0), (1_000, 20.0), (10_000, 4.0)):
             before, now = (
-                heard(relays, rate, 0.003, thinned=False, matched=matched, seconds=8, together=True)
+                play_judge(relays, rate, 0.003, in_turns=False, matched=matched, seconds=8, together=True)
                 for matched in (False, True)
             )
             self.assertEqual((before.vote, now.vote), ("back", "on"), (relays, rate))
@@ -162,16 +162,16 @@
         """Each half second a judge asks whether failures are beyond chance: at one fixed level chance alone passes
         within minutes (each of 32 such builds within ten).  The level rises with the looks, and few failures weigh as
         few."""
-        back = [heard(5, 40.0, 0.003, seed, lasting=True, seconds=300).vote for seed in range(6)].count("back")
+        back = [play_judge(5, 40.0, 0.003, seed, is_released=True, seconds=300).vote for seed in range(6)].count("back")
         self.assertLessEqual(back, 1)
         for seed in range(3):
-            found = heard(5, 40.0, 0.003, seed, lasting=True, seconds=200, turns=(120.0, 0.03))
+            found = play_judge(5, 40.0, 0.003, seed, is_released=True, seconds=200, turns_bad=(120.0, 0.03))
             self.assertTrue(120 < found.vote_s < 130, found)
 
     def test_a_slow_fault_after_a_quarter_of_an_hour_is_seen_within_a_minute(self) -> None:
         """Two seconds hold too few failures, and all since the start drown them: the latest minute tells."""
         for seed in range(2):
-            found = heard(5, 40.0, 0.003, seed, lasting=True, seconds=1_000, turns=(900.0, 0.012))
+            found = play_judge(5, 40.0, 0.003, seed, is_released=True, seconds=1_000, turns_bad=(900.0, 0.012))
             self.assertTrue(900 < found.vote_s < 960, found)
 
     def test_few_failures_are_no_normal_sample(self) -> None:
@@ -186,16 +186,16 @@
         to four seconds later: time enough for a vote on."""
         for how in ({"lost": (0.0, 8.0)}, {"lost": (1.0, 9.0)}, {"restart": 4.0}, {"restart": 0.5}):
             for seed in range(4):
-                found = heard(50, 4.0, 0.05, seed, **how)
+                found = play_judge(50, 4.0, 0.05, seed, **how)
                 deaf = "lost" in how and found.vote_s < how["lost"][1]  # what was heard before stood alone: open
                 self.assertTrue(found.vote == "back" or deaf, (how, seed))
 
     def test_while_a_fleet_is_rolled_a_few_relays_of_before_send_no_good_build_back(self) -> None:
-        self.assertEqual([tuple(each) for each in mixed((0.1, 1.0), seeds=2)], [(0.1, 0, 2), (1.0, 2, 2)])
+        self.assertEqual([tuple(each) for each in play_mixed_fleets((0.1, 1.0), seeds=2)], [(0.1, 0, 2), (1.0, 2, 2)])
 
     def test_what_is_played_is_told_as_the_module_tells_it(self) -> None:
         """The same counts through a relay's own judge: the same notes at the same beats."""
-        fleet = Fleet(40, 5.0, 0.1, 3)
+        fleet = FleetOutcomes(40, 5.0, 0.1, 3)
         story = Story(relays=40, index=7)
         story.trial()
         judge = story.relay.judge
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -38,7 +38,7 @@
                 try:
                     result, breaches = trials.play(scenario, 5, path, Path(folder) / "logs")
                     break
-                except trials.Void as void:
+                except trials.VoidTrial as void:
                     if "ran late" not in str(void) or attempt == 2:
                         raise
             lines = list(files.read(path))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -101,7 +101,7 @@
         self.assertLess(sum(relay != 1 for relay in away), 10)
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
-        seat = model.doors[1].facade.relay.seats[0]
+        seat = model.relays[1].facade.relay.seats[0]
         self.assertGreater(seat.counts["probes"], 5)  # it looked again, and found the zone back
         self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
 
@@ -144,7 +144,7 @@
             seconds=40, script=script, list={"late_ms": [50, 100]}, fleet={"notice_ms": 300}
         )
         self.assertEqual(spill.breaches, 0)
-        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.doors), 3)
+        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.relays), 3)
         self.assertGreater(result.figures["service"], 0.96)
 
     def test_a_zone_lost_while_the_list_is_eight_seconds_stale(self) -> None:
