--- a/tealsail/lab/bars.py
+++ b/tealsail/lab/bars.py
@@ -16,7 +16,7 @@
 from statistics import NormalDist
 from typing import NamedTuple
 
-LEVEL = 0.95
+LEVEL = 0.95  # of all intervals
 # beginnings of figures' names
 HIGHER_IS_BETTER = ("service", "within", "released", "lowest")  # of figures in neither list, lower is better
 NEUTRAL = ("at_trial", "shots", "released_s", "back_s")
@@ -34,6 +34,7 @@
     many: int
 
     def holds(self, value: float) -> bool:
+        """Whether the value of one more day lies in the interval."""
         return self.low <= value <= self.high
 
 
@@ -106,6 +107,7 @@
         gaps = [b - a for a, b in pairs if a == a and b == b]
         if len(gaps) < 2:
             continue
+        # the name "_ms" is not a share's, so the bar is not cut at 1
         gap_bar = bar("_ms", gaps)._replace(mean=sum(gaps) / len(gaps))
         low, high = gap_bar.mean - gap_bar.known, gap_bar.mean + gap_bar.known
         better = "can't tell"
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -63,6 +63,7 @@
         return self.chance.pick([unit for unit in units if cost(unit) == lowest])
 
     def round_robin(self, relay: int) -> Unit:
+        """The next unit in turn; each relay starts at a random place."""
         self.turn[relay] += 1
         return self.units[self.turn[relay] % len(self.units)]
 
--- a/tealsail/lab/charts.py
+++ b/tealsail/lab/charts.py
@@ -18,13 +18,13 @@
 COLOURS = ("#2458a6", "#c2501e", "#3c8031", "#7a3b93")
 
 
-def over_time(results: Sequence[Result]) -> tuple[numpy.ndarray, numpy.ndarray]:
+def service_over_time(results: Sequence[Result]) -> tuple[numpy.ndarray, numpy.ndarray]:
     """Smoothed service of each day by second (days x seconds), and the seconds."""
     length = min(len(each.series["service"]) for each in results)
     return numpy.array([smooth(each.series["service"][:length]) for each in results]), numpy.arange(length)
 
 
-def latency_axis(axis: "pyplot.Axes") -> None:
+def set_up_latency_axis(axis: "pyplot.Axes") -> None:
     """Sets up a chart of latency over percentiles, on the usual logarithmic axis of nines."""
     places = [0.5, 0.9, 0.99, 0.999, 0.9999]
     axis.set_xscale("log")
@@ -36,6 +36,7 @@
 
 
 def draw_latency(axis: "pyplot.Axes", result: Result, colour: str, label: str, style: str = "-") -> None:
+    """Draws a result's latency over percentiles from the median on."""
     points = [(1 / (1 - part), each) for part, each in zip(CURVE_QUANTILES, result.curve) if 0.5 <= part < 1]
     if points:
         axis.plot(*zip(*points), style, color=colour, label=label)
@@ -47,7 +48,7 @@
     lowest = 1.0
     for index, option in enumerate(shown):
         colour = COLOURS[index % len(COLOURS)]
-        rows, seconds = over_time(option.results)
+        rows, seconds = service_over_time(option.results)
         mean = rows.mean(axis=0)
         left.plot(seconds, mean, color=colour, label=f"{option.name} (model, {len(rows)} days)")
         if len(rows) > 1:
@@ -64,7 +65,7 @@
         lowest = min(lowest, float(mean.min()))
         draw_latency(right, option.results[0], colour, option.name)
         for number, result in enumerate(real[index] if index < len(real) else ()):
-            row, seconds = over_time([result])
+            row, seconds = service_over_time([result])
             left.plot(
                 seconds, row[0], "--", color=colour, linewidth=1, label=None if number else f"{option.name} (real)"
             )
@@ -72,8 +73,8 @@
             draw_latency(right, result, colour, "" if number else f"{option.name} (real)", "--")
     left.set_ylim(max(0.0, lowest - 0.05), 1.01)
     left.set_xlabel("second of the day")
-    left.set_ylabel("service: payoff within the promise / asked")
-    latency_axis(right)
+    left.set_ylabel("service: payoff within the latency target / asked")
+    set_up_latency_axis(right)
     for axis in (left, right):
         axis.grid(alpha=0.3)
         axis.legend(fontsize=8)
@@ -82,7 +83,7 @@
     pyplot.close(figure)
 
 
-def rows_of(days: Sequence[Result], name: str, blank: float = 0.0) -> numpy.ndarray:
+def series_of_days(days: Sequence[Result], name: str, blank: float = 0.0) -> numpy.ndarray:
     """One series of all days, an array of days x seconds; `blank` where a day has no value."""
     seconds = min(len(day.series["asked"]) for day in days)
     return numpy.array([(day.series.get(name, []) + [blank] * seconds)[:seconds] for day in days])
@@ -99,21 +100,21 @@
         zone_names = [each.partition(".")[2] for each in series if each.startswith("service.")]
         for index, zone in enumerate(zone_names):
             axes[0][column].plot(
-                rows_of(days, f"service.{zone}", 1.0).mean(axis=0),
+                series_of_days(days, f"service.{zone}", 1.0).mean(axis=0),
                 color=COLOURS[index % len(COLOURS)],
                 label=f"zone {zone}",
             )
         for each in (each for each in series if each.startswith("shots.")):
             own, _, to = each.partition(".")[2].partition(">")
             axes[1][column].plot(
-                rows_of(days, each).mean(axis=0),
+                series_of_days(days, each).mean(axis=0),
                 "-" if own != to else ":",
                 label=f"{own} to {to}",
                 color=COLOURS[zone_names.index(to) % len(COLOURS)] if to in zone_names else None,
                 linewidth=1,
                 alpha=0.5 if own == to else 1,
             )
-        cold = rows_of(days, "cold")
+        cold = series_of_days(days, "cold")
         axes[2][column].plot(cold.mean(axis=0), color=COLOURS[0], label="mean of days")
         axes[2][column].plot(cold.max(axis=0), ":", color=COLOURS[1], label="worst day")
         axes[2][column].axhline(1.0, color="black", linewidth=0.8)
@@ -174,7 +175,7 @@
     figure, axes = pyplot.subplots(1, 3, figsize=(14, 4))
     sizes = [row.relays for row in rows]
     for axis, text, value in (
-        (axes[0], "notes a second at the judge", lambda each: each.taken),
+        (axes[0], "messages a second at the judge", lambda each: each.taken),
         (axes[1], "bytes a second sent by a relay", lambda each: each.sent_bytes),
         (axes[2], "seconds to the vote", lambda each: each.vote_s),
     ):
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -58,8 +58,8 @@
 
 
 class Decision(NamedTuple):
-    """Microseconds of CPU for a pick and what came of it, without the document and with it, and the median ratio of
-    rounds played in turns."""
+    """Microseconds of CPU for a pick and its outcome, without `zones` in the document and with them: medians of the
+    rounds, and the median ratio of rounds that were played in turns."""
 
     without: float
     with_it: float
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -1,6 +1,6 @@
-"""Load digests compared with other ways to choose a unit, on the same arrivals, work and units.
+"""Load digests compared with other ways to choose a backend (a unit), on the same arrivals, work and backends.
 
-As in baselines.py, choosers are simple and no invocation goes through the program, but the digests are those of the
+As in baselines.py, choosers are simple and no request goes through the program, but the digests are those of the
 program (tealsail/choices/load_digests.py), whose messages may be late, lost, cut off, or held up at a stopped relay.
 Everything is simulated.
 """
@@ -30,7 +30,7 @@
 MIN_UNITS_IN_USE = 4  # as the program begins (tealsail/policy.py, Choice)
 UNITS_OFFERED = 8  # to the load tracker that is asked
 SUBSET_SIZE = 32  # units of a fixed subset of each relay
-MAX_WAITING = 256  # messages that wait at a stopped relay; more are lost
+MAX_WAITING = 256  # messages that wait, for each stopped relay; more are lost
 TROUBLE_START = 4 * SECOND
 TROUBLE_SPANS = {"none": 0, "lost": 8 * SECOND, "cut": 8 * SECOND, "stopped": 5 * SECOND}
 ASKED = "the asked tracker"
@@ -66,12 +66,13 @@
         return cls(kind, TROUBLE_START, TROUBLE_START + TROUBLE_SPANS[kind], relays // 5)
 
     def is_active(self, now: int) -> bool:
+        """Whether it acts at that time."""
         return self.start <= now < self.end
 
 
 class UnitKnowledge:
-    """What a relay knows of a unit by itself, as in the program: its shots in flight there (`out`), and the mean of the
-    latencies over the usual one (`pace`)."""
+    """What a relay knows of a unit by itself, as in the program: its attempts in flight there (`out`), and its
+    latency over the usual one, smoothed (`pace`)."""
 
     __slots__ = ("out", "pace")
 
@@ -90,7 +91,7 @@
         self.order = (
             sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.sample(units)
         )
-        self.known: dict[str, UnitKnowledge] = {}
+        self.knowledge_by_unit: dict[str, UnitKnowledge] = {}
         self.in_use_count = float(MIN_UNITS_IN_USE)
         self.mean_latency = 0.0  # tenths of a ms
         self.digests = LoadDigests(number, relays, 0, Chance(mix(seed, number, 29))) if has_digests else None
@@ -105,15 +106,16 @@
         return list(found.values())
 
     def knowledge_of(self, unit: Unit) -> UnitKnowledge:
-        known = self.known.get(unit.name)
-        if known is None:
-            known = self.known[unit.name] = UnitKnowledge()
-        return known
+        knowledge = self.knowledge_by_unit.get(unit.name)
+        if knowledge is None:
+            knowledge = self.knowledge_by_unit[unit.name] = UnitKnowledge()
+        return knowledge
 
     def beat(self) -> None:
+        """Lets its knowledge fade: fewer units in use, and paces nearer to 1."""
         self.in_use_count = max(MIN_UNITS_IN_USE, 0.99 * self.in_use_count)
-        for known in self.known.values():
-            known.pace += 0.03 * (1 - known.pace)
+        for knowledge in self.knowledge_by_unit.values():
+            knowledge.pace += 0.03 * (1 - knowledge.pace)
 
     def units_in_use(self) -> list[Unit]:
         """The first units of its order; one more is added whenever all are busy."""
@@ -124,29 +126,33 @@
         return in_use
 
     def subset(self) -> list[Unit]:
+        """Its fixed subset of the units."""
         return self.order[:SUBSET_SIZE]
 
     def sent(self, unit: Unit, now: int) -> None:
+        """Notes an attempt at a unit."""
         self.knowledge_of(unit).out += 1
         if self.digests:
             self.digests.sent(unit.mark, now)
 
     def ended(self, unit: Unit, now: int, latency: int) -> None:
-        known = self.knowledge_of(unit)
-        known.out -= 1
+        """Notes the end of an attempt and its latency, in tenths of a ms."""
+        knowledge = self.knowledge_of(unit)
+        knowledge.out -= 1
         self.mean_latency += 0.05 * (latency - self.mean_latency) if self.mean_latency else latency
-        known.pace += 0.1 * (min(8.0, latency / self.mean_latency) - known.pace)
+        knowledge.pace += 0.1 * (min(8.0, latency / self.mean_latency) - knowledge.pace)
         if self.digests:
             self.digests.ended(unit.mark, now)
 
 
 class Tracker:
-    """A simple load tracker that is asked before each shot and learns its end with the delay of a message."""
+    """A simple load tracker that is asked before each attempt and learns its end with the delay of a message."""
 
     def __init__(self) -> None:
         self.out: Counter[str] = Counter()
 
     def least(self, units: Sequence[Unit], chance: Chance) -> Unit:
+        """The unit with the fewest attempts in flight, a random one of several."""
         lowest = min(self.out[unit.name] for unit in units)
         return chance.pick([unit for unit in units if self.out[unit.name] == lowest])
 
@@ -183,6 +189,7 @@
 
     # choices
     def least_of_two(self, units: Sequence[Unit], cost: Callable[[Unit], float]) -> Unit:
+        """The cheaper of two different random units."""
         if len(units) == 1:
             return units[0]
         first_index = int(self.chance.share() * len(units))
@@ -191,15 +198,18 @@
         return first_unit if cost(first_unit) <= cost(second_unit) else second_unit
 
     def own_cost(self, relay: RelayStandIn, unit: Unit) -> float:
-        known = relay.knowledge_of(unit)
-        return (known.out + self.chance.share()) * known.pace
+        """By what the relay knows itself; a random part below one attempt decides between equals."""
+        knowledge = relay.knowledge_of(unit)
+        return (knowledge.out + self.chance.share()) * knowledge.pace
 
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
-        known = relay.knowledge_of(unit)
-        return (known.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
+        """As `own_cost`, with the attempts of other relays by their digests."""
+        knowledge = relay.knowledge_of(unit)
+        return (knowledge.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * knowledge.pace
 
     # time
     def call_at(self, at: int, call: Callable[..., None], *what: Any) -> None:
+        """Schedules a call at a time."""
         self.sequence += 1
         heapq.heappush(self.heap, (at, self.sequence, call, what))
 
@@ -208,6 +218,7 @@
         return self.now + self.least_delay + int(self.chance.share() * self.delay_span)
 
     def play(self) -> dict[str, float]:
+        """Plays the day until all requests are answered; returns its figures."""
         self.evenness(Head(0, 1, "import", self.scenario.name, 0, {}, self.scenario.plain()))
         for line in self.fleet.lines:
             self.evenness(line)
@@ -233,24 +244,25 @@
         relay.beat()
         self.call_at(self.now + BEAT, self.beat, relay)
 
-    # invocations
+    # requests
     def arrive(self, arrival: Any) -> None:
         relay = self.relays[arrival.relay]
         self.started_at[arrival.relay, arrival.number] = self.now
         if self.name == ASKED:
             self.call_at(self.message_arrival(), self.ask, relay, arrival)
             return
-        self.send_shot(relay, arrival, self.choosers[self.name](relay))
+        self.send_attempt(relay, arrival, self.choosers[self.name](relay))
 
     def ask(self, relay: RelayStandIn, arrival: Any) -> None:
+        """The tracker chooses among units that the relay offers."""
         offered = relay.units_in_use()
         if len(offered) < UNITS_OFFERED:
             offered = relay.order[:UNITS_OFFERED]
         unit = self.tracker.least(offered, self.chance)
         self.tracker.out[unit.name] += 1
-        self.call_at(self.message_arrival(), self.send_shot, relay, arrival, unit)
+        self.call_at(self.message_arrival(), self.send_attempt, relay, arrival, unit)
 
-    def send_shot(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
+    def send_attempt(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
         relay.sent(unit, self.now)
         unit.take(self.now, Asked((arrival, self.now), arrival.first, arrival.workload))
         self.collect(unit)
@@ -262,6 +274,7 @@
             self.collect(unit)
 
     def collect(self, unit: Unit) -> None:
+        """Takes a unit's new outcomes, and sets a timer for when it is due."""
         for (arrival, _), work in unit.taken:
             self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
@@ -274,16 +287,17 @@
             if outcome == "served":
                 self.served.append(self.now - started_at + 2 * self.one_way)
             if self.name == ASKED:
-                self.call_at(self.message_arrival(), self.shot_ended, unit)
+                self.call_at(self.message_arrival(), self.attempt_ended, unit)
         if unit.due < NEVER and unit.due != unit.wake_at:
             unit.wake_at = unit.due
             self.call_at(unit.due, self.wake, unit, unit.due)
 
-    def shot_ended(self, unit: Unit) -> None:
+    def attempt_ended(self, unit: Unit) -> None:
         self.tracker.out[unit.name] -= 1
 
     # digests
     def tick(self, relay: RelayStandIn) -> None:
+        """Runs a relay's digests when they are due."""
         if self.is_stopped(relay.number):
             self.call_at(self.trouble.end, self.tick, relay)
             return
@@ -291,9 +305,11 @@
         self.call_at(max(self.now + 1, relay.digests.due), self.tick, relay)
 
     def is_stopped(self, number: int) -> bool:
+        """Whether that relay is stopped now."""
         return self.trouble.kind == "stopped" and number < self.trouble.stopped and self.trouble.is_active(self.now)
 
     def is_lost(self, sender: int, to: int) -> bool:
+        """Whether a message between these relays is lost now."""
         if not self.trouble.is_active(self.now):
             return False
         return self.trouble.kind == "lost" or self.trouble.kind == "cut" and sender % 2 != to % 2
@@ -317,6 +333,7 @@
             self.receive(relay, sender, data)
 
     def figures(self) -> dict[str, float]:
+        """Latency in ms, evenness and, with digests, bytes a second of a relay's messages: mean and largest."""
         self.evenness.close()
         p50, p99 = numpy.quantile(numpy.frombuffer(self.served, dtype=numpy.int64), (0.5, 0.99)) / 10
         found = {"p50_ms": float(p50), "p99_ms": float(p99)} | self.evenness.figures()
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -36,10 +36,10 @@
 class FirstTry:
     """A client's first try, the last answer to it or its repeats, and whether any shot went to the build on trial."""
 
-    __slots__ = ("take", "touched", "answer")
+    __slots__ = ("take", "used_trial_build", "answer")
 
     def __init__(self, take: Take) -> None:
-        self.take, self.touched, self.answer = take, False, ""
+        self.take, self.used_trial_build, self.answer = take, False, ""
 
 
 class Group:
@@ -54,6 +54,7 @@
         self.answers: dict[str, int] = {}
 
     def add(self, payoff: float, kept: bool, answer: str) -> None:
+        """Adds one first try; `kept`: served within the latency target."""
         self.asked, self.count = self.asked + payoff, self.count + 1
         self.honoured, self.within = self.honoured + payoff * kept, self.within + kept
         self.answers[answer] = self.answers.get(answer, 0) + 1
@@ -116,9 +117,8 @@
         self.sent_back_at: dict[int, int] = {}
         self.notes: list[str] = []
         self.sent: dict[str, list[int]] = {}  # as in a result
-        self.shot_rows: dict[
-            tuple[int, int, int], list[int]
-        ] = {}  # shot without an outcome -> its unit's row of `sent`
+        # relay, number and place of a shot without an outcome -> its unit's row of `sent`
+        self.shot_rows: dict[tuple[int, int, int], list[int]] = {}
         self.last = self.late = self.swept_at = 0
 
     def __call__(self, line: Line) -> None:
@@ -146,6 +146,7 @@
             self.note(line)
 
     def begin(self, head: Head) -> None:
+        """Takes workloads, customers and zones from the head."""
         self.head = head
         self.workloads = head.facts.get("workloads", [])
         self.customers = [each.get("name", "") for each in head.facts.get("customers", [])]
@@ -156,6 +157,7 @@
         self.unit_zones: dict[str, str] = {}
 
     def take(self, line: Take) -> None:
+        """A relay has taken a try."""
         number = line.first if line.first >= 0 else line.number  # a relay's own record does not name the first try
         if number not in self.open_tries:
             self.open_tries[number] = FirstTry(line)
@@ -164,11 +166,10 @@
             self.sweep(line.at)
 
     def shot(self, line: Shot) -> None:
+        """A shot was sent."""
         self.shots += 1
         row = self.sent.get(line.unit)
-        if (
-            row is None or row[0] != line.build
-        ):  # a unit may come back with another build: only the last build is reported
+        if row is None or row[0] != line.build:  # the unit may come back with another build: the last one counts
             row = self.sent[line.unit] = [line.build, 0, 0, 0, 0]
         row[1] += 1
         self.shot_rows[line.relay, line.number, line.place] = row
@@ -180,9 +181,10 @@
             self.at_trial += 1
             first = self.open_tries.get(self.tries.get((line.relay, line.number), -1))
             if first:
-                first.touched = True
+                first.used_trial_build = True
 
     def end(self, line: End) -> None:
+        """A try has got its answer."""
         number = self.tries.pop((line.relay, line.number), None)
         first = self.open_tries.get(number) if number is not None else None
         if first is None:
@@ -227,10 +229,11 @@
         for asked, kept_payoff in rows:
             add_at(asked, second, payoff)
             add_at(kept_payoff, second, payoff * kept)
-        if first.touched and not kept:
+        if first.used_trial_build and not kept:
             self.harmed_payoff += payoff
 
     def stage(self, line: Stage) -> None:
+        """The roll-out has moved."""
         self.note(line)
         if line.phase == "on trial":
             self.build_on_trial = line.build
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -130,6 +130,7 @@
                     self.return_delays.append(at - answered_at)
 
     def start_shot(self, shot: tuple[int, int, int], at: int, unit: str, build: int) -> None:
+        """Notes the start of a shot (relay, number, place) and whether its work can be fitted."""
         others = self.shots_at_unit.get(unit, 0)
         if self.has_unit_lines:
             self.virtual_start[shot] = self.advance(unit, at)
@@ -146,6 +147,7 @@
         return unit_time[0]
 
     def end_shot(self, shot: tuple[int, int, int], at: int, outcome: str) -> None:
+        """Counts the outcome of a shot and keeps its work, if it can be fitted."""
         begun = self.in_flight.pop(shot, None)
         if begun is None:
             return
@@ -246,7 +248,7 @@
             )
         )
     numbers = sorted({build for observations in days for build in observations.answers} - {base})
-    builds = [build_fit(days, chosen, build, base, random) for build in numbers]
+    builds = [fit_build(days, chosen, build, base, random) for build in numbers]
     source = ", ".join(Path(path).name for path in paths)
     return Fit(
         source,
@@ -272,12 +274,12 @@
     return values[random.integers(0, len(values), len(values))]
 
 
-def build_fit(
+def fit_build(
     days: list[Observations], chosen: list[Observations], build: int, base: int, random: numpy.random.Generator
 ) -> BuildFit | None:
     """Pace over the workloads that both builds served on the same day, a geometric mean weighted by the square root of
     the build's shots; errors with draws from Beta(errors + 1/2, other answers + 1/2).  None if no day has both."""
-    all_pairs = paired(days, build, base)
+    all_pairs = work_pairs(days, build, base)
     if not all_pairs:
         return None
 
@@ -295,7 +297,7 @@
         return sum(row[0] for row in rows), sum(row[1] for row in rows)
 
     answers, errors = count_answers(days)
-    paces = [round(pace(paired([observations], build, base) or all_pairs, True), 4) for observations in chosen]
+    paces = [round(pace(work_pairs([observations], build, base) or all_pairs, True), 4) for observations in chosen]
     shares = []
     for observations in chosen:
         day_answers, day_errors = (
@@ -314,7 +316,7 @@
     )
 
 
-def paired(days: list[Observations], build: int, base: int) -> list[tuple[numpy.ndarray, numpy.ndarray]]:
+def work_pairs(days: list[Observations], build: int, base: int) -> list[tuple[numpy.ndarray, numpy.ndarray]]:
     """Work of a build and of the base, for each day and workload that both served."""
     return [
         (numpy.array(values, dtype=float), numpy.array(observations.work[place, base], dtype=float))
--- a/tealsail/lab/hunt.py
+++ b/tealsail/lab/hunt.py
@@ -32,7 +32,7 @@
     before: int  # lines of the script before it was shrunk
 
 
-def relays(chance: Chance, day: Scenario) -> str:
+def draw_party(chance: Chance, day: Scenario) -> str:
     """A random party of relays, in the script's language."""
     zones = day.fleet.zones
     scope = f" of zone {pick(chance, zones)}" if len(zones) > 1 and chance.share() < 0.4 else ""
@@ -48,10 +48,12 @@
 
 
 def pick(chance: Chance, items: Sequence[Any]) -> Any:
+    """A random item."""
     return items[int(chance.share() * len(items))]
 
 
 def percent(chance: Chance, least: int, most: int) -> str:
+    """A random percentage from `least` up to `most`, as text."""
     return f"{least + int(chance.share() * (most - least))}%"
 
 
@@ -59,7 +61,7 @@
     """A random fault, as a line of script."""
     at = round(0.5 + chance.share() * (LAST_START * day.seconds - 0.5), 1)
     span = round(0.5 + chance.share() * min(8.0, 0.3 * day.seconds), 1)
-    during, party = f"from {at}s for {span}s", relays(chance, day)
+    during, party = f"from {at}s for {span}s", draw_party(chance, day)
     units = f"{percent(chance, 5, 40)} of units"
     kinds: list[Callable[[], str]] = [
         lambda: f"at {at}s pause {party} for {span}s",
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -43,7 +43,7 @@
 
 
 class FleetOutcomes:
-    """Cumulative counts of outcomes of all relays, an array of relays x cells, and what each has told of them."""
+    """Cumulative counts of outcomes of all relays, an array of relays x cells, and what each relay has sent of them."""
 
     def __init__(self, relays: int, rate: float, errors: float, seed: int) -> None:
         self.chance = numpy.random.default_rng(seed)
@@ -108,7 +108,7 @@
     `is_released`: the build has been released, all its units fail a little as the judge itself sees them, and only a
     vote back ends the run; `turns_bad`: from that second on the canary fails with that share; `restart`: at that second
     the judge restarts and has lost all messages; `lost`: between these seconds no message arrives; `earlier`: the part
-    of the relays that send as an earlier version does, as during an upgrade of the fleet.
+    of the relays that send as an earlier version does, as during an upgrade of the fleet.  1e9 seconds stand for never.
     """
     now, index = START, find_judge(relays)
     settings = sized_scenario(relays, UNITS).parsed_settings(index)
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -30,7 +30,12 @@
     """Evaluates a record line by line: figures, rules, the operator's limit on spill, and how even the load was."""
 
     def __init__(self, day: dict[str, Any], slack: Slack = Slack()) -> None:
-        self.figures, self.rules, self.spill, self.evenness = Figures(), Rules(slack), spill_of(day), Evenness()
+        self.figures, self.rules, self.spill, self.evenness = (
+            Figures(),
+            Rules(slack),
+            create_spill_checker(day),
+            Evenness(),
+        )
         self.listeners = [each for each in (self.figures, self.rules, self.spill, self.evenness) if each]
 
     def __call__(self, line: Any_Line) -> None:
@@ -89,8 +94,8 @@
     return evaluation.result(late), evaluation.breaches
 
 
-def spill_of(day: dict[str, Any]) -> Spill | None:
-    """The checker of the limit on spill, for a day with several zones.  Without `zones` in the operator's document
+def create_spill_checker(day: dict[str, Any]) -> Spill | None:
+    """A checker of the limit on spill, for a day with several zones.  Without `zones` in the operator's document
     there is no limit, so nothing breaks it."""
     if len(day.get("fleet", {}).get("zones", [])) < 2:
         return None
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -135,7 +135,7 @@
 
 
 class PlatformTable(Strict):
-    """Stages of a roll-out and how votes move them."""
+    """Stages of a roll-out and how votes move them; see tealsail/world/desk.py, Plan."""
 
     caps: Annotated[tuple[Share, ...], Meta(min_length=1)] = (0.2, 0.5, 1.0)
     shares: Annotated[tuple[Annotated[float, Meta(gt=0, le=1)], ...], Meta(min_length=1)] = (0.25, 0.5, 1.0)
@@ -144,10 +144,10 @@
     back_votes: Count = 1
     vote_life_ms: Positive = 6000.0
     votes_per_second: PositiveCount = 50
-    by_clock_ms: Duration = 0.0
+    by_clock_ms: Duration = 0.0  # length of a stage; 0: votes move the stages
     free_shots: Count = 1
     span_ms: Positive = 2000.0
-    news_ms: Duration = 5.0
+    news_ms: Duration = 5.0  # latency of the platform, each way
 
 
 class NetworkTable(Strict):
@@ -156,11 +156,11 @@
     near_ms: Duration = 0.2
     far_ms: Duration = 1.0
     handshake_ms: Duration = 0.5
-    notes_ms: tuple[Duration, Duration] = (0.5, 5.0)
-    notes_loss: Share = 0.0
+    notes_ms: tuple[Duration, Duration] = (0.5, 5.0)  # of messages between relays, least and most
+    notes_loss: Share = 0.0  # of the same
     connect_ms: Positive = 250.0
     idle_ms: Positive = 10_000.0
-    distances_ms: dict[str, Duration] = {}  # "a b" = 12.0
+    distances_ms: dict[str, Duration] = {}  # between zones, as "a b" = 12.0
 
 
 class BuildTable(Strict):
@@ -248,6 +248,7 @@
         )
 
     def works(self) -> list[Table]:
+        """The distribution of work of each workload."""
         return [each.work.table() for each in self.workload]
 
     def workloads(self) -> list[Workload]:
@@ -291,9 +292,11 @@
         )
 
     def relay_zones(self) -> list[str]:
+        """The zone of each relay, in turn."""
         return [self.fleet.zones[relay % len(self.fleet.zones)] for relay in range(self.fleet.relays)]
 
     def builds_by_number(self) -> dict[int, Build]:
+        """All builds, with the one that runs at the start."""
         names = [each.name for each in self.workload]
         found = {
             each.number: Build(
@@ -310,6 +313,7 @@
         return {self.build: Build(self.build)} | found
 
     def faults(self) -> list[Fault]:
+        """The script's faults in order of time.  Raises BadScript."""
         return read_script(self.script)
 
     def parts(self) -> Parts:
--- a/tealsail/lab/script.py
+++ b/tealsail/lab/script.py
@@ -131,6 +131,7 @@
         return {"kind": f"{verb} relays" if relays else verb, **self.without_mark(whom)}
 
     def without_mark(self, whom: dict[str, Any]) -> dict[str, Any]:
+        """The fields of a Fault, without the mark of relays."""
         return {name: value for name, value in whom.items() if name != "relays"}
 
     def one_relay(self, number: int) -> dict[str, Any]:
--- a/tealsail/lab/trials.py
+++ b/tealsail/lab/trials.py
@@ -90,7 +90,7 @@
         record_path = folder / f"{name}.record.gz" if folder else None
         if result_path and result_path.exists():
             result, breaches = msgspec.json.decode(result_path.read_bytes(), type=tuple[Result, list[Breach]])
-            if record_path.exists():  # the figures are computed anew from the record
+            if record_path.exists():  # the figures are those of the current program
                 evaluated, _ = evaluate_record(record_path)
                 result = msgspec.structs.replace(evaluated, breaches=result.breaches, late_ms=result.late_ms)
             return result, breaches
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -81,6 +81,7 @@
         )
 
     def set_clock_rate(self, rate: float) -> None:
+        """Makes its clock run `rate` times as fast from now on."""
         self.clock_reading, self.clock_set_at, self.rate = self.clock(), self.model.now, rate
 
     def day_time(self, due: int) -> int:
@@ -100,6 +101,7 @@
         return True
 
     def stop(self) -> None:
+        """Stops the process; events for it wait until it runs again."""
         if self.stopped_at < 0:
             self.stopped_at, self.waiting_messages = self.model.now, 0
             self.model.record(Life(self.model.now, self.index, "stopped"))
@@ -143,6 +145,7 @@
             self.begin(arrival)
 
     def begin(self, arrival: Arrival) -> None:
+        """Gives the invocation to the facade; a stopped relay only reads it when it runs again."""
         model, facade = self.model, self.facade
         workload, customer = model.workload_names[arrival.workload], model.customer_names[arrival.customer]
         repeat = arrival.repeat and model.parts.habits.marks
@@ -362,10 +365,12 @@
         return self.now
 
     def record(self, line: Line) -> None:
+        """Gives a line of the record to the listeners."""
         for listener in self.listeners:
             listener(line)
 
     def call_at(self, at: int, call: Callable[..., None], *what: Any) -> None:
+        """Schedules a call at a time; calls at the same time run in the order in which they were scheduled."""
         self.sequence += 1
         heapq.heappush(self.heap, (at, self.sequence, call, what))
 
@@ -389,7 +394,7 @@
 
     # relays
     def start(self, relay: int) -> None:
-        """Starts a relay with the list as it was last told there, and the platform's roll-out state."""
+        """Starts a relay with the list as that relay was last told it, and the platform's roll-out state."""
         self.start_counts[relay] += 1
         model_relay = self.relays[relay] = ModelRelay(self, relay, self.start_counts[relay])
         self.record(Life(self.now, relay, "up"))
@@ -504,6 +509,7 @@
         self.call_at(self.now + wait, self.vote_answered, model_relay, "timeout" if answer == "nothing" else answer)
 
     def vote_answered(self, model_relay: ModelRelay, answer: str) -> None:
+        """A relay learns how its vote was counted."""
         if self.relays[model_relay.index] is model_relay and not model_relay.defer(
             1, self.vote_answered, model_relay, answer
         ):
@@ -512,6 +518,7 @@
 
     # clients
     def schedule_arrival(self) -> None:
+        """Schedules the next first try."""
         due = self.day.clients.due
         if due is not None:
             self.call_at(due, self.arrive)
@@ -555,6 +562,7 @@
         self.collect(unit)
 
     def stop_shot(self, shot: InFlightShot) -> None:
+        """Stops the work of a shot that the relay no longer waits for."""
         for ref in [ref for ref in shot.unit.jobs if ref[1] is shot]:
             shot.unit.stop(self.now, ref)
         self.collect(shot.unit)
@@ -618,6 +626,7 @@
             self.call_at(max(due, self.now + 1), self.wake_day, due)
 
     def send_list(self, relay: int, version: int) -> None:
+        """Sends a relay the changes of the list up to a version."""
         if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
             return  # the list is sent once it is no longer stale or cut off
         _, entries = self.day.roster.news(relay, version)
@@ -625,6 +634,7 @@
             self.relays[relay].receive_list(entries, "changes")
 
     def send_state(self, relay: int) -> None:
+        """Sends a relay the roll-out state, unless the platform is silent or out of reach."""
         if (
             self.relays[relay]
             and self.now >= self.day.desk.silent_until
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Scenarios, their script, the model's days, bars and fits."""
+"""Tests of scenarios, their scripts, days of the model, error bars, fits and losses."""
 
 import copy
 import hashlib
@@ -43,7 +43,7 @@
 
 
 def day(**more: Any) -> dict[str, Any]:
-    """The day with tables laid over it (two levels), `builds` fields into its one build."""
+    """DAY with its tables and fields overridden, at two levels; fields of `builds` override those of its one build."""
     tree = copy.deepcopy(DAY)
     for name, value in more.items():
         if name == "builds":
@@ -56,7 +56,7 @@
 
 
 class Scripts(unittest.TestCase):
-    def test_sentences_and_what_they_mean(self) -> None:
+    def test_sentences_become_faults_in_order_of_time(self) -> None:
         found = read_script(
             "at 12s kill 3 units of zone b for 10s  # a comment\n\n"
             "from 1.5s for 500ms slow 20% of units of build 2 x 3\nat 3s fail 30% of answers of all units\n"
@@ -73,7 +73,7 @@
         )
         self.assertEqual([fault.at for fault in found], sorted(fault.at for fault in found))
 
-    def test_what_can_not_be_read_is_told_with_its_line_and_column(self) -> None:
+    def test_errors_name_line_and_column_of_the_script(self) -> None:
         for text, where in (
             ("at 3s kill 1 unit\nat 12 kill 3 units", "line 2, column 4"),
             ("at 12s kil 3 units", "line 1, column 8: .* expected customer, cut"),
@@ -86,20 +86,20 @@
                 read_script(text)
 
     @given(st.text(alphabet="atfromunis 0123456789.%x#bkl\n", max_size=60))
-    def test_any_text_is_read_or_turned_down(self, text) -> None:
+    def test_any_text_gives_faults_or_a_one_line_error(self, text) -> None:
         try:
             read_script(text)
         except BadScript as problem:
             self.assertNotIn("\n", str(problem))
 
     @given(st.integers(0, 900), st.integers(1, 900), st.integers(1, 50), st.sampled_from(["kill", "hang", "silence"]))
-    def test_numbers_come_through(self, at, span, many, verb) -> None:
+    def test_numbers_of_a_sentence_are_those_of_its_fault(self, at, span, many, verb) -> None:
         (fault,) = read_script(f"at {at}ms {verb} {many} units for {span}s")
         self.assertEqual((fault.at, fault.span, fault.many, fault.kind), (at * 10, span * SECOND, many, verb))
 
 
 class Scenarios(unittest.TestCase):
-    def test_a_wrong_field_is_one_line_with_its_path(self) -> None:
+    def test_an_invalid_field_gives_a_one_line_error_with_its_path(self) -> None:
         for change, where in (
             ({"clients": {"rate": "many"}}, r"clients\.rate: expected `float`"),
             ({"clients": {"rat": 3}}, r"clients: .*unknown field `rat`"),
@@ -121,7 +121,7 @@
                 scenario.parsed_settings(0)
             self.assertNotIn("\n", str(caught.exception))
 
-    def test_files_lie_over_each_other_and_a_ring_of_them_ends(self) -> None:
+    def test_a_file_overrides_its_base_and_a_cycle_of_bases_is_an_error(self) -> None:
         self.assertEqual(read(EXAMPLES / "bad.toml").clients, read(EXAMPLES / "calm.toml").clients)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "ring.toml"
@@ -129,7 +129,7 @@
             with self.assertRaisesRegex(BadScenario, "more than 8 files"):
                 read(path)
 
-    def test_all_examples_can_be_used_and_come_back_from_their_plain_form(self) -> None:
+    def test_all_examples_are_valid_and_survive_conversion_to_plain_dicts(self) -> None:
         for path in EXAMPLES.glob("*.toml"):
             scenario = read(path)
             self.assertEqual(convert(scenario.plain()), scenario)
@@ -137,7 +137,7 @@
 
 
 class Days(unittest.TestCase):
-    """The hard cases, in virtual time; each keeps the five rules."""
+    """Difficult days in virtual time; `play` checks that each keeps the five rules."""
 
     def play(self, seed: int = 1, **more: Any) -> tuple[Any, list]:
         lines: list = []
@@ -168,9 +168,9 @@
         self.assertGreater(result.figures["service"], 0.97)
         self.assertEqual(len(self.of(lines, Take)), len(self.of(lines, End)))
 
-    def test_a_good_build_brought_in_while_all_units_jam_is_not_sent_back(self) -> None:
-        """Three places in five at once: the new build was blamed for it (8 of 9 days, units 1.5 to 2.2 times
-        slower)."""
+    def test_a_good_build_offered_while_all_units_are_overloaded_is_not_sent_back(self) -> None:
+        """Guards against blame on the new build for slow units: it was sent back on 8 of 9 days on which three fifths
+        of the units were replaced at once while all units were 1.5 to 2.2 times slower."""
         for seed in (1, 2):
             result, _ = self.play(
                 seed,
@@ -182,9 +182,9 @@
             )
             self.assertEqual(result.figures["released.2"], 1.0)
 
-    def test_twenty_eight_of_forty_relays_come_back_at_once_without_a_storm(self) -> None:
-        """Most in a tenth of a second, over the whole fleet: three votes, and 60 handshakes of 28 relays without
-        any."""
+    def test_restart_of_twenty_eight_of_forty_relays_at_once_causes_no_storm_of_votes_or_handshakes(self) -> None:
+        """At most three votes in a tenth of a second over the whole fleet, and 60 handshakes by 28 relays that have no
+        connections."""
         lines, connects, connect = [], Counter(), Unit.connect
         model = Model(
             convert(
@@ -202,9 +202,9 @@
             model.play()
         self.assertEqual(max(Counter(line.at // 1000 for line in self.of(lines, Vote)).values()), 3)
         self.assertLessEqual(max(connects[at] for at in range(60, 80)), 60)
-        self.assertLess(sum(connects[at] for at in range(90, 105)), 60)  # and then they have what they need
+        self.assertLess(sum(connects[at] for at in range(90, 105)), 60)  # by then they have their connections
 
-    def test_connections_at_units_are_scarce_and_handshakes_work(self) -> None:
+    def test_few_connections_and_costly_handshakes_lower_service(self) -> None:
         (few, lines), (many, _) = (
             self.play(seconds=8, fleet={"relays": 20, "units": 4}, clients={"rate": 120}, unit=unit)
             for unit in ({"connections": 10, "handshake_work_ms": 5.0}, {})
@@ -212,23 +212,23 @@
         self.assertTrue(self.of(lines, Came, outcome="full"))
         self.assertTrue(0.75 < few.figures["service"] < many.figures["service"])
 
-    def test_a_bad_build_goes_back_early(self) -> None:
+    def test_a_bad_build_is_sent_back_early(self) -> None:
         result, _ = self.play(builds={"errors": 0.3})
         self.assertLess(result.figures["back_s.2"], 6)
         self.assertEqual(result.figures["released.2"], 0.0)
 
-    def test_a_build_that_fails_only_under_load(self) -> None:
+    def test_a_build_that_fails_only_under_load_is_sent_back_only_there(self) -> None:
         quiet, _ = self.play(builds={"errors": 0.5, "above": 1.5}, clients={"rate": 30})
         busy, _ = self.play(builds={"errors": 0.5, "above": 1.5}, clients={"rate": 400})
         self.assertEqual((quiet.figures["released.2"], busy.figures["released.2"]), (1.0, 0.0))
 
-    def test_a_build_that_turns_bad_five_to_eleven_seconds_after_its_units_start(self) -> None:
+    def test_a_build_whose_fault_shows_seconds_after_its_units_start_is_sent_back(self) -> None:
         result, lines = self.play(seconds=30, builds={"errors": 0.5, "turns_s": [5, 11]})
         errors = [line.at for line in self.of(lines, Came, outcome="error")]
         self.assertGreater(min(errors), 7 * SECOND)
         self.assertIn("back_s.2", result.figures)
 
-    def test_one_customer_at_five_times_its_rate_with_its_repeats(self) -> None:
+    def test_a_surge_of_one_customer_with_repeats_lowers_service_and_repeats_have_own_numbers(self) -> None:
         surge = "from 5s for 8s customer acme x 5"
         calm, _ = self.play(clients={"rate": 200, "repeats": 2}, builds={"offered_s": 90})
         result, lines = self.play(
@@ -241,14 +241,14 @@
         seen = {line.number for line in self.of(lines, Take)}
         self.assertEqual(len(seen), len(self.of(lines, Take)))  # each repeat has a number of its own
 
-    def test_a_list_eight_seconds_behind_while_stages_go_on(self) -> None:
+    def test_a_stale_list_is_not_told_for_eight_seconds_and_then_is(self) -> None:
         _, lines = self.play(script="from 3s for 8s list stale")
         told = [line.at for line in self.of(lines, Told)]
         self.assertEqual([at for at in told if 4 * SECOND < at < 11 * SECOND], [])
         self.assertTrue([at for at in told if at > 11 * SECOND])
         self.assertTrue(self.of(lines, Came, outcome="full") or self.of(lines, Came, outcome="unreachable"))
 
-    def test_a_relay_killed_and_back_in_the_middle_of_a_trial(self) -> None:
+    def test_a_relay_killed_in_the_middle_of_a_roll_out_loses_only_its_open_invocations(self) -> None:
         result, lines = self.play(script="at 3s kill relay 0 for 2s")
         lost = self.of(lines, End, answer="lost")
         self.assertTrue(all(line.relay == 0 and line.at == 3 * SECOND for line in lost))
@@ -265,14 +265,14 @@
         self.assertEqual([at for at in taken if 3.5 * SECOND < at < 4.1 * SECOND], [])
         self.assertTrue([at for at in taken if at > 5 * SECOND])
 
-    def test_a_silent_platform_holds_the_stage_and_the_day_goes_on(self) -> None:
+    def test_a_silent_platform_holds_the_stage_until_it_answers_again(self) -> None:
         _, lines = self.play(script="from 3s for 7s platform silent")
         moved = [line.at for line in self.of(lines, Stage) if 3 * SECOND < line.at < 10 * SECOND]
         self.assertEqual(moved, [])
         self.assertTrue(self.of(lines, Vote, answer="nothing"))
         self.assertTrue([line for line in self.of(lines, Stage) if line.at > 10 * SECOND])
 
-    def test_units_that_die_hang_slow_down_fall_silent_and_fail(self) -> None:
+    def test_service_survives_units_that_die_hang_slow_down_fall_silent_and_fail(self) -> None:
         result, lines = self.play(
             clients={"rate": 60},
             script="at 4s kill 1 unit for 3s\nfrom 6s for 2s hang 1 unit\n"
@@ -283,7 +283,7 @@
         self.assertTrue({"served", "error", "unreachable"} <= seen, seen)
         self.assertGreater(result.figures["service"], 0.9)
 
-    def test_notes_that_are_lost_and_two_zones_apart(self) -> None:
+    def test_lost_messages_and_a_relay_cut_off_from_a_zone(self) -> None:
         result, lines = self.play(
             fleet={"zones": ["a", "b"]},
             network={"far_ms": 12.0},
@@ -293,7 +293,7 @@
         self.assertEqual(self.of(lines, Came, relay=1, outcome="unreachable"), [])
         self.assertIn("service.zone.b", result.figures)
 
-    def test_settings_of_the_relays_are_an_option_too(self) -> None:
+    def test_a_scenario_overrides_settings_of_the_relays(self) -> None:
         _, lines = self.play(settings={"limits.maxAttempts": 1}, script="at 4s kill 2 units for 2s")
         self.assertEqual({line.place for line in self.of(lines, Shot)}, {0})
 
@@ -302,7 +302,7 @@
         self.assertEqual(result.figures["released.2"], 1.0)
         self.assertEqual(self.of(lines, Vote, verdict="on"), [])
 
-    def test_recorded_traffic_is_sent_again_as_it_was(self) -> None:
+    def test_recorded_traffic_is_sent_at_its_recorded_times(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.record.gz"
             runs.play(convert(day(seconds=5)), 1, path)
@@ -314,7 +314,7 @@
             with self.assertRaisesRegex(BadScenario, "can't surge"):
                 convert(day(clients={"trace": str(path)}, script="from 1s for 1s traffic x 2"))
 
-    def test_a_fleet_of_many_relays_goes_on_by_three_judges(self) -> None:
+    def test_a_fleet_of_sixty_relays_moves_on_with_verdicts_of_at_most_twelve(self) -> None:
         scenario = costs.sized_scenario(60, 60, 8)
         lines: list = []
         Model(scenario, 1, [lines.append]).play()
@@ -322,8 +322,8 @@
         self.assertTrue(self.of(lines, Stage, stage=1))
 
 
-class Figured(unittest.TestCase):
-    """What figures say, on a record written by hand."""
+class FiguresOfARecord(unittest.TestCase):
+    """Figures of a record that is written by hand."""
 
     HEAD = Head(
         0, 1, "model", "x", 1, {"workloads": [{"name": "fetch", "promised": 1000, "payoff": 2.0}], "customers": []}
@@ -335,7 +335,7 @@
             figures(line)
         return figures.result().figures
 
-    def test_repeats_belong_to_their_first_try_and_count_from_when_it_was_meant(self) -> None:
+    def test_repeats_count_for_their_first_try_from_its_intended_time(self) -> None:
         found = self.result(
             Take(100, 0, 1, 0, 0, 0, "", 30_000, 1),
             End(110, 0, 1, "rejected"),
@@ -353,7 +353,7 @@
         self.assertAlmostEqual(found["forfeited"], 1 / 3)
         self.assertEqual(found["rejected"], 0)
 
-    def test_harm_is_what_the_build_on_trial_touched_and_was_not_kept(self) -> None:
+    def test_harm_is_payoff_not_honoured_after_a_shot_to_the_build_on_trial(self) -> None:
         on_trial = Stage(10, 2, 0, "on trial", 0.2)
         found = self.result(
             on_trial,
@@ -376,20 +376,20 @@
 
 
 class Bars(unittest.TestCase):
-    def test_students_quantiles(self) -> None:
+    def test_students_quantiles_agree_with_scipy(self) -> None:
         for freedom in (1, 2, 3, 5, 9, 30, 200):
             self.assertAlmostEqual(bars.student(0.95, freedom) / stats.t.ppf(0.975, freedom), 1, delta=0.01)
         with self.assertRaises(ValueError):
             bars.student(0.95, 0)
 
-    def test_one_more_day_lies_in_the_bar_nineteen_times_of_twenty(self) -> None:
+    def test_a_bar_of_normal_values_holds_one_more_day_nineteen_times_of_twenty(self) -> None:
         chance, held = stats.norm(10, 2), 0
         values = chance.rvs(size=(2000, 9), random_state=5)
         for row in values:
             held += bars.bar("p50_ms", list(row[:8])).holds(row[8])
         self.assertAlmostEqual(held / 2000, 0.95, delta=0.015)
 
-    def test_an_option_that_wins_on_service_and_loses_on_harm(self) -> None:
+    def test_differences_tell_the_better_option_for_each_figure(self) -> None:
         first = [{"service": 0.90 + 0.01 * (day % 3), "harm": 0.001, "p50_ms": 10 + day % 2} for day in range(8)]
         second = [
             {
@@ -402,13 +402,13 @@
         found = bars.differences(first, second)
         self.assertEqual([found[name].better for name in ("service", "harm", "p50_ms")], ["B", "A", "can't tell"])
 
-    def test_shares_stay_shares_and_figures_that_are_missing_on_a_day(self) -> None:
+    def test_bars_of_shares_end_at_one_and_days_without_a_figure_are_left_out(self) -> None:
         found = bars.bars([{"service": 1.0, "back_s.2": 3.0}, {"service": 0.9}, {"service": 0.99, "back_s.2": 5.0}])
         self.assertEqual((found["service"].high, found["back_s.2"].many), (1.0, 2))
 
-    def test_days_of_two_kinds_lie_in_bars_that_ask_for_no_shape(self) -> None:
-        """A build goes back after 8 s or after 40: a normal bar of few days reaches below zero, that of 39 does not,
-        and one more day lies outside about one time in twenty."""
+    def test_bars_from_thirty_nine_days_on_hold_for_values_with_two_peaks(self) -> None:
+        """A build is sent back after 8 s or after 40: the bar of a normal sample of few days reaches below zero, that
+        of 39 days does not, and one more day lies outside about one time in twenty."""
         chance = random.Random(1)
 
         def back() -> float:
@@ -432,7 +432,7 @@
         )
         return path
 
-    def test_work_and_a_builds_pace_and_errors_are_found_again(self) -> None:
+    def test_a_fit_recovers_work_and_a_builds_pace_and_errors(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = self.record(
                 folder, 60, builds={"pace": 1.3, "errors": 0.004, "offered_s": 30}, clients={"rate": 150}
@@ -446,9 +446,8 @@
             self.assertTrue(build.pace_bar[0] < 1.3 < build.pace_bar[1], build.pace_bar)
             self.assertAlmostEqual(build.errors, 0.004, delta=0.004)
 
-    def test_what_differs_between_days_is_in_the_bars_of_a_fit_from_several(self) -> None:
-        """Two days on which the same work took a tenth more or less: either alone is sure of itself, and one is
-        wrong."""
+    def test_bars_of_a_fit_to_several_days_include_differences_between_days(self) -> None:
+        """The same work takes 20 ms on one day and 22 ms on the other: the fit of one day alone excludes the other."""
         with tempfile.TemporaryDirectory() as folder:
             days = [
                 self.record(
@@ -466,7 +465,7 @@
             with self.assertRaisesRegex(ValueError, "other workloads than"):
                 fits.fit([days[0], self.record(folder, 3, workload=[{"name": "other"}])])
 
-    def test_too_few_shots_give_wide_bars_and_say_so(self) -> None:
+    def test_few_shots_give_wide_bars_and_a_note(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             few, many = (
                 fits.fit(self.record(folder, seconds, builds={"offered_s": 90})).workloads[1] for seconds in (2, 60)
@@ -475,7 +474,7 @@
             width = [each.mean_bar[1] - each.mean_bar[0] for each in (few, many)]
             self.assertGreater(width[0], 2 * width[1])
 
-    def test_a_relays_own_lines_are_enough(self) -> None:
+    def test_a_relays_lines_alone_can_be_fitted(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path, own = self.record(folder, 30), Path(folder) / "own.record"
             writer = files.Writer(own)
@@ -485,16 +484,17 @@
             writer.close()
             self.assertAlmostEqual(fits.fit(own).workloads[0].mean_ms, 20 + 0.6, delta=1.5)
 
-    def test_bars_hold_what_a_fit_does_not_know(self) -> None:
-        """The spread between days is wider with draws of few shots than with the work as known."""
+    def test_bars_of_days_include_the_uncertainty_of_a_fit(self) -> None:
+        """The spread between days is larger with draws of a fit to few shots than with the known work."""
         with tempfile.TemporaryDirectory() as folder:
             fitted = Path(folder) / "fit.json"
             fitted.write_bytes(fits.msgspec.json.encode(fits.fit(self.record(folder, 3))))
             known, drawn = convert(day(seconds=8)), convert(day(seconds=8, fit=str(fitted)))
-            options = runs.days([[known] * 24, fits.drawn(drawn, 24)], jobs=1)  # of six the ratio is chance: 1.0 to 2
+            # with six days in place of 24 the ratio varies from 1.0 to 2
+            options = runs.days([[known] * 24, fits.drawn(drawn, 24)], jobs=1)
             self.assertGreater(options[1].bars["p50_ms"].spread, 1.2 * options[0].bars["p50_ms"].spread)
 
-    def test_a_fit_that_is_not_there_and_a_build_that_it_does_not_know(self) -> None:
+    def test_a_missing_fit_and_a_build_that_it_lacks_are_errors(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             with self.assertRaisesRegex(BadScenario, "fit: "):
                 fits.drawn(convert(day(fit=str(Path(folder) / "none.json"))), 2)
@@ -505,7 +505,7 @@
 
 
 class Losses(unittest.TestCase):
-    """What a fault cost, against the same day without it."""
+    """Costs of a fault, against the same day without it."""
 
     def day(self, service: list[float], to_a: float = 10.0, **figures: float) -> Result:
         many = len(service)
@@ -523,15 +523,15 @@
             },
         )
 
-    def test_time_until_service_is_back_what_it_cost_and_what_came_over_the_others(self) -> None:
+    def test_figures_of_a_loss_recovery_cost_and_overshoot(self) -> None:
         calm = self.day([1.0] * 40, to_a=0.0)
         hit = self.day([1.0] * 10 + [0.4] * 6 + [1.0] * 8 + [0.7] * 4 + [0.99] * 12)
         found = losses.figures(hit, calm, 10, {"b"})
-        self.assertEqual(found["recover_s"], 7)  # the mean of three seconds is whole one second later
+        self.assertEqual(found["recover_s"], 7)  # the mean over three seconds has recovered one second later
         self.assertEqual(found["out_s"], 7 + 6)
         self.assertAlmostEqual(found["cost"], (6 * 0.6 + 4 * 0.3 + 12 * 0.01) / 30)
         self.assertAlmostEqual(found["lowest"], 0.4)
-        self.assertAlmostEqual(found["overshoot"], 2.0)  # a gets b's ten on top of its own; b itself is lost
+        self.assertAlmostEqual(found["overshoot"], 2.0)  # a gets b's ten besides its own; b is lost and does not count
         self.assertEqual(losses.figures(calm, calm, 10, {"b"})["recover_s"], 0)
 
     def test_options_are_played_with_their_script_and_without_on_the_same_days(self) -> None:
@@ -545,15 +545,15 @@
         tiers = convert(tree | {"name": "tiers", "document": {"zones": {"spill_over": 0.1}}})
         first, second = losses.losses([convert(tree), tiers], 2, 1)
         self.assertEqual([len(first.hit), len(second.calm)], [2, 2])
-        self.assertGreater(first.bars["spill_peak"].mean, 0.8)  # even: two thirds are foreign
+        self.assertGreater(first.bars["spill_peak"].mean, 0.8)  # even choice: two thirds go to other zones
         self.assertLess(second.bars["spill_peak"].mean, 0.35)
         self.assertGreater(losses.compare(first, second)["rejected"].mean, 0)
         self.assertFalse(any(day.breaches for day in second.hit + second.calm))
         with self.assertRaisesRegex(ValueError, "no fault"):
             losses.losses([convert(day())], 2, 1)
 
-    def test_a_stated_limit_that_is_broken_is_a_broken_rule_of_the_day(self) -> None:
-        """Tiers that let everything through, told to the checker as a limit of a tenth."""
+    def test_spill_above_its_limit_is_a_broken_rule(self) -> None:
+        """Zones are patched to let all spill through, while the checker knows a limit of a tenth."""
         tree = day(
             seconds=14,
             fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"]},
@@ -570,7 +570,7 @@
 
 
 class Commands(unittest.TestCase):
-    def test_the_commands_of_the_model(self) -> None:
+    def test_commands_compare_run_and_show(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for name, more in (("a", {}), ("b", {"errors": 0.3})):
                 (Path(folder) / f"{name}.toml").write_text(
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -1,4 +1,4 @@
-"""The world on loopback sockets against real relay processes: short days, and the same machines as the model's."""
+"""Tests of trials: short days of real relay processes against the simulated world on loopback sockets."""
 
 import tempfile
 import unittest
@@ -14,11 +14,11 @@
 
 from .test_lab import SECOND, day
 
-QUICK = {"bake_ms": 400}  # short stages: a horizon in proportion
+QUICK = {"bake_ms": 400}  # short stages, and a judge's horizon in proportion
 
 
 class Starts(unittest.TestCase):
-    def test_relays_that_do_not_come_up_in_time_are_counted_among_the_problems(self) -> None:
+    def test_relays_that_are_not_ready_in_time_are_a_problem_of_the_trial(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             trial = Trial(MemoryReactorClock(), convert(day(fleet={"relays": 3})), 5, Path(folder))
             trial.give_up_waiting()
@@ -28,7 +28,8 @@
 
 
 class Trials(unittest.TestCase):
-    """Each keeps the five rules; a machine too busy to play them makes a trial void, and that is no verdict."""
+    """Days that keep the five rules.  A trial that ran late on a busy machine is void, not failed, and is played again,
+    three times at the most."""
 
     def play(self, **more) -> tuple:
         scenario = convert(day(**more))
@@ -48,7 +49,7 @@
     def of(self, lines: list, kind: type) -> list:
         return [line for line in lines if type(line) is kind]
 
-    def test_a_good_build_and_the_models_arrivals_on_sockets(self) -> None:
+    def test_a_good_build_is_released_and_arrivals_and_work_are_those_of_the_model(self) -> None:
         result, lines, scenario = self.play(seconds=8, platform=QUICK, builds={"offered_s": 0.5})
         self.assertGreater(result.figures["service"], 0.9)
         self.assertIn("released_s.2", result.figures)
@@ -63,7 +64,7 @@
         self.assertGreater(len(set(work) & set(expected)), 700)
         self.assertTrue(all(work[number] == expected[number] for number in set(work) & set(expected)))
 
-    def test_a_bad_build_a_relay_killed_and_back_and_units_that_die_and_fall_silent(self) -> None:
+    def test_a_bad_build_is_sent_back_while_relays_and_units_fail(self) -> None:
         result, lines, _ = self.play(
             seconds=12,
             builds={"errors": 0.4, "offered_s": 5},
@@ -72,7 +73,7 @@
             "from 3s for 2s notes lost 50%\nfrom 4s for 1s platform silent\nat 9s restart relay 1",
         )
         self.assertIn("back_s.2", result.figures)
-        for relay in (0, 1):  # killed; restarted in order
+        for relay in (0, 1):  # killed, and restarted as planned
             self.assertEqual([line.event for line in self.of(lines, Life) if line.relay == relay], ["up", "down", "up"])
         self.assertEqual({line.relay for line in self.of(lines, End) if line.answer == "lost"} - {0}, set())
         again = [line for line in self.of(lines, Take) if line.relay == 0 and line.at > 4 * SECOND]
@@ -80,7 +81,7 @@
         self.assertIn("error", {line.outcome for line in self.of(lines, Came)})
         self.assertEqual(len(self.of(lines, End)), len(self.of(lines, Take)))
 
-    def test_real_relays_in_three_zones_one_of_which_is_lost_and_comes_back(self) -> None:
+    def test_loss_and_return_of_one_of_three_zones(self) -> None:
         result, lines, _ = self.play(
             seconds=12,
             fleet={"relays": 3, "units": 6, "zones": ["a", "b", "c"], "notice_ms": 500},
@@ -89,14 +90,14 @@
             document={"zones": {"wait_ms": 200.0, "step_ms": 300.0}},
             script="at 3s lose zone b for 3s",
         )
-        self.assertEqual(result.breaches, {})  # the stated limit on spill among them
+        self.assertEqual(result.breaches, {})  # the limit on spill among them
         self.assertGreater(result.figures["service.zone.b"], 0.8)
         self.assertGreater(min(result.figures[f"service.zone.{zone}"] for zone in "ac"), 0.95)
         out = result.series["shots.b>a"], result.series["shots.b>c"]
         self.assertGreater(min(sum(each) for each in out), 10)
         self.assertGreater(sum(result.series["shots.b>b"][10:]), 20)
 
-    def test_a_build_that_fails_only_above_some_busyness_and_one_that_turns_bad_with_its_units_age(self) -> None:
+    def test_builds_that_fail_under_load_or_with_the_age_of_their_units_are_sent_back(self) -> None:
         for builds, rate in (({"errors": 0.6, "above": 1.4}, 400), ({"errors": 0.6, "turns_s": [2, 3]}, 120)):
             result, lines, _ = self.play(
                 seconds=11, builds=builds | {"offered_s": 0.5}, clients={"rate": rate}, platform=QUICK
