--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -35,7 +35,7 @@
 
     relays: int
     notes: float  # messages a second that reach the judge
-    accepted: float  # messages a second that it accepts
+    taken: float  # messages a second that it accepts
     sent_bytes: float  # bytes a second that one relay sends to all receivers
     cpu: float  # part of a core that the judge spends on messages
     vote: str
