--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -7,7 +7,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from ..facade import Facade, Listed, Outcome, Reject, Shoot, Standing, Units
+from ..facade import Facade, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
 from .scenario import Scenario, convert
 from .virtual import Model
 
@@ -77,13 +77,13 @@
     picks later.  Raises ValueError if an invocation is rejected."""
     now = 100_000
     settings = scenario.parsed_settings(0)
-    facade = Facade(settings, 1, lambda: now, scenario.operator_document().seats(settings))
-    facade.report(Standing(scenario.build, 0, "released", 1.0, 1_000_000))
+    facade = Facade(settings, 1, lambda: now, scenario.operator_document().extra_stages(settings))
+    facade.report(RolloutState(scenario.build, 0, "released", 1.0, 1_000_000))
     zones = len(scenario.fleet.zones)
     facade.report(
         Units(
             "whole",
-            [Listed(unit, scenario.build, "open", unit % zones, 0, 1.0, 0) for unit in range(scenario.fleet.units)],
+            [UnitEntry(unit, scenario.build, "open", unit % zones, 0, 1.0, 0) for unit in range(scenario.fleet.units)],
         )
     )
     waiting: deque[Outcome] = deque()
@@ -91,7 +91,7 @@
     for place in range(picks):
         now += 5
         number, step = facade.pick(scenario.workload[0].name, "", f"key-{place % 500}", now + 20_000)
-        if type(step) is Shoot:
+        if type(step) is SendShot:
             waiting.append(Outcome(number, step.place, "served"))
         elif type(step) is Reject:
             raise ValueError(
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -15,11 +15,11 @@
 import numpy
 
 from ..choices.load_digests import LoadDigests
-from ..parts import Chance, mix
-from ..record.lines import Done, Head, Ran
+from ..parts import RandomGenerator, stable_hash
+from ..record.lines import Head, ShotAnswered, ShotStarted
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
-from ..world.unit import NEVER, Asked, Unit
+from ..world.unit import NEVER, IncomingShot, Unit
 from .bars import Bar, Difference, bars, differences
 from .runs import day_seed
 from .scenario import Scenario
@@ -87,14 +87,18 @@
     """One relay: its own order of units, what it knows of them, and its load digests if it has them."""
 
     def __init__(self, number: int, units: Sequence[Unit], seed: int, relays: int, has_digests: bool) -> None:
-        self.number, self.chance = number, Chance(mix(seed, number, 23))
+        self.number, self.chance = number, RandomGenerator(stable_hash(seed, number, 23))
         self.order = (
-            sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.sample(units)
+            sorted(units, key=lambda unit: stable_hash(number, unit.identity))
+            if len(units) < 1_000
+            else self.sample(units)
         )
         self.knowledge_by_unit: dict[str, UnitKnowledge] = {}
         self.in_use_count = float(MIN_UNITS_IN_USE)
         self.mean_latency = 0.0  # tenths of a ms
-        self.digests = LoadDigests(number, relays, 0, Chance(mix(seed, number, 29))) if has_digests else None
+        self.digests = (
+            LoadDigests(number, relays, 0, RandomGenerator(stable_hash(seed, number, 29))) if has_digests else None
+        )
         self.bytes = 0
 
     def sample(self, units: Sequence[Unit]) -> list[Unit]:
@@ -133,7 +137,7 @@
         """Notes an attempt at a unit."""
         self.knowledge_of(unit).out += 1
         if self.digests:
-            self.digests.sent(unit.mark, now)
+            self.digests.sent(unit.identity, now)
 
     def ended(self, unit: Unit, now: int, latency: int) -> None:
         """Notes the end of an attempt and its latency, in tenths of a ms."""
@@ -142,7 +146,7 @@
         self.mean_latency += 0.05 * (latency - self.mean_latency) if self.mean_latency else latency
         knowledge.pace += 0.1 * (min(8.0, latency / self.mean_latency) - knowledge.pace)
         if self.digests:
-            self.digests.ended(unit.mark, now)
+            self.digests.ended(unit.identity, now)
 
 
 class Tracker:
@@ -151,7 +155,7 @@
     def __init__(self) -> None:
         self.out: Counter[str] = Counter()
 
-    def least(self, units: Sequence[Unit], chance: Chance) -> Unit:
+    def least(self, units: Sequence[Unit], chance: RandomGenerator) -> Unit:
         """The unit with the fewest attempts in flight, a random one of several."""
         lowest = min(self.out[unit.name] for unit in units)
         return chance.pick([unit for unit in units if self.out[unit.name] == lowest])
@@ -165,7 +169,7 @@
         self.scenario, self.name, self.trouble = scenario, name, trouble
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
         self.units = list(self.fleet.units.values())
-        self.one_way, self.chance = parts.paths.near, Chance(mix(seed, 31))
+        self.one_way, self.chance = parts.paths.near, RandomGenerator(stable_hash(seed, 31))
         least, most = scenario.network.notes_ms
         self.least_delay, self.delay_span = int(least * 10), int((most - least) * 10)
         count = scenario.fleet.relays
@@ -205,7 +209,7 @@
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
         """As `own_cost`, with the attempts of other relays by their digests."""
         knowledge = relay.knowledge_of(unit)
-        return (knowledge.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * knowledge.pace
+        return (knowledge.out + relay.digests.others(unit.identity, self.now) + self.chance.share()) * knowledge.pace
 
     # time
     def call_at(self, at: int, call: Callable[..., None], *what: Any) -> None:
@@ -264,7 +268,7 @@
 
     def send_attempt(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
         relay.sent(unit, self.now)
-        unit.take(self.now, Asked((arrival, self.now), arrival.first, arrival.workload))
+        unit.take(self.now, IncomingShot((arrival, self.now), arrival.first, arrival.workload))
         self.collect(unit)
 
     def wake(self, unit: Unit, at: int) -> None:
@@ -276,11 +280,11 @@
     def collect(self, unit: Unit) -> None:
         """Takes a unit's new outcomes, and sets a timer for when it is due."""
         for (arrival, _), work in unit.taken:
-            self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
+            self.evenness(ShotStarted(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
-        outcomes, unit.said = unit.said, []
+        outcomes, unit.outcomes = unit.outcomes, []
         for (arrival, sent), outcome in outcomes:
-            self.evenness(Done(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
+            self.evenness(ShotAnswered(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
             relay = self.relays[arrival.relay]
             relay.ended(unit, self.now, self.now - sent)
             started_at = self.started_at.pop((arrival.relay, arrival.number))
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -5,7 +5,21 @@
 import msgspec
 import numpy
 
-from ..record.lines import Any_Line, Came, End, Fault, Head, Line, Log, Ran, Shot, Stage, Take, Unit, Vote
+from ..record.lines import (
+    AnyLine,
+    Fault,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    StageChanged,
+    Unit,
+    Vote,
+)
 
 SECOND = 10_000  # tenths of a ms
 SWEEP_INTERVAL = 12 * SECOND  # how often first tries past their deadline are counted as they stand
@@ -38,7 +52,7 @@
 
     __slots__ = ("take", "used_trial_build", "answer")
 
-    def __init__(self, take: Take) -> None:
+    def __init__(self, take: InvocationTaken) -> None:
         self.take, self.used_trial_build, self.answer = take, False, ""
 
 
@@ -124,21 +138,21 @@
     def __call__(self, line: Line) -> None:
         kind = type(line)
         self.last = line.at
-        if kind is Take:
+        if kind is InvocationTaken:
             self.take(line)
-        elif kind is Shot:
+        elif kind is ShotSent:
             self.shot(line)
-        elif kind is End:
+        elif kind is InvocationEnded:
             self.end(line)
-        elif kind is Ran:
+        elif kind is ShotStarted:
             pass
         elif kind is Unit:
             self.unit_zones[line.unit] = line.zone
-        elif kind is Came:
+        elif kind is ShotEnded:
             row = self.shot_rows.pop((line.relay, line.number, line.place), None)
             if row:
                 row[2 if line.outcome == "served" else 3 if line.outcome == "error" else 4] += 1
-        elif kind is Stage:
+        elif kind is StageChanged:
             self.stage(line)
         elif kind is Head:
             self.begin(line)
@@ -156,7 +170,7 @@
         self.shots_by_zones: dict[tuple[str, str], array] = {}  # relay's zone, unit's zone -> shots by second
         self.unit_zones: dict[str, str] = {}
 
-    def take(self, line: Take) -> None:
+    def take(self, line: InvocationTaken) -> None:
         """A relay has taken a try."""
         number = line.first if line.first >= 0 else line.number  # a relay's own record does not name the first try
         if number not in self.open_tries:
@@ -165,7 +179,7 @@
         if line.at > self.swept_at + SWEEP_INTERVAL:
             self.sweep(line.at)
 
-    def shot(self, line: Shot) -> None:
+    def shot(self, line: ShotSent) -> None:
         """A shot was sent."""
         self.shots += 1
         row = self.sent.get(line.unit)
@@ -183,7 +197,7 @@
             if first:
                 first.used_trial_build = True
 
-    def end(self, line: End) -> None:
+    def end(self, line: InvocationEnded) -> None:
         """A try has got its answer."""
         number = self.tries.pop((line.relay, line.number), None)
         first = self.open_tries.get(number) if number is not None else None
@@ -232,7 +246,7 @@
         if first.used_trial_build and not kept:
             self.harmed_payoff += payoff
 
-    def stage(self, line: Stage) -> None:
+    def stage(self, line: StageChanged) -> None:
         """The roll-out has moved."""
         self.note(line)
         if line.phase == "on trial":
@@ -244,11 +258,11 @@
         elif line.phase == "going back":
             self.sent_back_at.setdefault(line.build, line.at)
 
-    def note(self, line: Any_Line) -> None:
+    def note(self, line: AnyLine) -> None:
         """Adds a line to the notes, of which there are 200 at the most."""
         if len(self.notes) < 200:
             match line:
-                case Stage(at, build, stage, phase, cap):
+                case StageChanged(at, build, stage, phase, cap):
                     self.notes.append(f"{at / SECOND:7.2f}s build {build} stage {stage} {phase}, cap {cap:.0%}")
                 case Vote(at, relay, build, stage, verdict, _):
                     self.notes.append(
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -20,8 +20,18 @@
 import numpy
 
 from ..record.files import read
-from ..record.lines import Came, Done, End, Head, Ran, Shot, Take, Told, Unit
-from ..world.draws import POINTS
+from ..record.lines import (
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    Unit,
+)
+from ..world.random_draws import QUANTILE_STEPS
 from .scenario import BadScenario, Scenario, convert, merge
 
 FEW_SHOTS = 200  # with fewer, the note of the fit says so
@@ -104,26 +114,26 @@
             case Unit(at, unit, build, _, "runs"):
                 self.warm_from[unit], self.builds[unit] = (at + self.warm_up if at else 0), build
                 self.shots_at_unit[unit] = 0
-            case Told(_, _, unit, build, "open", started) if not self.has_unit_lines:
+            case EntryReceived(_, _, unit, build, "open", started) if not self.has_unit_lines:
                 self.warm_from[unit], self.builds[unit] = (started + self.warm_up if started else 0), build
-            case Take(at, relay, number, intended, workload, first=first):
+            case InvocationTaken(at, relay, number, intended, workload, first=first):
                 self.invocations[relay, number] = workload, intended if first == number else at
-            case Shot(at, relay, number, place, unit, build) if not self.has_unit_lines:
+            case ShotSent(at, relay, number, place, unit, build) if not self.has_unit_lines:
                 self.start_shot((relay, number, place), at, unit, build)
-            case Ran(at, relay, number, place, unit):
+            case ShotStarted(at, relay, number, place, unit):
                 if not self.has_unit_lines:  # shots in the relays' lines up to here are not those of the units
                     self.has_unit_lines, self.in_flight, self.shots_at_unit = True, {}, {}
                 self.start_shot((relay, number, place), at, unit, self.builds.get(unit, 0))
                 invocation = self.invocations.get((relay, number))
                 if invocation and place == 0:
                     self.outward_delays.append(at - invocation[1])
-            case Done(at, relay, number, place, _, outcome):
+            case ShotAnswered(at, relay, number, place, _, outcome):
                 self.end_shot((relay, number, place), at, outcome)
                 self.answered_at[relay, number] = at
-            case Came(at, relay, number, place, outcome):
+            case ShotEnded(at, relay, number, place, outcome):
                 if not self.has_unit_lines or (relay, number, place) in self.in_flight:
                     self.end_shot((relay, number, place), at, outcome)
-            case End(at, relay, number, answer):
+            case InvocationEnded(at, relay, number, answer):
                 self.invocations.pop((relay, number), None)
                 answered_at = self.answered_at.pop((relay, number), None)
                 if answered_at is not None and answer in ("served", "wrong"):
@@ -177,7 +187,7 @@
     from statistics import NormalDist
 
     normal = NormalDist(centre, max(spread, 1e-6))
-    margin = 0.25 / POINTS
+    margin = 0.25 / QUANTILE_STEPS
     return [round(exp(normal.inv_cdf(min(max(float(part), margin), 1 - margin))) / 10, 4) for part in parts]
 
 
--- a/tealsail/lab/hunt.py
+++ b/tealsail/lab/hunt.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from .runs import play
 from .scenario import Scenario, convert
 
@@ -32,7 +32,7 @@
     before: int  # lines of the script before it was shrunk
 
 
-def draw_party(chance: Chance, day: Scenario) -> str:
+def draw_party(chance: RandomGenerator, day: Scenario) -> str:
     """A random party of relays, in the script's language."""
     zones = day.fleet.zones
     scope = f" of zone {pick(chance, zones)}" if len(zones) > 1 and chance.share() < 0.4 else ""
@@ -47,17 +47,17 @@
     )()
 
 
-def pick(chance: Chance, items: Sequence[Any]) -> Any:
+def pick(chance: RandomGenerator, items: Sequence[Any]) -> Any:
     """A random item."""
     return items[int(chance.share() * len(items))]
 
 
-def percent(chance: Chance, least: int, most: int) -> str:
+def percent(chance: RandomGenerator, least: int, most: int) -> str:
     """A random percentage from `least` up to `most`, as text."""
     return f"{least + int(chance.share() * (most - least))}%"
 
 
-def draw_line(chance: Chance, day: Scenario) -> str:
+def draw_line(chance: RandomGenerator, day: Scenario) -> str:
     """A random fault, as a line of script."""
     at = round(0.5 + chance.share() * (LAST_START * day.seconds - 0.5), 1)
     span = round(0.5 + chance.share() * min(8.0, 0.3 * day.seconds), 1)
@@ -89,7 +89,7 @@
 
 def draw_schedule(day: Scenario, seed: int) -> list[str]:
     """The lines of a random schedule of faults."""
-    chance = Chance(mix(day.seed, seed, 13))
+    chance = RandomGenerator(stable_hash(day.seed, seed, 13))
     return [draw_line(chance, day) for _ in range(MIN_LINES + int(chance.share() * (MAX_LINES - MIN_LINES + 1)))]
 
 
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -10,11 +10,11 @@
 
 import numpy
 
-from ..choices.flood import Flood, limits
-from ..facade import Facade, Heard, Listed, Standing, Units
+from ..choices.rate_limits import RateLimiter, count_message_limits
+from ..facade import Facade, NoteReceived, RolloutState, UnitEntry, Units
 from ..notes import count_notes
-from ..parts import mix
-from ..policy import CROWD, GROUPS, JUDGES, ROW, THINNEST
+from ..parts import stable_hash
+from ..policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES, MAX_EXTRA_TURNS, RELAYS_PER_TURN
 from .costs import sized_scenario
 
 FLEET_SIZES = (50, 500, 1_000, 2_500, 10_000)
@@ -48,7 +48,7 @@
     def __init__(self, relays: int, rate: float, errors: float, seed: int) -> None:
         self.chance = numpy.random.default_rng(seed)
         self.rate, self.errors = rate, errors
-        self.counts = numpy.zeros((relays, len(GROUPS) * ROW), dtype=numpy.int64)
+        self.counts = numpy.zeros((relays, len(GROUPS) * CELLS_PER_WORKLOAD), dtype=numpy.int64)
         self.sent = numpy.zeros_like(self.counts)
 
     def work(self, seconds: float) -> None:
@@ -56,7 +56,7 @@
         for group, errors in ((0, self.errors), (1, 0.003)):
             many = self.chance.poisson(self.rate * seconds, len(self.counts))
             failed = self.chance.binomial(many, errors)
-            first = group * ROW
+            first = group * CELLS_PER_WORKLOAD
             self.counts[:, first + SERVED] += many - failed
             self.counts[:, first + FAILED] += failed
             self.counts[:, first + BUCKET] += many - failed
@@ -66,11 +66,19 @@
         `matched` and `rows` are off for the messages of earlier versions, in which only failures of the canary were
         told each half second, and in which changes were told by cell and not by row."""
         counts, sent = self.counts[relay], self.sent[relay]
-        has_new_failures = counts[FAILED] > sent[FAILED] or matched and counts[ROW + FAILED] > sent[ROW + FAILED]
+        has_new_failures = (
+            counts[FAILED] > sent[FAILED]
+            or matched
+            and counts[CELLS_PER_WORKLOAD + FAILED] > sent[CELLS_PER_WORKLOAD + FAILED]
+        )
         if not ((beat // 2 + relay) % thin == 0 and (beat % 2 or has_new_failures)):
             return []
         is_full = (beat // 2 + relay) % 4 == 0
-        changed = numpy.repeat((counts != sent).reshape(-1, ROW).any(axis=1), ROW) if rows else counts != sent
+        changed = (
+            numpy.repeat((counts != sent).reshape(-1, CELLS_PER_WORKLOAD).any(axis=1), CELLS_PER_WORKLOAD)
+            if rows
+            else counts != sent
+        )
         cells = [(int(cell), int(counts[cell])) for cell in numpy.flatnonzero(counts * (changed | is_full))]
         self.sent[relay] = counts
         return count_notes(2, START, cells, len(counts)) if cells else []
@@ -78,7 +86,7 @@
 
 def find_judge(relays: int) -> int:
     """The relay that comes first in the judges' order for build 2."""
-    return max(range(relays), key=lambda at: mix(2, at))
+    return max(range(relays), key=lambda at: stable_hash(2, at))
 
 
 def play_judge(
@@ -117,13 +125,13 @@
         """A relay that has just started, with the list of units and the roll-out state."""
         facade = Facade(settings, seed, lambda: now)
         facade.report(
-            Standing(2, 0, "released" if is_released else "on trial", 1.0 if is_released else 0.2, now - START)
+            RolloutState(2, 0, "released" if is_released else "on trial", 1.0 if is_released else 0.2, now - START)
         )
         facade.report(
             Units(
                 "whole",
                 [
-                    Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * SECOND)
+                    UnitEntry(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * SECOND)
                     for unit in range(UNITS)
                 ],
             )
@@ -131,8 +139,11 @@
         return facade
 
     facade, has_restarted = start_judge(), False
-    fleet, flood = FleetOutcomes(relays, rate, errors, seed), Flood(limits(len(facade.relay.judge.pooled.sums)))
-    thin = 1 + min(THINNEST, relays // CROWD) if in_turns else 1
+    fleet, flood = (
+        FleetOutcomes(relays, rate, errors, seed),
+        RateLimiter(count_message_limits(len(facade.relay.judge.pooled.sums))),
+    )
+    thin = 1 + min(MAX_EXTRA_TURNS, relays // RELAYS_PER_TURN) if in_turns else 1
     senders = [relay for relay in range(relays) if relay != index]
     faulty_relays = senders[:faulty]
     arrived = accepted = sent_bytes = 0
@@ -147,7 +158,7 @@
             for relay in senders[faulty:]
             for data in fleet.notes(
                 relay,
-                beat + (0 if together else mix(relay, 5) % 2),
+                beat + (0 if together else stable_hash(relay, 5) % 2),
                 thin,
                 matched and relay >= earlier * relays,
                 relay >= earlier * relays,
@@ -159,7 +170,7 @@
                 (relay, data)
                 for lie in range(lies // 2)
                 for data in count_notes(
-                    2, mix(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
+                    2, stable_hash(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
                 )
             ]
         if not has_restarted and now - START >= restart * SECOND:
@@ -172,11 +183,11 @@
             relay, data = messages[place]
             if not guarded or flood.allows(relay, now):
                 accepted += 1
-                facade.report(Heard(relay, data))
+                facade.report(NoteReceived(relay, data))
         cpu_s += time.process_time() - before
         arrived += len(messages)
         for unit in facade.relay.units.values() if is_released else ():
-            unit.failing = max(unit.failing, 0.01)
+            unit.error_rate = max(unit.error_rate, 0.01)
         votes = [each for each in facade.tick().votes if not is_released or each.verdict == "back"]
         if votes:
             vote, vote_s = votes[0].verdict, (now - START) / SECOND
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ..parts import mix
+from ..parts import stable_hash
 from ..record.files import Writer, read
-from ..record.lines import Any_Line, Close
+from ..record.lines import AnyLine, Close
 from ..setup.document import convert
 from ..world.evenness import Evenness
-from ..world.rules import MOST_TOLD, Breach, Rules, Slack
-from ..world.spill import Spill
+from ..world.rules import MOST_BREACHES_KEPT, Breach, RuleChecker, Slack
+from ..world.spill import SpillChecker
 from .bars import Bar, Difference, bars, differences
 from .figures import Figures, Result
 from .scenario import Scenario
@@ -23,7 +23,7 @@
 
 def day_seed(scenario: Scenario, replica: int) -> int:
     """The seed of one replica's day; options with the same scenario seed get the same."""
-    return mix(scenario.seed, replica, 11) >> 2
+    return stable_hash(scenario.seed, replica, 11) >> 2
 
 
 class RecordEvaluation:
@@ -32,13 +32,13 @@
     def __init__(self, day: dict[str, Any], slack: Slack = Slack()) -> None:
         self.figures, self.rules, self.spill, self.evenness = (
             Figures(),
-            Rules(slack),
+            RuleChecker(slack),
             create_spill_checker(day),
             Evenness(),
         )
         self.listeners = [each for each in (self.figures, self.rules, self.spill, self.evenness) if each]
 
-    def __call__(self, line: Any_Line) -> None:
+    def __call__(self, line: AnyLine) -> None:
         for listener in self.listeners:
             listener(line)
 
@@ -94,13 +94,13 @@
     return evaluation.result(late), evaluation.breaches
 
 
-def create_spill_checker(day: dict[str, Any]) -> Spill | None:
+def create_spill_checker(day: dict[str, Any]) -> SpillChecker | None:
     """A checker of the limit on spill, for a day with several zones.  Without `zones` in the operator's document
     there is no limit, so nothing breaks it."""
     if len(day.get("fleet", {}).get("zones", [])) < 2:
         return None
     zones = convert(day.get("document", {})).zones
-    return Spill(zones.spill_over if zones else float("inf"))
+    return SpillChecker(zones.spill_over if zones else float("inf"))
 
 
 class Option(NamedTuple):
@@ -115,7 +115,7 @@
 def play_one(scenario: Scenario, seed: int) -> tuple[Result, list[Breach]]:
     """Plays one day in a worker process; only the first broken rules go back to the parent."""
     result, breaches = play(scenario, seed)
-    return result, breaches[: MOST_TOLD // 5]
+    return result, breaches[: MOST_BREACHES_KEPT // 5]
 
 
 def days(options: list[list[Scenario]], jobs: int = 0, progress: Progress | None = None) -> list[Option]:
@@ -141,7 +141,7 @@
                 replicas[0].name,
                 results,
                 figure_bars,
-                [breach for _, breaches in outcomes for breach in breaches][:MOST_TOLD],
+                [breach for _, breaches in outcomes for breach in breaches][:MOST_BREACHES_KEPT],
             )
         )
     return played
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ...record.lines import Came, Done, Ran, Shot
-from ...world.clients import TRY
-from ...world.unit import NEVER, Asked, Unit
+from ...record.lines import ShotAnswered, ShotEnded, ShotSent, ShotStarted
+from ...world.clients import NUMBERS_PER_TRY
+from ...world.unit import NEVER, IncomingShot, Unit
 from ..loopback.trial_setup import TrialSetup
-from .words import Backend
+from .director_messages import Backend
 
 Load = dict[str, float] | None
 
@@ -31,8 +31,8 @@
 class Backends:
     """Takes attempts in, wakes the machines at work and hands on their answers; `fell` is told of one that falls."""
 
-    def __init__(self, setup: TrialSetup, machines: dict[str, Unit], fell: Callable[[str], None]) -> None:
-        self.setup, self.machines, self.fell = setup, machines, fell
+    def __init__(self, setup: TrialSetup, machines: dict[str, Unit], crashed: Callable[[str], None]) -> None:
+        self.setup, self.machines, self.crashed = setup, machines, crashed
         self.attempted: Callable[[int, str], None] = lambda relay, name: None  # told before an attempt is recorded
         self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
         self.builds = setup.scenario.builds_by_number()
@@ -50,7 +50,7 @@
 
     def running(self, name: str) -> Unit | None:
         machine = self.machines.get(name)
-        return machine if machine and not machine.dead else None
+        return machine if machine and not machine.is_dead else None
 
     def take(self, attempt: Attempt, request_class: int, wait: int) -> bool:
         """False: nobody is there."""
@@ -60,16 +60,16 @@
         now = self.setup.now()
         self.attempted(attempt.relay, attempt.name)
         self.setup.record_line(
-            Shot(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
+            ShotSent(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
         )
-        machine.take(now, Asked(attempt, attempt.number % TRY, request_class))
+        machine.take(now, IncomingShot(attempt, attempt.number % NUMBERS_PER_TRY, request_class))
         self.touch(machine)
         return True
 
     def stop(self, attempt: Attempt) -> None:
         """Its relay waits no longer."""
         now = self.setup.now()
-        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
+        self.setup.record_line(ShotEnded(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
         machine = self.running(attempt.name)
         if machine:
             machine.stop(now, attempt)
@@ -78,18 +78,18 @@
     def change(self, word: Backend) -> None:
         """A backend comes up, goes, or changes."""
         machine, now = self.machines.get(word.name), self.setup.now()
-        if machine and (word.dead or (machine.mark, machine.started) != (word.mark, word.started)):
+        if machine and (word.is_dead or (machine.identity, machine.started) != (word.identity, word.started)):
             del self.machines[word.name]
             machine.die(now)
             self.touch(machine)
             machine = None
-        if word.dead:
+        if word.is_dead:
             return
         if machine is None:
             build = self.builds[word.build]
             machine = Unit(
                 word.name,
-                word.mark,
+                word.identity,
                 build,
                 self.kind,
                 word.speed,
@@ -100,12 +100,12 @@
                 self.setup.seed,
             )
             self.machines[word.name] = machine
-        if machine.hung != word.hung:
-            machine.hang(now, word.hung)
-        if machine.slow != word.slow:
-            machine.slow_down(now, word.slow)
+        if machine.is_hung != word.is_hung:
+            machine.hang(now, word.is_hung)
+        if machine.slowdown != word.slowdown:
+            machine.set_slowdown(now, word.slowdown)
         machine.errors = word.errors
-        if word.draining and not machine.draining:
+        if word.is_draining and not machine.is_draining:
             machine.drain(now)
         self.touch(machine)
 
@@ -114,21 +114,21 @@
         now, tell = self.setup.now(), self.setup.record_line
         taken, machine.taken = machine.taken, []
         for attempt, work in taken:
-            tell(Ran(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
-        said, machine.said = machine.said, []
-        for attempt, outcome in said:
-            tell(Done(now, attempt.relay, attempt.number, attempt.place, machine.name, outcome))
+            tell(ShotStarted(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
+        outcomes, machine.outcomes = machine.outcomes, []
+        for attempt, outcome in outcomes:
+            tell(ShotAnswered(now, attempt.relay, attempt.number, attempt.place, machine.name, outcome))
             came = "served" if outcome == "wrong" else outcome
-            tell(Came(now, attempt.relay, attempt.number, attempt.place, came))
+            tell(ShotEnded(now, attempt.relay, attempt.number, attempt.place, came))
             attempt.answered(outcome, machine.load(now) if machine.kind.report_every else None)
-        if machine.fell and not machine.told_fallen:
-            machine.told_fallen = True
-            self.fell(machine.name)
+        if machine.crashed and not machine.crash_reported:
+            machine.crash_reported = True
+            self.crashed(machine.name)
         self.plan(machine)
 
     def plan(self, machine: Unit) -> None:
         timer, due = self.timers.get(machine.name), machine.due
-        if due < NEVER and not machine.dead:
+        if due < NEVER and not machine.is_dead:
             if timer and timer.active():
                 timer.reset(self.setup.seconds_until(due))
             else:
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -16,10 +16,10 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from ...facade import Facade, Standing
+from ...facade import Facade, RolloutState
 from ...record.files import read
-from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
-from ...world.day import Day, Order
+from ...record.lines import VERSION, Close, Head, InvocationTaken, Line, RelayEvent, Unit as UnitLine
+from ...world.day import Day, RelayCommand
 from ...world.unit import Unit
 from ..loopback import process_messages as parts
 from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
@@ -31,8 +31,8 @@
 from . import words
 from .addresses import ScaleAddresses
 from .backends import Backends
-from .real import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
-from .words import RelayCost, decode, encode
+from .director_messages import RelayCost, decode, encode
+from .real_relays import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
 
 TENTHS = 10_000  # in a second
 LEAD = 0.5  # seconds between the last relay's coming up and the day
@@ -85,9 +85,9 @@
 def duty_owners(scenario: Scenario) -> list[int]:
     """Who may own a duty in this day, as relays themselves see it: the load tracker's seats and each build's judges."""
     facade = Facade(scenario.parsed_settings(0), 1, lambda: 0)
-    owners = dict.fromkeys(facade.relay.guide.order)
+    owners = dict.fromkeys(facade.relay.load_tracking.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
-        facade.report(Standing(build, 0, "on trial", scenario.platform.caps[0], 0))
+        facade.report(RolloutState(build, 0, "on trial", scenario.platform.caps[0], 0))
         owners |= dict.fromkeys(facade.relay.judge.order[:LAST_LINE])
     return [relay for relay in owners if relay < scenario.fleet.relays]
 
@@ -162,7 +162,7 @@
         own = Day(
             scenario.parts(), seed, create_clients(scenario, seed)
         ).fleet.units  # of real relays; machines of the day idle
-        self.backends = Backends(self.setup, own, self.fell)
+        self.backends = Backends(self.setup, own, self.crashed)
         self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
         self.clients = RealClients(self.setup, self.real)
         self.groups: list[Group] = []
@@ -193,7 +193,7 @@
         return self.names[number] if 0 <= number < len(self.names) else ""
 
     def tell(self, line: Line) -> None:
-        if isinstance(line, Take):
+        if isinstance(line, InvocationTaken):
             self.serves[line.number] = line.relay
         self.lines.append(line)
 
@@ -242,7 +242,7 @@
             return
         zero = self.reactor.seconds() + LEAD
         for relay in self.group_of:
-            self.tell(Life(0, relay, "up"))
+            self.tell(RelayEvent(0, relay, "up"))
         self.setup.begin(zero)
         self.clients.receive(parts.DayBegin(zero))
         for group in self.groups:
@@ -320,7 +320,7 @@
                 if answer != "nothing":
                     group.tell(words.Voted(relay, answer))
             case words.Fell(name):
-                self.fell(name)
+                self.crashed(name)
             case words.Traffic(second, sent, received):
                 so_far = self.traffic.setdefault(second, [0, 0])
                 so_far[0] += sent
@@ -385,11 +385,11 @@
         self.reactor.callLater(0, self.took_up)
         return answer
 
-    def fell(self, name: str) -> None:
+    def crashed(self, name: str) -> None:
         unit = self.day.fleet.units.get(name)
-        if unit and not unit.dead:
-            unit.fell = unit.told_fallen = True
-            self.day.fallen(self.setup.now(), unit)
+        if unit and not unit.is_dead:
+            unit.crashed = unit.crash_reported = True
+            self.day.record_crash(self.setup.now(), unit)
             self.took_up()
 
     def took_up(self) -> None:
@@ -398,11 +398,11 @@
         for line in left.lines:
             self.tell(line)
         changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitLine) and line.at)
-        self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.touched))
-        if left.rounds and not self.list_timer:
+        self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.changed_units))
+        if left.list_versions and not self.list_timer:
             self.list_timer = self.reactor.callLater(self.plan.list_every, self.tell_list)
-        if self.day.moved and self.setup.now() >= self.day.desk.silent_until:
-            self.day.moved = False
+        if self.day.rollout_changed and self.setup.now() >= self.day.platform.silent_until:
+            self.day.rollout_changed = False
             self.tell_rollout()
         for order in left.relays:
             self.carry_out(order)
@@ -418,7 +418,7 @@
             before, self.told[name] = self.told.get(name), word
             self.number(name)
             self.backends.change(word)
-            if word.dead or before and (before.mark, before.started) != (word.mark, word.started):
+            if word.is_dead or before and (before.identity, before.started) != (word.identity, word.started):
                 self.listener.ended(name)
             for group in self.groups:
                 group.tell(word)
@@ -434,22 +434,22 @@
             self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.publish, relay, roster.version)
 
     def tell_rollout(self) -> None:
-        state = self.day.desk.state
+        state = self.day.platform.state
         self.platform.publish()
         for group in self.groups:
             group.tell(words.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """A script may kill hollow relays, which come up again; only a real one has a process that can be stopped."""
         group = self.group_of.get(order.relay)
         if group is None:
             return self.relays.execute(order)
         match order.what:
             case "down":
-                self.tell(Life(self.setup.now(), order.relay, "down"))
+                self.tell(RelayEvent(self.setup.now(), order.relay, "down"))
                 group.tell(words.Kill(order.relay))
             case "up":
-                self.tell(Life(self.setup.now(), order.relay, "up"))
+                self.tell(RelayEvent(self.setup.now(), order.relay, "up"))
                 group.tell(words.Start(order.relay))
             case _:
                 self.wrong(f"relay {order.relay} is hollow: '{order.what}' can be done to real ones alone")
@@ -521,17 +521,17 @@
         return words.Backend(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
     return words.Backend(
         name,
-        unit.mark,
+        unit.identity,
         unit.build.number,
         unit.speed,
         unit.zone,
         unit.cell,
         unit.started,
-        unit.hung,
-        unit.slow,
+        unit.is_hung,
+        unit.slowdown,
         unit.errors,
-        unit.draining,
-        unit.dead,
+        unit.is_draining,
+        unit.is_dead,
     )
 
 
@@ -539,7 +539,7 @@
     """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
     from twisted.internet import reactor
 
-    from .reading import read_run
+    from .results import read_run
 
     told = json.load(sys.stdin)
     raise_descriptor_limit()
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/process.py
@@ -14,16 +14,16 @@
 from ...net import statements
 from ...net.clients import Rejected
 from ...net.discovery import Entry as Known, News
-from ...net.platform import RolloutState
+from ...net.platform import PlatformState
 from ...net.relay import unit_number
 from ...net.relay_configuration import RelayConfiguration
 from ...net.units import Value
-from ...parts import mix
+from ...parts import stable_hash
 from ...record.files import Writer
-from ...record.lines import VERSION, End, Head, News as NewsLine, Told
+from ...record.lines import VERSION, EntryReceived, Head, InvocationEnded, News as NewsLine
 from ...world.clients import Arrival
 from ...world.day import Day
-from ...world.roster import Entry
+from ...world.unit_list import Entry
 from ..loopback.clients import PATIENCE, statement_text, take_line
 from ..loopback.control_plane import STATES
 from ..loopback.process_group import raise_descriptor_limit
@@ -33,8 +33,8 @@
 from . import words
 from .addresses import ScaleAddresses
 from .backends import Backends
-from .hollow import HollowRelay, Outside
-from .words import RelayCost, decode, encode
+from .director_messages import RelayCost, decode, encode
+from .hollow_relay import HollowRelay, Outside
 
 TENTHS = 10_000  # in a second
 LOOK_EVERY, STALL = 200, 200  # tenths of a ms: between looks at the loop; later than that is a stall
@@ -112,7 +112,7 @@
         self.clients, self.lags = day.clients, day.roster.lag
         self.listing = Listing(self.setup, day)
         self.backends = Backends(self.setup, day.fleet.units, lambda name: say(words.Fell(name)))
-        state = day.desk.state
+        state = day.platform.state
         self.rollout = words.Rollout(state.build, state.stage, state.phase, state.cap, 0)
         self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
         self.outside = Outside(
@@ -172,8 +172,8 @@
     def assignment(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
         age = max(0, self.setup.now() - rollout.since) / 10
-        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
-        seed = mix(self.cast.seed, relay, self.setup.now(), 17)
+        state = PlatformState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
+        seed = stable_hash(self.cast.seed, relay, self.setup.now(), 17)
         parsed_settings = self.scenario.parsed_settings(relay)
         known = self.listing.whole()
         everyone = str(self.setup.addresses.everyone(relay))
@@ -223,7 +223,7 @@
         at = next((at for told, at in self.versions[relay] if told >= version), None)
         if at is not None:
             self.recorded.add((relay, name))
-            self.setup.record_line(Told(at, relay, name, entry.build, entry.state, entry.started))
+            self.setup.record_line(EntryReceived(at, relay, name, entry.build, entry.state, entry.started))
 
     def note_sent(self, address: tuple[str, int], size: int) -> None:
         other = self.heard_of.setdefault(self.numbers.get(address, -1), [0, 0, 0, 0])
@@ -282,7 +282,7 @@
         for relay, one in list(self.relays.items()):
             self.tell_rollout(relay)
             age = max(0, self.setup.now() - word.since) / 10
-            one.on_rollout_state(RolloutState(word.build, word.stage, word.phase, word.cap, age))
+            one.on_rollout_state(PlatformState(word.build, word.stage, word.phase, word.cap, age))
 
     def count_traffic(self, second: int) -> None:
         meters = [one.meter for one in self.relays.values()]
@@ -354,7 +354,7 @@
         if serving.timer.active():
             serving.timer.cancel()
         self.serving.pop(arrival.number, None)
-        self.setup.record_line(End(self.setup.now(), serving.relay.index, arrival.number, answer))
+        self.setup.record_line(InvocationEnded(self.setup.now(), serving.relay.index, arrival.number, answer))
         again = self.clients.answered(self.setup.now(), arrival, answer, retry_after)
         if again:
             self.repeats += 1
--- a/tealsail/lab/scale/reading.py
+++ b/tealsail/lab/scale/reading.py
@@ -6,7 +6,7 @@
 import msgspec
 import numpy
 
-from ...record.lines import End, Fault, Line, Log, Take, Unit
+from ...record.lines import Fault, InvocationEnded, InvocationTaken, Line, Log, Unit
 from ...world.rules import Slack
 from ..runs import RecordEvaluation
 from ..scenario import Scenario
@@ -117,16 +117,16 @@
         self.shots, self.wasted, self.herd = [0] * seconds, [0] * seconds, [0.0] * seconds
         self.asked, self.kept = [0] * seconds, [0] * seconds
         self.latencies: list[tuple[int, int, bool]] = []  # second it was meant for, tenths of a ms, at a real relay
-        self.open: dict[tuple[int, int], Take] = {}
+        self.open: dict[tuple[int, int], InvocationTaken] = {}
         self.at, self.before = 0, (0, 0)
 
     def __call__(self, line: Line) -> None:
         while line.at // SECOND > self.at and self.at < len(self.shots):
             self.end_second()
         self.judged(line)
-        if isinstance(line, Take):
+        if isinstance(line, InvocationTaken):
             self.open[line.relay, line.number] = line
-        elif isinstance(line, End):
+        elif isinstance(line, InvocationEnded):
             self.ended(line)
 
     def end_second(self) -> None:
@@ -137,7 +137,7 @@
         self.before = shots, wasted
         self.at += 1
 
-    def ended(self, line: End) -> None:
+    def ended(self, line: InvocationEnded) -> None:
         take = self.open.pop((line.relay, line.number), None)
         if take is None:
             return
@@ -162,7 +162,7 @@
     for relays, stalls in zip(
         played.hollow, played.stalls
     ):  # the checker's own allowance for a process that did not run
-        judged.rules.halts |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
+        judged.rules.stops |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
     seconds = Seconds(judged, played.real, int(scenario.seconds))
     duties: Counter[str] = Counter()
     faults: list[Fault] = []
--- a/tealsail/lab/scale/real.py
+++ b/tealsail/lab/scale/real.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages, statements
-from ...record.lines import Met, News
+from ...record.lines import ConnectionOpened, News
 from ..loopback.backends import VALUES
 from ..loopback.clients import ClientPool
 from ..loopback.process_fleet import ProcessFleet
@@ -129,7 +129,7 @@
             return self.transport.abortConnection()
         self.listener.wires.setdefault(self.name, {})[self] = None
         setup = self.listener.backends.setup
-        setup.record_line(Met(setup.now(), -1, self.name))
+        setup.record_line(ConnectionOpened(setup.now(), -1, self.name))
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -12,17 +12,17 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..settings import facts, nested
-from ..setup.document import BadDocument, Document, convert as read_document
+from ..settings import facts, nested_leaves
+from ..setup.document import Document, InvalidDocument, convert as read_document
 from ..world.builds import Build
-from ..world.clients import STREAM, Habits, Workload, weights
-from ..world.day import Parts
-from ..world.desk import Plan
-from ..world.draws import Table, lognormal
+from ..world.clients import NUMBERS_PER_STREAM, ClientBehaviour, Workload, relay_weights
+from ..world.day import DayParts
 from ..world.faults import Fault
-from ..world.fleet import Layout
-from ..world.network import Paths
-from ..world.unit import Kind
+from ..world.fleet import FleetLayout
+from ..world.network import NetworkPaths
+from ..world.platform import RolloutPlan
+from ..world.random_draws import QuantileTable, lognormal
+from ..world.unit import UnitKind
 from .script import BadScript, read_script
 
 TENTHS_PER_MS = 10
@@ -54,10 +54,10 @@
     cv: Annotated[float, Meta(ge=0, le=10)] = 0.5
     quantiles_ms: list[Positive] = []
 
-    def table(self) -> Table:
+    def table(self) -> QuantileTable:
         """The distribution as a table of quantiles, in tenths of a ms."""
         if self.quantiles_ms:
-            return Table(tuple(max(1, round(each * TENTHS_PER_MS)) for each in sorted(self.quantiles_ms)))
+            return QuantileTable(tuple(max(1, round(each * TENTHS_PER_MS)) for each in sorted(self.quantiles_ms)))
         return lognormal(self.mean_ms * TENTHS_PER_MS, self.cv)
 
 
@@ -215,9 +215,9 @@
         """Length of the day in tenths of a ms."""
         return int(self.seconds * 10_000)
 
-    def layout(self) -> Layout:
+    def layout(self) -> FleetLayout:
         table = self.fleet
-        return Layout(
+        return FleetLayout(
             table.units,
             tuple(table.zones),
             table.cells,
@@ -228,9 +228,9 @@
             table.beside,
         )
 
-    def kind(self) -> Kind:
+    def kind(self) -> UnitKind:
         table = self.unit
-        return Kind(
+        return UnitKind(
             table.cores,
             table.slots,
             table.room,
@@ -247,7 +247,7 @@
             table.connections,
         )
 
-    def works(self) -> list[Table]:
+    def works(self) -> list[QuantileTable]:
         """The distribution of work of each workload."""
         return [each.work.table() for each in self.workload]
 
@@ -257,15 +257,15 @@
             for each in self.workload
         ]
 
-    def habits(self) -> Habits:
+    def habits(self) -> ClientBehaviour:
         table = self.clients
-        return Habits(
+        return ClientBehaviour(
             table.rate, table.skew, table.keys, table.repeats, tenths(table.repeat_after_ms), table.marks, table.hot
         )
 
-    def plan(self) -> Plan:
+    def plan(self) -> RolloutPlan:
         table = self.platform
-        return Plan(
+        return RolloutPlan(
             tuple(table.caps),
             tuple(table.shares),
             tenths(table.bake_ms),
@@ -277,11 +277,11 @@
             tenths(table.by_clock_ms),
         )
 
-    def paths(self) -> Paths:
+    def paths(self) -> NetworkPaths:
         table = self.network
         least, most = tenths_pair(table.notes_ms)
         distances = {tuple(zones.split()): tenths(milliseconds) for zones, milliseconds in table.distances_ms.items()}
-        return Paths(
+        return NetworkPaths(
             tenths(table.near_ms),
             tenths(table.far_ms),
             tenths(table.handshake_ms),
@@ -316,10 +316,10 @@
         """The script's faults in order of time.  Raises BadScript."""
         return read_script(self.script)
 
-    def parts(self) -> Parts:
+    def parts(self) -> DayParts:
         """Everything that tealsail/world/day.py needs."""
         list_lateness = tenths_pair(self.roster.late_ms)
-        return Parts(
+        return DayParts(
             self.layout(),
             self.kind(),
             self.builds_by_number(),
@@ -410,7 +410,7 @@
 
     def parsed_settings(self, relay: int) -> dict[str, Any]:
         """The relay's settings under the names that the relay uses, with times in tenths of a ms."""
-        return facts(nested(self.relay_settings(relay)))
+        return facts(nested_leaves(self.relay_settings(relay)))
 
 
 def tenths(milliseconds: float) -> int:
@@ -511,10 +511,13 @@
         least, most = getattr(getattr(scenario, table_name.replace("list", "roster")), name)
         if least > most:
             fail(field, "the first is greater than the second")
-    arrival_weights = weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
+    arrival_weights = relay_weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
     # a tenth of the numbers is kept free, since arrivals are random
-    if scenario.clients.rate * scenario.seconds * max(arrival_weights) / sum(arrival_weights) > 0.9 * STREAM:
-        fail("clients.rate", f"more than {STREAM} first tries at one relay in {scenario.seconds:.0f} s")
+    if (
+        scenario.clients.rate * scenario.seconds * max(arrival_weights) / sum(arrival_weights)
+        > 0.9 * NUMBERS_PER_STREAM
+    ):
+        fail("clients.rate", f"more than {NUMBERS_PER_STREAM} first tries at one relay in {scenario.seconds:.0f} s")
     if len(scenario.platform.caps) < len(scenario.platform.shares):
         fail("platform.caps", "fewer than platform.shares")
     for pair in scenario.network.distances_ms:
@@ -522,8 +525,8 @@
             fail(f"network.distances_ms.{pair}", "not two of fleet.zones")
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
-            scenario.operator_document().seats(scenario.parsed_settings(relay))
-    except BadDocument as problem:
+            scenario.operator_document().extra_stages(scenario.parsed_settings(relay))
+    except InvalidDocument as problem:
         fail("document", str(problem))
     if scenario.operator_document().recording:
         fail("document.recording", "a model or trial writes its own record")
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Iterator
 
-from ..record.files import Notes, read
-from ..record.lines import Head, Take, Unreadable
-from ..world.clients import STREAM, Arrival, Clients, Habits, Workload
+from ..record.files import ReadReport, read
+from ..record.lines import Head, InvalidRecord, InvocationTaken
+from ..world.clients import NUMBERS_PER_STREAM, Arrival, ClientBehaviour, Clients, Workload
 from .scenario import BadScenario, Scenario
 
-MAX_FIRST_TRIES = STREAM - 1  # of a trace, so that their numbers stay below STREAM
+MAX_FIRST_TRIES = NUMBERS_PER_STREAM - 1  # of a trace, so that their numbers stay below STREAM
 
 
 class Trace(Clients):
     """Clients whose first tries come from the scenario's trace, which is read as the day goes on.  Repeats are drawn as
     for random arrivals."""
 
-    def __init__(self, scenario: Scenario, habits: Habits, workloads: list[Workload], seed: int) -> None:
+    def __init__(self, scenario: Scenario, habits: ClientBehaviour, workloads: list[Workload], seed: int) -> None:
         super().__init__(
             habits._replace(rate=0.0),
             workloads,
@@ -23,7 +23,7 @@
             scenario.span,
             seed,
         )
-        self.relays, self.notes, self.path = scenario.fleet.relays, Notes(), scenario.clients.trace
+        self.relays, self.notes, self.path = scenario.fleet.relays, ReadReport(), scenario.clients.trace
         self.lines = self.arrivals(scenario)
         self.next_arrival = next(self.lines, None)
 
@@ -33,7 +33,7 @@
         try:
             lines = read(self.path, self.notes)
             head = next(lines, None)
-        except (Unreadable, OSError) as problem:
+        except (InvalidRecord, OSError) as problem:
             raise BadScenario(f"clients.trace: {problem}") from None
         if not isinstance(head, Head):
             raise BadScenario(f"clients.trace: {self.path}: empty")
@@ -46,7 +46,7 @@
         trace_customers = [customer_indexes.get(each.get("name"), 0) for each in head.facts.get("customers", [])] or [0]
         at = last = count = 0
         for line in lines:
-            if not isinstance(line, Take) or line.number != line.first:
+            if not isinstance(line, InvocationTaken) or line.number != line.first:
                 continue
             at, last = at + max(0, line.intended - last), line.intended
             count += 1
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -8,15 +8,43 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..choices.clock import GAP, TENTHS, disregard
-from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
+from ..choices.clock import MIN_GAP_S, TENTHS_PER_SECOND, discard_evidence
+from ..facade import (
+    CancelShot,
+    Facade,
+    Forfeit,
+    NoteReceived,
+    Outcome,
+    Reject,
+    RolloutState,
+    SendShot,
+    Step,
+    UnitEntry,
+    Units,
+    VoteAnswered,
+)
 from ..net.relay import unit_number
-from ..parts import mix
-from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
+from ..parts import stable_hash
+from ..record.lines import (
+    VERSION,
+    ConnectionOpened,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    News,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent as ShotLine,
+    ShotStarted,
+)
 from ..world.clients import Arrival
-from ..world.day import Day, Order
-from ..world.roster import Entry
-from ..world.unit import NEVER, Asked, Unit
+from ..world.day import Day, RelayCommand
+from ..world.unit import NEVER, IncomingShot, Unit
+from ..world.unit_list import Entry
 from .scenario import Scenario
 from .traffic import create_clients
 
@@ -63,7 +91,9 @@
         self.waiting_messages = 0  # messages that came while it was stopped
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.duties = ""  # the last log line of load tracker and judges
-        self.facade = Facade(settings, mix(model.seed, index, start, 7), self.clock, model.document.seats(settings))
+        self.facade = Facade(
+            settings, stable_hash(model.seed, index, start, 7), self.clock, model.document.extra_stages(settings)
+        )
         self.invocations: dict[int, Invocation] = {}
         # unit -> number of idle connections, and when one was last used
         self.idle_connections: dict[str, list[int]] = {}
@@ -104,7 +134,7 @@
         """Stops the process; events for it wait until it runs again."""
         if self.stopped_at < 0:
             self.stopped_at, self.waiting_messages = self.model.now, 0
-            self.model.record(Life(self.model.now, self.index, "stopped"))
+            self.model.record(RelayEvent(self.model.now, self.index, "stopped"))
 
     def resume(self) -> None:
         """Runs the process again: deferred events come at once.  After a long gap it discards all older state and its
@@ -113,9 +143,9 @@
             return
         model, gap, backlog = self.model, self.model.now - self.stopped_at, self.backlog
         self.stopped_at, self.backlog = -1, []
-        model.record(Life(model.now, self.index, "on"))
-        if gap > GAP * TENTHS:
-            disregard(self.facade.relay, self.clock())
+        model.record(RelayEvent(model.now, self.index, "on"))
+        if gap > MIN_GAP_S * TENTHS_PER_SECOND:
+            discard_evidence(self.facade.relay, self.clock())
             for name, (idle, _) in self.idle_connections.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
@@ -129,7 +159,7 @@
         """Records an invocation that has come to the relay's socket, and begins it."""
         model = self.model
         model.record(
-            Take(
+            InvocationTaken(
                 model.now,
                 self.index,
                 arrival.number,
@@ -148,7 +178,7 @@
         """Gives the invocation to the facade; a stopped relay only reads it when it runs again."""
         model, facade = self.model, self.facade
         workload, customer = model.workload_names[arrival.workload], model.customer_names[arrival.customer]
-        repeat = arrival.repeat and model.parts.habits.marks
+        repeat = arrival.repeat and model.parts.behaviour.marks
         number, step = facade.pick(
             workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
         )
@@ -158,9 +188,9 @@
 
     def carry_out_step(self, invocation: Invocation, step: Step) -> None:
         """Carries out the facade's next step for an invocation."""
-        if type(step) is Shoot and invocation.is_over:
+        if type(step) is SendShot and invocation.is_over:
             self.facade.report(Outcome(invocation.number, step.place, "moot"))
-        elif type(step) is Shoot:
+        elif type(step) is SendShot:
             self.shoot(invocation, step)
         elif type(step) is Reject:
             self.send_answer(invocation, "rejected", step.come_back)
@@ -181,7 +211,7 @@
         else:
             model.answered(self.index, invocation.arrival, answer, retry_after)
 
-    def shoot(self, invocation: Invocation, step: Shoot) -> None:
+    def shoot(self, invocation: Invocation, step: SendShot) -> None:
         """Sends a shot to its unit, over an idle connection if there is one, and sets its time-out."""
         model, now = self.model, self.model.now
         name = model.unit_names[step.unit]
@@ -191,8 +221,8 @@
         model.call_at(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.time_out, shot)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
-        one_way = model.day.network.way(self.index, zone)
-        if unit is None or unit.dead:  # refused at once
+        one_way = model.day.network.delay(self.index, zone)
+        if unit is None or unit.is_dead:  # refused at once
             self.idle_connections.pop(name, None)
             model.call_at(now + 2 * one_way, self.shot_ended, shot, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
@@ -209,7 +239,7 @@
                     True,
                     3 * one_way + model.parts.paths.handshake,
                 )
-                model.record(Met(now, self.index, name))
+                model.record(ConnectionOpened(now, self.index, name))
             else:
                 return model.call_at(now + 2 * one_way, self.shot_ended, shot, "full")
             model.call_at(now + wait + model.outward_delay, model.reach_unit, self, shot, unit)
@@ -239,7 +269,7 @@
             shot.connection_unit.disconnect()
         if outcome in ("served", "error", "full"):
             load = shot.unit.load(model.now) if shot.unit and shot.unit.kind.report_every else None
-        model.record(Came(model.now, self.index, invocation.arrival.number, shot.place, outcome))
+        model.record(ShotEnded(model.now, self.index, invocation.arrival.number, shot.place, outcome))
         step = self.facade.report(Outcome(invocation.number, shot.place, outcome, load))
         if outcome == "served":
             self.send_answer(invocation, "wrong" if invocation.is_wrong else "served")
@@ -254,7 +284,7 @@
         """Ends a shot before its answer, and stops it at its unit if it got there."""
         if shot.unit:
             self.model.call_at(
-                self.model.now + self.model.day.network.way(self.index, shot.unit.zone), self.model.stop_shot, shot
+                self.model.now + self.model.day.network.delay(self.index, shot.unit.zone), self.model.stop_shot, shot
             )
         self.shot_ended(shot, outcome if shot.unit else "moot")  # moot: nothing had been written
 
@@ -263,10 +293,10 @@
         facade = self.facade
         if self.stopped_at >= 0:
             return  # `resume` schedules
-        wants = facade.wants
-        if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
+        actions = facade.actions
+        if actions.votes or actions.notes or actions.cancellations or actions.lines or actions.steps:
             return self.tick()
-        due = facade.wakes[0][0] if facade.wakes else NEVER
+        due = facade.wake_ups[0][0] if facade.wake_ups else NEVER
         if due < self.timer:
             self.timer = due
             self.model.call_at(max(self.day_time(due), self.model.now), self.wake, due)
@@ -278,30 +308,30 @@
 
     def tick(self) -> None:
         """Ticks the facade and carries out what it wants."""
-        model, wants = self.model, self.facade.tick()
-        guide, judges = self.facade.relay.guide, self.facade.relay.judge.order[:3]
-        duties = f"duties keeper={guide.keeper()} judges={','.join(str(each) for each in judges)}"
+        model, actions = self.model, self.facade.tick()
+        load_tracking, judges = self.facade.relay.load_tracking, self.facade.relay.judge.order[:3]
+        duties = f"duties keeper={load_tracking.tracker_index()} judges={','.join(str(each) for each in judges)}"
         if duties != self.duties:
             self.duties = duties
             model.record(Log(model.now, self.index, duties))
-        for text in wants.lines:
+        for text in actions.lines:
             model.record(Log(model.now, self.index, text))
-        for number, step in wants.steps:
+        for number, step in actions.steps:
             if number in self.invocations:
                 self.carry_out_step(self.invocations[number], step)
-            elif type(step) is Shoot:
+            elif type(step) is SendShot:
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for to, data in wants.notes:
+        for to, data in actions.notes:
             for other in range(len(model.relays)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
                     model.call_at(model.now + wait, model.deliver_message, other, self.index, data)
-        for vote in wants.votes:
+        for vote in actions.votes:
             model.call_at(model.now + model.platform_delay, model.vote, self, *vote)
-        for what in wants.calls_off:
+        for what in actions.cancellations:
             self.call_off(what)
         self.schedule()
 
-    def call_off(self, what: CallOff) -> None:
+    def call_off(self, what: CancelShot) -> None:
         invocation = self.invocations.get(what.number)
         if invocation and what.place in invocation.shots:
             self.cancel_shot(invocation.shots[what.place], "cancelled")
@@ -312,7 +342,7 @@
         if self.defer(1, self.receive_list, entries, kind):
             return
         for entry in entries:
-            model.record(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
+            model.record(EntryReceived(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
         ahead = self.clock() - model.now  # units' starts come in the time of the other machines' clocks
         listed = [model.list_entry(entry) for entry in entries]
         self.facade.report(
@@ -327,11 +357,11 @@
 
     def receive_state(self) -> None:
         """Takes the platform's roll-out state."""
-        model, state = self.model, self.model.day.desk.state
+        model, state = self.model, self.model.day.platform.state
         if self.defer(1, self.receive_state):
             return
         model.record(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, model.now - state.since))
+        self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, model.now - state.since))
         self.schedule()
 
 
@@ -397,7 +427,7 @@
         """Starts a relay with the list as that relay was last told it, and the platform's roll-out state."""
         self.start_counts[relay] += 1
         model_relay = self.relays[relay] = ModelRelay(self, relay, self.start_counts[relay])
-        self.record(Life(self.now, relay, "up"))
+        self.record(RelayEvent(self.now, relay, "up"))
         roster = self.day.roster
         model_relay.receive_state()
         model_relay.receive_list(roster.whole(roster.told[relay]), "old copy")
@@ -407,7 +437,7 @@
         model_relay, self.relays[relay] = self.relays[relay], None
         if model_relay is None:
             return
-        self.record(Life(self.now, relay, "down"))
+        self.record(RelayEvent(self.now, relay, "down"))
         self.faults += model_relay.facade.faults
         for name, (idle, _) in model_relay.idle_connections.items():
             if name in self.day.fleet.units:
@@ -415,7 +445,7 @@
         for _, call, what in model_relay.backlog:  # invocations that it had not read yet
             if call == model_relay.begin:
                 self.open_invocations -= 1
-                self.record(End(self.now, relay, what[0].number, "lost"))
+                self.record(InvocationEnded(self.now, relay, what[0].number, "lost"))
         for invocation in model_relay.invocations.values():
             for shot in invocation.shots.values():
                 shot.is_over = True
@@ -426,7 +456,7 @@
             if not invocation.is_over:
                 invocation.is_over = True
                 self.open_invocations -= 1
-                self.record(End(self.now, relay, invocation.arrival.number, "lost"))
+                self.record(InvocationEnded(self.now, relay, invocation.arrival.number, "lost"))
 
     def acting_relays(self, name: str) -> list[int]:
         """The relays that act as `keeper` (the load tracker), `judge` or `judges`, as most relays see it."""
@@ -435,7 +465,9 @@
             if model_relay:
                 relay = model_relay.facade.relay
                 for each in (
-                    [relay.guide.keeper()] if name == "keeper" else relay.judge.order[: 3 if name == "judges" else 1]
+                    [relay.load_tracking.tracker_index()]
+                    if name == "keeper"
+                    else relay.judge.order[: 3 if name == "judges" else 1]
                 ):
                     votes[each] = votes.get(each, 0) + 1
         best = sorted((each for each in votes if each >= 0), key=lambda each: (-votes[each], each))
@@ -444,12 +476,12 @@
     def refresh(self, relay: int) -> None:
         """A relay that was stopped for a while gets the whole list and the roll-out state again."""
         model_relay, roster = self.relays[relay], self.day.roster
-        if model_relay and self.day.network.has(self.now, relay, "list"):
+        if model_relay and self.day.network.reaches_service(self.now, relay, "list"):
             model_relay.receive_list(roster.whole(roster.told[relay]), "whole")
         if model_relay:
             self.send_state(relay)
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """Does to a relay's process what the script orders.  A step of the wall clock has no effect, since relays go
         by a steady clock (tealsail/choices/clock.py).  A switch to another checkout is only a restart: the model has
         one program."""
@@ -495,12 +527,12 @@
             if model_relay.waiting_messages <= SOCKET_BUFFER:
                 model_relay.defer(1, self.deliver_message, to, sender, data)
         elif model_relay:
-            model_relay.facade.report(Heard(sender, data))
+            model_relay.facade.report(NoteReceived(sender, data))
             model_relay.schedule()
 
     def vote(self, model_relay: ModelRelay, build: int, stage: int, verdict: str) -> None:
         """A relay's vote reaches the platform, which answers or, if it is silent or cut off, lets it time out."""
-        if not self.day.network.has(self.now, model_relay.index, "platform"):
+        if not self.day.network.reaches_service(self.now, model_relay.index, "platform"):
             answer = "nothing"  # the vote was lost
         else:
             answer = self.day.vote(self.now, model_relay.index, build, stage, verdict)
@@ -513,7 +545,7 @@
         if self.relays[model_relay.index] is model_relay and not model_relay.defer(
             1, self.vote_answered, model_relay, answer
         ):
-            model_relay.facade.report(Counted(answer))
+            model_relay.facade.report(VoteAnswered(answer))
             model_relay.schedule()
 
     # clients
@@ -534,7 +566,7 @@
     def answered(self, relay: int, arrival: Arrival, answer: str, retry_after: int) -> None:
         """An answer has come to its client."""
         self.open_invocations -= 1
-        self.record(End(self.now, relay, arrival.number, answer))
+        self.record(InvocationEnded(self.now, relay, arrival.number, answer))
         again = self.day.clients.answered(self.now, arrival, answer, retry_after)
         if again:
             self.pending_repeats += 1
@@ -554,11 +586,11 @@
         """A shot has reached its unit."""
         if shot.is_over:
             return
-        if unit.dead:
+        if unit.is_dead:
             return model_relay.shot_ended(shot, "unreachable")
         shot.unit = unit
         arrival = shot.invocation.arrival
-        unit.take(self.now, Asked((model_relay, shot), arrival.first, arrival.workload), shot.is_new_connection)
+        unit.take(self.now, IncomingShot((model_relay, shot), arrival.first, arrival.workload), shot.is_new_connection)
         self.collect(unit)
 
     def stop_shot(self, shot: InFlightShot) -> None:
@@ -570,20 +602,24 @@
     def collect(self, unit: Unit) -> None:
         """Takes a unit's new outcomes, and sets a timer for when it is due."""
         for (model_relay, shot), work in unit.taken:
-            self.record(Ran(self.now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, work))
+            self.record(
+                ShotStarted(self.now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, work)
+            )
         unit.taken.clear()
-        if unit.said:
-            said, unit.said = unit.said, []
+        if unit.outcomes:
+            outcomes, unit.outcomes = unit.outcomes, []
             network, now = self.day.network, self.now
-            for (model_relay, shot), outcome in said:
+            for (model_relay, shot), outcome in outcomes:
                 self.record(
-                    Done(now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, outcome)
+                    ShotAnswered(now, model_relay.index, shot.invocation.arrival.number, shot.place, unit.name, outcome)
                 )
                 if not shot.is_over and network.reaches(now, model_relay.index, unit.name, unit.zone):
-                    self.call_at(now + network.way(model_relay.index, unit.zone), model_relay.shot_ended, shot, outcome)
-        if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
-            unit.told_fallen = True
-            self.day.fallen(self.now, unit)
+                    self.call_at(
+                        now + network.delay(model_relay.index, unit.zone), model_relay.shot_ended, shot, outcome
+                    )
+        if unit.crashed and unit.name in self.day.fleet.units and not unit.crash_reported:
+            unit.crash_reported = True
+            self.day.record_crash(self.now, unit)
             self.follow_day()
         due = unit.due
         if due < unit.wake_at:
@@ -609,13 +645,13 @@
         left = day.left()
         for line in left.lines:
             self.record(line)
-        for unit in left.touched:
+        for unit in left.changed_units:
             self.collect(unit)
-        for version in left.rounds:
+        for version in left.list_versions:
             for relay, lag in enumerate(day.roster.lag):
                 self.call_at(self.now + lag, self.send_list, relay, version)
-        if day.moved and self.now >= day.desk.silent_until:
-            day.moved = False
+        if day.rollout_changed and self.now >= day.platform.silent_until:
+            day.rollout_changed = False
             for relay in range(len(self.relays)):
                 self.call_at(self.now + self.platform_delay, self.send_state, relay)
         for order in left.relays:
@@ -627,9 +663,9 @@
 
     def send_list(self, relay: int, version: int) -> None:
         """Sends a relay the changes of the list up to a version."""
-        if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
+        if self.day.roster.is_frozen(self.now, relay) or not self.day.network.reaches_service(self.now, relay, "list"):
             return  # the list is sent once it is no longer stale or cut off
-        _, entries = self.day.roster.news(relay, version)
+        _, entries = self.day.roster.take_changes(relay, version)
         if entries and self.relays[relay]:
             self.relays[relay].receive_list(entries, "changes")
 
@@ -637,15 +673,15 @@
         """Sends a relay the roll-out state, unless the platform is silent or out of reach."""
         if (
             self.relays[relay]
-            and self.now >= self.day.desk.silent_until
-            and self.day.network.has(self.now, relay, "platform")
+            and self.now >= self.day.platform.silent_until
+            and self.day.network.reaches_service(self.now, relay, "platform")
         ):
             self.relays[relay].receive_state()
 
-    def list_entry(self, entry: Entry) -> Listed:
+    def list_entry(self, entry: Entry) -> UnitEntry:
         """An entry of the list in the facade's form."""
         number = unit_number(entry.name)
         self.unit_names[number] = entry.name
-        return Listed(
+        return UnitEntry(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
         )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 import msgspec
+from tealsail.lab.scale.hollow_relay import HollowRelay, Outside
+from tealsail.lab.scale.real_relays import CLOCK
+from tealsail.lab.scale.results import windows
 
 from tealsail.lab.scale import hollow, runs
 from tealsail.lab.scale.addresses import ScaleAddresses, backend_number
 from tealsail.lab.scale.director import Plan
-from tealsail.lab.scale.hollow import HollowRelay, Outside
-from tealsail.lab.scale.reading import windows
-from tealsail.lab.scale.real import CLOCK
 from tealsail.lab.scale.runs import MARK
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
@@ -179,7 +179,7 @@
 def play(driven: Driven) -> list[tuple[bytes, tuple[str, int]]]:
     """One sequence of events: requests, every kind of answer, messages of others, news; what was sent, in order."""
     reactor = driven.reactor
-    tracker = driven.relay.facade.relay.guide.order[0]
+    tracker = driven.relay.facade.relay.load_tracking.order[0]
     answered = 0
     for step in range(900):
         driven.step()
