--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -8,8 +8,8 @@
 from rich.table import Table
 
 from ..lab.capacity import slopes
-from ..lab.scale import foretold, runs
-from ..lab.scale.reading import NONE, RoleSeen, Run, Spread
+from ..lab.scale import prediction, runs
+from ..lab.scale.results import NONE, RoleSeen, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import Unreadable
 from .capacity import DEFAULT_FROM
@@ -91,7 +91,7 @@
     table = Table(title=f"seen beside what {path} foretells at this size")
     for place, column in enumerate(("role", "cost", "foretold", "seen", "ratio", "within 20%")):
         table.add_column(column, justify="left" if place < 2 else "right")
-    compared = foretold.compare(found, slopes.read(path))
+    compared = prediction.compare(found, slopes.read(path))
     for each in compared:
         near = "yes" if each.within else "NO"
         amount = f"{each.foretold:.4g} ±{each.error:.2g}"
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -11,7 +11,7 @@
 from ...world.clients import TRY
 from ...world.unit import NEVER, Asked, Unit
 from ..loopback.trial_setup import TrialSetup
-from .words import Backend
+from .director_messages import Backend
 
 Load = dict[str, float] | None
 
--- a/tealsail/lab/scale/chart.py
+++ b/tealsail/lab/scale/chart.py
@@ -7,7 +7,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-from .reading import Run  # noqa: E402
+from .results import Run  # noqa: E402
 
 ROWS = (
     ("service", "served in time, part"),
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -28,11 +28,11 @@
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
-from . import words
+from . import director_messages
 from .addresses import ScaleAddresses
 from .backends import Backends
-from .real import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
-from .words import RelayCost, decode, encode
+from .director_messages import RelayCost, decode, encode
+from .real_relays import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
 
 TENTHS = 10_000  # in a second
 LEAD = 0.5  # seconds between the last relay's coming up and the day
@@ -109,15 +109,17 @@
         self.record = director.folder / f"group-{place}.record"
         self.held, self.errors = b"", b""
         self.ready = self.answered = self.ended = False
-        self.over: words.Over | None = None
+        self.over: director_messages.Over | None = None
         self.process = director.reactor.spawnProcess(self, sys.executable, director.program(), None)
         cores = sorted(os.sched_getaffinity(0))
         os.sched_setaffinity(self.process.pid, {cores[place % len(cores)]})  # else the system may put all on one
         day = director.scenario.plain()
         port = director.port_block.port
-        self.tell(words.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays))
+        self.tell(
+            director_messages.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays)
+        )
 
-    def tell(self, word: words.Word) -> None:
+    def tell(self, word: director_messages.Word) -> None:
         if not self.ended:
             self.transport.write(encode(word))
 
@@ -167,7 +169,7 @@
         self.clients = RealClients(self.setup, self.real)
         self.groups: list[Group] = []
         self.group_of: dict[int, Group] = {}
-        self.told: dict[str, words.Backend] = {}  # what was last said of each backend that changed
+        self.told: dict[str, director_messages.Backend] = {}  # what was last said of each backend that changed
         self.list_version, self.list_timer = self.day.roster.version, None
         self.traffic: dict[int, list[int]] = {}
         self.waiting = 0  # whose clients have no answer yet
@@ -203,7 +205,7 @@
 
     def program(self) -> list[str]:
         """What a process of hollow relays runs."""
-        module = f"{__package__}.process"
+        module = f"{__package__}.hollow_process"
         if self.plan.rate == 1.0:
             return [sys.executable, "-B", "-m", module]
         return [sys.executable, "-B", str(CLOCK), repr(self.plan.rate), repr(self.plan.zero), module]
@@ -246,7 +248,7 @@
         self.setup.begin(zero)
         self.clients.receive(parts.DayBegin(zero))
         for group in self.groups:
-            group.tell(words.Begin(zero))
+            group.tell(director_messages.Begin(zero))
         self.wake()
         self.ping()
         self.reactor.callLater(LEAD, self.day_begins)
@@ -297,7 +299,7 @@
         self.relays.count()
         self.clients.receive(parts.ArrivalsOver())
         for group in self.groups:
-            group.tell(words.Close())
+            group.tell(director_messages.Close())
         self.reactor.callLater(GRACE, self.finish)
 
     def part_said(self, word: Any) -> None:
@@ -312,24 +314,24 @@
     def heard(self, group: Group, word: Any) -> None:
         """What a process of hollow relays says."""
         match word:
-            case words.Ready():
+            case director_messages.Ready():
                 group.ready = True
                 self.begin_if_ready()
-            case words.Vote(relay, build, stage, verdict):
+            case director_messages.Vote(relay, build, stage, verdict):
                 answer = self.vote(relay, build, stage, verdict)
                 if answer != "nothing":
-                    group.tell(words.Voted(relay, answer))
-            case words.Fell(name):
+                    group.tell(director_messages.Voted(relay, answer))
+            case director_messages.Fell(name):
                 self.fell(name)
-            case words.Traffic(second, sent, received):
+            case director_messages.Traffic(second, sent, received):
                 so_far = self.traffic.setdefault(second, [0, 0])
                 so_far[0] += sent
                 so_far[1] += received
-            case words.Wrong(text):
+            case director_messages.Wrong(text):
                 self.wrong(text)
-            case words.Answered():
+            case director_messages.Answered():
                 self.one_answered()
-            case words.Over():
+            case director_messages.Over():
                 group.over = word
                 self.end_if_all_over()
 
@@ -338,7 +340,7 @@
             self.over = True
             self.relays.end()
             for group in self.groups:
-                group.tell(words.Stop())
+                group.tell(director_messages.Stop())
 
     def real_gone(self) -> None:
         self.end_if_all_over()
@@ -429,7 +431,7 @@
         since, self.list_version = self.list_version, roster.version
         last = {entry.name: entry for entry in roster.log[since : roster.version]}
         for group in self.groups:
-            group.tell(words.Listed(roster.version, list(last.values())))
+            group.tell(director_messages.Listed(roster.version, list(last.values())))
         for relay in self.real:
             self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.publish, relay, roster.version)
 
@@ -437,7 +439,7 @@
         state = self.day.desk.state
         self.platform.publish()
         for group in self.groups:
-            group.tell(words.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
+            group.tell(director_messages.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
 
     def carry_out(self, order: Order) -> None:
         """A script may kill hollow relays, which come up again; only a real one has a process that can be stopped."""
@@ -447,10 +449,10 @@
         match order.what:
             case "down":
                 self.tell(Life(self.setup.now(), order.relay, "down"))
-                group.tell(words.Kill(order.relay))
+                group.tell(director_messages.Kill(order.relay))
             case "up":
                 self.tell(Life(self.setup.now(), order.relay, "up"))
-                group.tell(words.Start(order.relay))
+                group.tell(director_messages.Start(order.relay))
             case _:
                 self.wrong(f"relay {order.relay} is hollow: '{order.what}' can be done to real ones alone")
 
@@ -464,7 +466,7 @@
         return sorted(lines, key=lambda line: line.at)
 
     def lost_alive(self) -> list[str]:
-        """Requests that a real relay lost which nobody had killed, in words."""
+        """Requests that a real relay lost which nobody had killed, in director_messages."""
         return [
             f"relay {relay}, which nobody had killed, lost a request at {at / TENTHS:.3f}s"
             for relay, at in self.clients.lost_while_up
@@ -515,11 +517,11 @@
     return msgspec.structs.replace(cost, counts={name: count - first.get(name, 0) for name, count in last.items()})
 
 
-def backend(name: str, unit: Unit | None) -> words.Backend:
+def backend(name: str, unit: Unit | None) -> director_messages.Backend:
     """As the day's fleet has it; none: it is gone."""
     if unit is None:
-        return words.Backend(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
-    return words.Backend(
+        return director_messages.Backend(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
+    return director_messages.Backend(
         name,
         unit.mark,
         unit.build.number,
@@ -539,7 +541,7 @@
     """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
     from twisted.internet import reactor
 
-    from .reading import read_run
+    from .results import read_run
 
     told = json.load(sys.stdin)
     raise_descriptor_limit()
--- a/tealsail/lab/scale/process.py
+++ b/tealsail/lab/scale/hollow_process.py
@@ -30,11 +30,11 @@
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
-from . import words
+from . import director_messages
 from .addresses import ScaleAddresses
 from .backends import Backends
-from .hollow import HollowRelay, Outside
-from .words import RelayCost, decode, encode
+from .director_messages import RelayCost, decode, encode
+from .hollow_relay import HollowRelay, Outside
 
 TENTHS = 10_000  # in a second
 LOOK_EVERY, STALL = 200, 200  # tenths of a ms: between looks at the loop; later than that is a stall
@@ -79,7 +79,7 @@
     def whole(self) -> News:
         return News(self.version, True, list(self.entries.values()))
 
-    def change(self, word: words.Listed) -> News:
+    def change(self, word: director_messages.Listed) -> News:
         """What relays are told of the changes."""
         self.version = word.version
         told = []
@@ -101,7 +101,7 @@
 class HollowProcess:
     """Hundreds of hollow relays and what is round them; `say` takes words for the director."""
 
-    def __init__(self, reactor: Any, cast: words.Cast, say: Any) -> None:
+    def __init__(self, reactor: Any, cast: director_messages.Cast, say: Any) -> None:
         self.reactor, self.cast, self.say = reactor, cast, say
         self.scenario: Scenario = convert(cast.scenario)
         self.writer = Writer(cast.record)
@@ -111,9 +111,9 @@
         day = Day(self.scenario.parts(), cast.seed, clients_of(self.scenario, cast.seed))
         self.clients, self.lags = day.clients, day.roster.lag
         self.listing = Listing(self.setup, day)
-        self.backends = Backends(self.setup, day.fleet.units, lambda name: say(words.Fell(name)))
+        self.backends = Backends(self.setup, day.fleet.units, lambda name: say(director_messages.Fell(name)))
         state = day.desk.state
-        self.rollout = words.Rollout(state.build, state.stage, state.phase, state.cap, 0)
+        self.rollout = director_messages.Rollout(state.build, state.stage, state.phase, state.cap, 0)
         self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
         self.outside = Outside(
             self.backends, self.listing.names, self.vote, self.list_anew, self.note_sent, self.note_received
@@ -149,7 +149,7 @@
     def wrong(self, text: str) -> None:
         self.wrongs += 1
         if self.wrongs <= 20:
-            self.say(words.Wrong(f"process {self.cast.place}: {text}"))
+            self.say(director_messages.Wrong(f"process {self.cast.place}: {text}"))
 
     # relays
     def build(self) -> None:
@@ -167,7 +167,7 @@
         gc.collect()
         gc.freeze()
         gc.enable()
-        self.say(words.Ready())
+        self.say(director_messages.Ready())
 
     def assignment(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
@@ -204,7 +204,7 @@
         )
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> None:
-        self.say(words.Vote(relay, build, stage, verdict))
+        self.say(director_messages.Vote(relay, build, stage, verdict))
 
     def list_anew(self, one: HollowRelay) -> None:
         self.reactor.callLater(0, self.tell_list, one, self.listing.whole(), "whole")
@@ -238,21 +238,21 @@
     # what the director says
     def heard(self, word: Any) -> None:
         match word:
-            case words.Begin(zero):
+            case director_messages.Begin(zero):
                 self.begin(zero)
-            case words.Backend():
+            case director_messages.Backend():
                 self.backends.change(word)
-            case words.Listed():
+            case director_messages.Listed():
                 self.list_changed(self.listing.change(word))
-            case words.Rollout():
+            case director_messages.Rollout():
                 self.rollout_changed(word)
-            case words.Kill(relay):
+            case director_messages.Kill(relay):
                 self.kill(relay)
-            case words.Start(relay) if relay not in self.relays:
+            case director_messages.Start(relay) if relay not in self.relays:
                 self.start(relay)
-            case words.Voted(relay, answer) if relay in self.relays:
+            case director_messages.Voted(relay, answer) if relay in self.relays:
                 self.relays[relay].on_vote_answer(answer)
-            case words.Close():
+            case director_messages.Close():
                 self.closing = True
                 self.look()
 
@@ -277,7 +277,7 @@
         for relay, one in self.relays.items():
             self.reactor.callLater(self.lags[relay] / TENTHS, self.tell_list, one, news, "changes")
 
-    def rollout_changed(self, word: words.Rollout) -> None:
+    def rollout_changed(self, word: director_messages.Rollout) -> None:
         self.rollout = word
         for relay, one in list(self.relays.items()):
             self.tell_rollout(relay)
@@ -288,7 +288,7 @@
         meters = [one.meter for one in self.relays.values()]
         gone = sum(cost.sent for cost in self.ended), sum(cost.received for cost in self.ended)
         now = gone[0] + sum(meter.sent for meter in meters), gone[1] + sum(meter.received for meter in meters)
-        self.say(words.Traffic(second, now[0] - self.datagrams[0], now[1] - self.datagrams[1]))
+        self.say(director_messages.Traffic(second, now[0] - self.datagrams[0], now[1] - self.datagrams[1]))
         self.datagrams = now
         if not self.closing:
             self.reactor.callLater(self.setup.seconds_until((second + 2) * TENTHS), self.count_traffic, second + 1)
@@ -369,7 +369,7 @@
     def look(self) -> None:
         if self.closing and not self.serving and not self.repeats:
             self.closing = False
-            self.say(words.Answered())
+            self.say(director_messages.Answered())
 
     # what it cost
     def cost(self, relay: int, one: HollowRelay) -> RelayCost:
@@ -391,13 +391,13 @@
         ]
         return RelayCost(now.relay, now.lived - before.lived, cpu, *figures)
 
-    def over(self) -> words.Over:
+    def over(self) -> director_messages.Over:
         costs = [self.of_the_day(self.cost(relay, one)) for relay, one in self.relays.items()]
         for one in self.relays.values():
             if one.facade.faults:
                 self.wrong(f"relay {one.index}: {one.facade.faults} faults of the module")
         self.writer.close()
-        return words.Over(
+        return director_messages.Over(
             costs,
             time.process_time() - self.cpu_begun,
             proportional_memory(),
@@ -415,7 +415,7 @@
         self.reactor, self.held = reactor, b""
         self.process: HollowProcess | None = None
 
-    def say(self, word: words.Word) -> None:
+    def say(self, word: director_messages.Word) -> None:
         self.transport.write(encode(word))
 
     def dataReceived(self, data: bytes) -> None:
@@ -425,10 +425,10 @@
 
     def heard(self, word: Any) -> None:
         match word:
-            case words.Cast():
+            case director_messages.Cast():
                 self.process = HollowProcess(self.reactor, word, self.say)
                 self.process.build()
-            case words.Stop():
+            case director_messages.Stop():
                 self.say(self.process.over())
                 self.reactor.callLater(0.1, self.reactor.stop)
             case _:
--- a/tealsail/lab/scale/foretold.py
+++ b/tealsail/lab/scale/prediction.py
@@ -5,7 +5,7 @@
 from ..capacity.points import Cost, Side
 from ..capacity.roles import FleetSize, Role, RoleCost, Term, foretell
 from ..capacity.slopes import Slopes
-from .reading import RoleSeen, Run
+from .results import RoleSeen, Run
 
 NEAR = 0.2  # of what was foretold: within it the page's slope holds
 MILLISECONDS = 1000  # in a second
--- a/tealsail/lab/scale/runs.py
+++ b/tealsail/lab/scale/runs.py
@@ -12,8 +12,8 @@
 
 from ..scenario import BadScenario, Scenario
 from .director import Plan
-from .reading import Run
-from .real import CLOCK
+from .real_relays import CLOCK
+from .results import Run
 
 MOST_SECONDS = 480.0  # true ones
 MORE_SECONDS = 60.0  # to end in, and to read the record
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from tealsail.lab.scale import hollow, runs
+from tealsail.lab.scale import hollow_relay, runs
 from tealsail.lab.scale.addresses import ScaleAddresses, backend_number
 from tealsail.lab.scale.director import Plan
-from tealsail.lab.scale.hollow import HollowRelay, Outside
-from tealsail.lab.scale.reading import windows
-from tealsail.lab.scale.real import CLOCK
+from tealsail.lab.scale.hollow_relay import HollowRelay, Outside
+from tealsail.lab.scale.real_relays import CLOCK
+from tealsail.lab.scale.results import windows
 from tealsail.lab.scale.runs import MARK
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
@@ -212,12 +212,12 @@
     maxDiff = 2000
 
     def compared(self, kind: type[HollowRelay]) -> tuple[list, list]:
-        hollow.ONE_WAY, before = 0, hollow.ONE_WAY  # connections in memory take no time either
+        hollow_relay.ONE_WAY, before = 0, hollow_relay.ONE_WAY  # connections in memory take no time either
         DrivenHollow.kind = kind
         try:
             return play(DrivenReal()), play(DrivenHollow())
         finally:
-            hollow.ONE_WAY, DrivenHollow.kind = before, HollowRelay
+            hollow_relay.ONE_WAY, DrivenHollow.kind = before, HollowRelay
 
     def test_a_hollow_relay_sends_byte_for_byte_what_a_real_one_sends_for_the_same_events(self) -> None:
         real, hollow_ones = self.compared(HollowRelay)
