--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -9,7 +9,7 @@
 
 from ..lab.capacity import slopes
 from ..lab.scale import prediction, runs
-from ..lab.scale.results import NONE, RoleSeen, Run, Spread
+from ..lab.scale.results import NO_VALUE, RoleUsage, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import Unreadable
 from .capacity import DEFAULT_FROM
@@ -49,7 +49,7 @@
 
         chart.draw(chosen["--chart"], found)
         out.print(f"chart: {chosen['--chart']}")
-    return 2 if found.void else int(not found.kept)
+    return 2 if found.is_void else int(not found.has_passed)
 
 
 def show(found: Run, slow: float, out: Console) -> None:
@@ -63,7 +63,7 @@
         f"{found.day_seconds:.0f} s to play; arrivals at hollow relays over 10 ms late: {found.late_part:.2%}"
     )
     stalled = f"a process stood behind for {found.stalled_part:.2%} of the day at worst"
-    out.print(f"VOID, the machine was too busy: {stalled}" if found.void else stalled)
+    out.print(f"VOID, the machine was too busy: {stalled}" if found.is_void else stalled)
     out.print(window_table(found))
     out.print(role_table(found))
     for role in found.roles:
@@ -93,19 +93,19 @@
         table.add_column(column, justify="left" if place < 2 else "right")
     compared = prediction.compare(found, slopes.read(path))
     for each in compared:
-        near = "yes" if each.within else "NO"
-        amount = f"{each.foretold:.4g} ±{each.error:.2g}"
-        table.add_row(each.role, each.cost, amount, f"{each.seen:.4g}", f"{each.ratio:.2f}", near)
+        near = "yes" if each.is_within else "NO"
+        amount = f"{each.predicted:.4g} ±{each.error:.2g}"
+        table.add_row(each.role, each.cost, amount, f"{each.measured:.4g}", f"{each.ratio:.2f}", near)
     out.print(table)
     for each in compared:
-        if not each.within:
+        if not each.is_within:
             out.print(
-                f"{each.role}, {each.cost}: {each.ratio:.2f} times what was foretold; most of that: {each.because}"
+                f"{each.role}, {each.cost}: {each.ratio:.2f} times what was foretold; most of that: {each.largest_term}"
             )
 
 
 def shown(value: float, form: str) -> str:
-    return "-" if value == NONE else format(value, form)
+    return "-" if value == NO_VALUE else format(value, form)
 
 
 def window_table(found: Run) -> Table:
@@ -129,7 +129,9 @@
     ):
         table.add_column(column, justify="left" if place == 0 else "right")
     for each in found.windows:
-        restored = "" if each.name == "calm" else "not seen" if each.restored_s == NONE else f"{each.restored_s:.0f}"
+        restored = (
+            "" if each.name == "calm" else "not seen" if each.restored_s == NO_VALUE else f"{each.restored_s:.0f}"
+        )
         table.add_row(
             each.name,
             f"{each.begin_s:.0f}",
@@ -161,7 +163,7 @@
     return table
 
 
-def role_cells(role: RoleSeen) -> list[str]:
+def role_cells(role: RoleUsage) -> list[str]:
     return [
         three(Spread(*(100 * part for part in role.processor)), ".2f"),
         three(role.memory_mb, ".1f"),
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -1,6 +1,6 @@
-"""The backends as one process of a scale run has them: the world's machines, and the attempts that are at them.
+"""The backends of one process of a scale run: simulated machines (world/unit.py) and the attempts that they have.
 
-Every process has all of them, and each machine queues only what relays of its own process send it; what all relays
+Every process has all backends, and each of them queues only what relays of its own process send it; what all relays
 together sent to one is read from the merged record.
 """
 
@@ -11,122 +11,126 @@
 from ...world.clients import TRY
 from ...world.unit import NEVER, Asked, Unit
 from ..loopback.trial_setup import TrialSetup
-from .director_messages import Backend
+from .director_messages import BackendState
 
-Load = dict[str, float] | None
+Load = dict[str, float] | None  # a backend's load report: figures by field; None if it sends none
 
 
 class Attempt(Protocol):
-    """What a backend holds: an attempt of a relay, in this process or behind a socket."""
+    """An attempt of a relay at a backend, from this process or over a socket."""
 
     relay: int
-    number: int
-    place: int
-    name: str
+    number: int  # of its request
+    index: int  # among the attempts of its request that came to this process
+    backend: str
 
-    def answered(self, outcome: str, load: Load) -> None:
-        """The backend's answer: served, wrong, error, full or reset."""
+    def on_answer(self, outcome: str, load: Load) -> None:
+        """Take the backend's answer: served, wrong, error, full or reset."""
 
 
 class Backends:
-    """Takes attempts in, wakes the machines at work and hands on their answers; `fell` is told of one that falls."""
+    """Takes attempts, wakes the machines at work and passes on their answers; `on_crash` gets the name of a backend
+    that crashes under its load."""
 
-    def __init__(self, setup: TrialSetup, machines: dict[str, Unit], fell: Callable[[str], None]) -> None:
-        self.setup, self.machines, self.fell = setup, machines, fell
-        self.attempted: Callable[[int, str], None] = lambda relay, name: None  # told before an attempt is recorded
+    def __init__(self, setup: TrialSetup, machines: dict[str, Unit], on_crash: Callable[[str], None]) -> None:
+        self.setup, self.machines, self.on_crash = setup, machines, on_crash
+        # called with relay and backend before an attempt is recorded
+        self.on_attempt: Callable[[int, str], None] = lambda relay, name: None
         self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
         self.builds = setup.scenario.builds_by_number()
-        self.timers: dict[str, Any] = {}  # backend at work -> when it is woken next
-        self.places: dict[int, int] = {}  # request -> its attempts that came here
+        self.timers: dict[str, Any] = {}  # by backend: the timer of its next wake-up
+        self.last_indexes: dict[int, int] = {}  # by request: the index of its last attempt that came here
 
-    def next_place(self, number: int) -> int:
-        """A number for an attempt among those of its request."""
-        place = self.places[number] = self.places.get(number, -1) + 1
-        return place
+    def next_index(self, number: int) -> int:
+        """The index of the next attempt of that request."""
+        index = self.last_indexes[number] = self.last_indexes.get(number, -1) + 1
+        return index
 
     def forget(self, number: int) -> None:
-        """The request is over."""
-        self.places.pop(number, None)
+        """Drop the request's index once the request is over."""
+        self.last_indexes.pop(number, None)
 
     def running(self, name: str) -> Unit | None:
+        """The machine of that backend, None if it does not run."""
         machine = self.machines.get(name)
         return machine if machine and not machine.dead else None
 
     def take(self, attempt: Attempt, request_class: int, wait: int) -> bool:
-        """False: nobody is there."""
-        machine = self.running(attempt.name)
+        """Hand an attempt to its backend; False if that does not run.  `wait`: the relay's, in tenths of a ms."""
+        machine = self.running(attempt.backend)
         if machine is None:
             return False
         now = self.setup.now()
-        self.attempted(attempt.relay, attempt.name)
+        self.on_attempt(attempt.relay, attempt.backend)
         self.setup.record_line(
-            Shot(now, attempt.relay, attempt.number, attempt.place, attempt.name, machine.build.number, wait)
+            Shot(now, attempt.relay, attempt.number, attempt.index, attempt.backend, machine.build.number, wait)
         )
         machine.take(now, Asked(attempt, attempt.number % TRY, request_class))
-        self.touch(machine)
+        self.follow_up(machine)
         return True
 
-    def stop(self, attempt: Attempt) -> None:
-        """Its relay waits no longer."""
+    def cancel(self, attempt: Attempt) -> None:
+        """Stop work on an attempt whose relay waits no longer."""
         now = self.setup.now()
-        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.place, "cancelled"))
-        machine = self.running(attempt.name)
+        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.index, "cancelled"))
+        machine = self.running(attempt.backend)
         if machine:
             machine.stop(now, attempt)
-            self.touch(machine)
+            self.follow_up(machine)
 
-    def change(self, word: Backend) -> None:
-        """A backend comes up, goes, or changes."""
-        machine, now = self.machines.get(word.name), self.setup.now()
-        if machine and (word.dead or (machine.mark, machine.started) != (word.mark, word.started)):
-            del self.machines[word.name]
+    def update(self, state: BackendState) -> None:
+        """Start, end or change a backend as the director says."""
+        machine, now = self.machines.get(state.name), self.setup.now()
+        if machine and (state.dead or (machine.mark, machine.started) != (state.mark, state.started)):
+            del self.machines[state.name]
             machine.die(now)
-            self.touch(machine)
+            self.follow_up(machine)
             machine = None
-        if word.dead:
+        if state.dead:
             return
         if machine is None:
-            build = self.builds[word.build]
+            build = self.builds[state.build]
             machine = Unit(
-                word.name,
-                word.mark,
+                state.name,
+                state.mark,
                 build,
                 self.kind,
-                word.speed,
-                word.zone,
-                word.cell,
-                word.started,
+                state.speed,
+                state.zone,
+                state.cell,
+                state.started,
                 self.works,
                 self.setup.seed,
             )
-            self.machines[word.name] = machine
-        if machine.hung != word.hung:
-            machine.hang(now, word.hung)
-        if machine.slow != word.slow:
-            machine.slow_down(now, word.slow)
-        machine.errors = word.errors
-        if word.draining and not machine.draining:
+            self.machines[state.name] = machine
+        if machine.hung != state.hung:
+            machine.hang(now, state.hung)
+        if machine.slow != state.slow:
+            machine.slow_down(now, state.slow)
+        machine.errors = state.errors
+        if state.draining and not machine.draining:
             machine.drain(now)
-        self.touch(machine)
+        self.follow_up(machine)
 
-    def touch(self, machine: Unit) -> None:
-        """Takes up what a machine said, and when it wants to be woken."""
-        now, tell = self.setup.now(), self.setup.record_line
+    def follow_up(self, machine: Unit) -> None:
+        """Record and pass on what a machine has begun and answered, and schedule its next wake-up."""
+        now, record_line = self.setup.now(), self.setup.record_line
         taken, machine.taken = machine.taken, []
         for attempt, work in taken:
-            tell(Ran(now, attempt.relay, attempt.number, attempt.place, machine.name, work))
+            record_line(Ran(now, attempt.relay, attempt.number, attempt.index, machine.name, work))
         said, machine.said = machine.said, []
         for attempt, outcome in said:
-            tell(Done(now, attempt.relay, attempt.number, attempt.place, machine.name, outcome))
-            came = "served" if outcome == "wrong" else outcome
-            tell(Came(now, attempt.relay, attempt.number, attempt.place, came))
-            attempt.answered(outcome, machine.load(now) if machine.kind.report_every else None)
+            record_line(Done(now, attempt.relay, attempt.number, attempt.index, machine.name, outcome))
+            seen_outcome = "served" if outcome == "wrong" else outcome  # a relay can't tell a wrong answer
+            record_line(Came(now, attempt.relay, attempt.number, attempt.index, seen_outcome))
+            attempt.on_answer(outcome, machine.load(now) if machine.kind.report_every else None)
         if machine.fell and not machine.told_fallen:
             machine.told_fallen = True
-            self.fell(machine.name)
-        self.plan(machine)
+            self.on_crash(machine.name)
+        self.schedule(machine)
 
-    def plan(self, machine: Unit) -> None:
+    def schedule(self, machine: Unit) -> None:
+        """Set the timer of the machine's next wake-up."""
         timer, due = self.timers.get(machine.name), machine.due
         if due < NEVER and not machine.dead:
             if timer and timer.active():
@@ -142,4 +146,4 @@
     def wake(self, machine: Unit) -> None:
         if self.machines.get(machine.name) is machine:
             machine.wake(self.setup.now())
-            self.touch(machine)
+            self.follow_up(machine)
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -1,7 +1,8 @@
-"""One scale run: real relays, processes of hollow ones, and the world round them; `python -m` it, on the run's clock.
+"""One scale run: real relays, processes of hollow ones, and all that they talk to; `runs.play` starts it in a process.
 
-The director drives the day, keeps the endpoint list and the platform, does to relays what the script says, and serves
-the real relays' clients and backends itself.  It ends all that it started, at the latest when its time is over.
+The director simulates the day (world/day.py), keeps the endpoint list and the platform, does to relays what the script
+says, and serves the real relays' clients and backends itself.  It ends all that it started, at the latest when its time
+is over.  All processes of a run are on the run's clock (slow_clock.py), which may be slower than the true one.
 """
 
 import json
@@ -21,7 +22,7 @@
 from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
 from ...world.day import Day, Order
 from ...world.unit import Unit
-from ..loopback import process_messages as parts
+from ..loopback import process_messages as client_messages
 from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
 from ..loopback.control_plane import PING, DiscoveryService, PlatformService
 from ..loopback.process_group import raise_descriptor_limit
@@ -34,244 +35,267 @@
 from .director_messages import RelayCost, decode, encode
 from .real_relays import CLOCK, BackendListener, ProcessCost, RealClients, RealRelays
 
-TENTHS = 10_000  # in a second
-LEAD = 0.5  # seconds between the last relay's coming up and the day
-GRACE = 6.0  # seconds for answers once the last arrival has been
-LAST_LINE = 4  # judges, and the next in line
-CONNECTIONS = 512  # that wait to be taken
-KILLED_NEAR = TENTHS  # what is lost so near a kill is lost by it
-LOOK_EVERY, STALL = 200, 200  # tenths of a ms: between looks at the loop; later than that is a stall
-MOST_PROBLEMS = 100
-PAGE_MB = 4096 / (1 << 20)
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+START_DELAY_S = 0.5  # between the last relay's coming up and the day's beginning
+ANSWER_GRACE_S = 6.0  # for answers after the last arrival
+POSSIBLE_JUDGES = 4  # of a build: the judges, and the next in line
+BACKLOG = 512  # connections that wait in the kernel to be accepted
+KILL_MARGIN = TENTHS_PER_SECOND  # a request lost so near a relay's kill is lost by the kill
+STALL_CHECK = 200  # tenths of a ms between checks of the event loop
+MIN_STALL = 200  # tenths of a ms by which a check is late, from which on it is a stall
+MAX_PROBLEMS = 100  # that are kept
+MAX_ERROR_BYTES = 4_000  # of a process's standard error that are kept
+MAX_ERROR_TEXT = 600  # characters of it that are reported
+MAX_LOST = 10  # lost requests that are reported
+PAGE_MB = 4096 / (1 << 20)  # of a page of memory
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """How a scenario is played: how many relays are real, how many processes hold the hollow ones, the part of true
-    speed that the run's clocks go at and since when, for how many seconds changes of the list are gathered, and after
-    how many true seconds all ends."""
+    """How a scenario is played."""
 
-    real: int
-    processes: int
-    rate: float
-    zero: float
-    list_every: float
-    most_seconds: float
+    real: int  # relays that are real
+    processes: int  # of hollow relays
+    clock_rate: float  # of the run's clock: its seconds in a true one
+    clock_start: float  # seconds of CLOCK_MONOTONIC at which the run's clock showed the same
+    list_interval: float  # seconds for which changes of the list are gathered
+    max_seconds: float  # true ones, after which all ends
 
 
-class Played(msgspec.Struct):
+class Measurements(msgspec.Struct):
     """What a run leaves beside its record."""
 
-    real: list[int]
-    begun: bool
+    real: list[int]  # the real relays
+    has_begun: bool  # whether the day began
     problems: list[str]
-    process_costs: list[ProcessCost]
-    relay_costs: list[RelayCost]
-    heard_of: dict[int, tuple[int, int, int, int]]  # of real relays: datagrams, bytes of them; datagrams, bytes to them
-    traffic: dict[int, tuple[int, int]]  # second of the day -> datagrams that hollow relays sent, received
-    groups: list[
-        tuple[float, float, float, int]
-    ]  # of each process: processor seconds, MB, MB before its relays, relays
-    late: dict[int, int]  # tenths of a ms -> arrivals at hollow relays that were so late
-    stalls: list[list[tuple[int, int]]]  # of each process of hollow relays
-    hollow: list[list[int]]  # its relays
-    director_stalls: list[tuple[int, int]]
-    director_cpu: float
-    memory_mb: float  # the most of all processes together, pages that they share counted in each
+    process_costs: list[ProcessCost]  # of real relays
+    relay_costs: list[RelayCost]  # of hollow relays
+    # by real relay, as hollow relays saw it: datagrams and bytes received of it, datagrams and bytes sent to it
+    peer_traffic: dict[int, tuple[int, int, int, int]]
+    traffic: dict[int, tuple[int, int]]  # by second of the day: datagrams that hollow relays sent and received
+    # of each process of hollow relays: processor seconds, MB at the end, MB before its relays, number of relays
+    groups: list[tuple[float, float, float, int]]
+    lateness: dict[int, int]  # arrivals at hollow relays by how late they were served, in tenths of a ms
+    stalls: list[list[tuple[int, int]]]  # of each process of hollow relays: begin and end, in tenths of a ms
+    hollow: list[list[int]]  # of each process of hollow relays: its relays
+    director_stalls: list[tuple[int, int]]  # in tenths of a ms
+    director_cpu: float  # seconds
+    memory_mb: float  # the most of all processes together; pages that they share count in each
     processes: int
     setup_seconds: float  # true ones, until the day began
-    day_seconds: float  # true ones, from then on until the last answer
+    day_seconds: float  # true ones, from the day's beginning to the last arrival
 
 
 def duty_owners(scenario: Scenario) -> list[int]:
-    """Who may own a duty in this day, as relays themselves see it: the load tracker's seats and each build's judges."""
+    """The relays that may own a duty in this day: the possible load trackers, and each build's possible judges.
+
+    They come from a facade that is built from the scenario's settings, so they are those that relays themselves see."""
     facade = Facade(scenario.facts(0), 1, lambda: 0)
     owners = dict.fromkeys(facade.relay.guide.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
         facade.report(Standing(build, 0, "on trial", scenario.platform.caps[0], 0))
-        owners |= dict.fromkeys(facade.relay.judge.order[:LAST_LINE])
+        owners |= dict.fromkeys(facade.relay.judge.order[:POSSIBLE_JUDGES])
     return [relay for relay in owners if relay < scenario.fleet.relays]
 
 
-def real_relays(scenario: Scenario, many: int) -> list[int]:
-    """Owners of duties first, so that what a duty costs is seen in a process; then others, spread over the fleet."""
-    chosen = dict.fromkeys(duty_owners(scenario)[:many])
-    step = max(1, scenario.fleet.relays // max(1, many))
+def choose_real_relays(scenario: Scenario, count: int) -> list[int]:
+    """The relays that are to be real, in order.
+
+    Owners of duties come first, so that a duty's cost is that of a process; the others are spread over the fleet."""
+    chosen = dict.fromkeys(duty_owners(scenario)[:count])
+    step = max(1, scenario.fleet.relays // max(1, count))
     for start in range(step):
         chosen |= dict.fromkeys(range(start, scenario.fleet.relays, step))
-    return sorted(list(chosen)[:many])
+    return sorted(list(chosen)[:count])
 
 
-class Group(ProcessProtocol):
+class HollowGroup(ProcessProtocol):
     """One process of hollow relays, as the director sees it."""
 
-    def __init__(self, director: "Director", place: int, relays: list[int]) -> None:
-        self.director, self.place, self.relays = director, place, relays
-        self.record = director.folder / f"group-{place}.record"
-        self.held, self.errors = b"", b""
-        self.ready = self.answered = self.ended = False
-        self.over: director_messages.Over | None = None
+    def __init__(self, director: "Director", index: int, relays: list[int]) -> None:
+        self.director, self.index, self.relays = director, index, relays
+        self.record = director.folder / f"group-{index}.record"
+        self.buffer, self.errors = b"", b""
+        self.is_ready = self.has_answered = self.has_ended = False
+        self.final_report: director_messages.FinalReport | None = None
         self.process = director.reactor.spawnProcess(self, sys.executable, director.program(), None)
         cores = sorted(os.sched_getaffinity(0))
-        os.sched_setaffinity(self.process.pid, {cores[place % len(cores)]})  # else the system may put all on one
-        day = director.scenario.plain()
+        # else the kernel may run several processes on one core
+        os.sched_setaffinity(self.process.pid, {cores[index % len(cores)]})
+        scenario = director.scenario.plain()
         port = director.port_block.port
-        self.tell(
-            director_messages.Cast(place, director.plan.processes, day, director.seed, port, str(self.record), relays)
+        self.send(
+            director_messages.ProcessAssignment(
+                index, director.plan.processes, scenario, director.seed, port, str(self.record), relays
+            )
         )
 
-    def tell(self, word: director_messages.Word) -> None:
-        if not self.ended:
-            self.transport.write(encode(word))
+    def send(self, message: director_messages.Message) -> None:
+        if not self.has_ended:
+            self.transport.write(encode(message))
 
     def outReceived(self, data: bytes) -> None:
-        *lines, self.held = (self.held + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
-            self.director.heard(self, decode(line))
+            self.director.receive(self, decode(line))
 
     def errReceived(self, data: bytes) -> None:
-        self.errors = (self.errors + data)[-4_000:]
+        self.errors = (self.errors + data)[-MAX_ERROR_BYTES:]
 
     def processEnded(self, reason: Failure) -> None:
-        self.ended = True
-        if self.over is None:
-            text = self.errors.decode(errors="replace").strip()[-600:] or reason.getErrorMessage()
-            self.director.wrong(f"process {self.place} ended early: {text}")
-            self.director.group_lost()
+        self.has_ended = True
+        if self.final_report is None:
+            text = self.errors.decode(errors="replace").strip()[-MAX_ERROR_TEXT:] or reason.getErrorMessage()
+            self.director.report_violation(f"process {self.index} ended early: {text}")
+            self.director.on_group_lost()
 
 
 class Director:
-    """Drives a day's machines, and the processes of relays."""
+    """Drives the simulated day and the processes of relays; `problems` says what went wrong, apart from the rules."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int, folder: Path, plan: Plan) -> None:
         self.reactor, self.scenario, self.seed, self.folder, self.plan = reactor, scenario, seed, folder, plan
         self.lines: list[Line] = []
         self.problems: list[str] = []
-        self.port_block = PortBlock(1)  # ports: relays' addresses tell them apart
-        self.setup = TrialSetup(reactor, scenario, seed, self.port_block.port, self.tell, self.wrong, self.part_said)
+        self.port_block = PortBlock(1)  # one block of ports: relays differ in their addresses
+        self.setup = TrialSetup(
+            reactor,
+            scenario,
+            seed,
+            self.port_block.port,
+            self.record_line,
+            self.report_violation,
+            self.receive_from_clients,
+        )
         self.setup.addresses = ScaleAddresses(self.port_block.port)
         self.day = Day(scenario.parts(), seed, clients_of(scenario, seed))
-        self.numbers: dict[str, int] = {}
-        self.names: list[str] = []
+        self.backend_numbers: dict[str, int] = {}
+        self.backend_names: list[str] = []  # by number
         for name in self.day.fleet.units:
-            self.number(name)
-        self.serves: dict[int, int] = {}  # request of a real client -> the relay that took it
-        self.real = real_relays(scenario, plan.real)
-        self.relays = RealRelays(self.setup, self.day, folder, self.number, self.relays_changed, self.real_gone)
-        self.relays.rate, self.relays.zero = plan.rate, plan.zero
+            self.backend_number(name)
+        self.serving_relays: dict[int, int] = {}  # by request of a real relay's client: the relay that took it
+        self.real = choose_real_relays(scenario, plan.real)
+        self.relays = RealRelays(
+            self.setup, self.day, folder, self.backend_number, self.relays_changed, self.on_real_relays_ended
+        )
+        self.relays.clock_rate, self.relays.clock_start = plan.clock_rate, plan.clock_start
         self.day.roles = self.relays.acting
-        self.list = DiscoveryService(self.setup, self.day, self.number)
+        self.discovery = DiscoveryService(self.setup, self.day, self.backend_number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
-        own = Day(
-            scenario.parts(), seed, clients_of(scenario, seed)
-        ).fleet.units  # of real relays; machines of the day idle
-        self.backends = Backends(self.setup, own, self.fell)
-        self.listener = BackendListener(self.backends, self.name, lambda number: self.serves.get(number, -1))
+        # the backends of real relays are machines of their own; those of `day` stay idle
+        machines = Day(scenario.parts(), seed, clients_of(scenario, seed)).fleet.units
+        self.backends = Backends(self.setup, machines, self.on_backend_crash)
+        self.listener = BackendListener(
+            self.backends, self.backend_name, lambda number: self.serving_relays.get(number, -1)
+        )
         self.clients = RealClients(self.setup, self.real)
-        self.groups: list[Group] = []
-        self.group_of: dict[int, Group] = {}
-        self.told: dict[str, director_messages.Backend] = {}  # what was last said of each backend that changed
+        self.groups: list[HollowGroup] = []
+        self.group_of: dict[int, HollowGroup] = {}  # by hollow relay
+        self.backend_states: dict[str, director_messages.BackendState] = {}  # as last sent, of backends that changed
         self.list_version, self.list_timer = self.day.roster.version, None
-        self.traffic: dict[int, list[int]] = {}
-        self.waiting = 0  # whose clients have no answer yet
-        self.closed = self.over = False
-        self.timer: Any = None
-        self.before: dict[int, tuple[float, float]] = {}
+        self.traffic: dict[int, list[int]] = {}  # by second of the day: datagrams that hollow relays sent and received
+        self.waiting = 0  # processes with clients that have no answer yet, the director among them
+        self.arrivals_over = self.is_over = False
+        self.timer: Any = None  # of the day's next event
+        self.usage_before: dict[int, tuple[float, float]] = {}  # by real relay: seconds and MB when the day began
         self.costs: list[ProcessCost] = []
         self.memory_mb = 0.0
-        self.day_began = self.started_at = self.closed_at = 0.0
-        self.cpu_begun = 0.0
+        self.day_began_at = self.started_at = self.arrivals_over_at = 0.0  # seconds of the run's clock
+        self.cpu_begun = 0.0  # processor seconds when the day began
         self.stalls: list[tuple[int, int]] = []
-        self.looked = 0
+        self.checked_at = 0  # time of the last check for stalls
 
     # what others need
-    def number(self, name: str) -> int:
-        """A backend's: one that comes back under its name keeps its own."""
-        if name not in self.numbers:
-            self.numbers[name] = len(self.names)
-            self.names.append(name)
-        return self.numbers[name]
-
-    def name(self, number: int) -> str:
-        return self.names[number] if 0 <= number < len(self.names) else ""
-
-    def tell(self, line: Line) -> None:
+    def backend_number(self, name: str) -> int:
+        """The backend's number; one that comes back under its name keeps it."""
+        if name not in self.backend_numbers:
+            self.backend_numbers[name] = len(self.backend_names)
+            self.backend_names.append(name)
+        return self.backend_numbers[name]
+
+    def backend_name(self, number: int) -> str:
+        """The backend's name, an empty one for an unknown number."""
+        return self.backend_names[number] if 0 <= number < len(self.backend_names) else ""
+
+    def record_line(self, line: Line) -> None:
         if isinstance(line, Take):
-            self.serves[line.number] = line.relay
+            self.serving_relays[line.number] = line.relay
         self.lines.append(line)
 
-    def wrong(self, text: str) -> None:
-        if len(self.problems) < MOST_PROBLEMS:
+    def report_violation(self, text: str) -> None:
+        if len(self.problems) < MAX_PROBLEMS:
             self.problems.append(text)
 
     def program(self) -> list[str]:
-        """What a process of hollow relays runs."""
+        """The command of a process of hollow relays."""
         module = f"{__package__}.hollow_process"
-        if self.plan.rate == 1.0:
+        if self.plan.clock_rate == 1.0:
             return [sys.executable, "-B", "-m", module]
-        return [sys.executable, "-B", str(CLOCK), repr(self.plan.rate), repr(self.plan.zero), module]
+        return [sys.executable, "-B", str(CLOCK), repr(self.plan.clock_rate), repr(self.plan.clock_start), module]
 
     # the course of a run
     def start(self) -> None:
         self.started_at = time.monotonic()
         scenario, port = self.scenario, self.port_block.port
-        self.tell(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
-        self.reactor.callLater(self.plan.most_seconds * self.plan.rate, self.out_of_time)
-        self.reactor.listenTCP(port + LIST, self.list, CONNECTIONS)
-        self.reactor.listenTCP(port + PLATFORM, self.platform, CONNECTIONS)
-        self.reactor.listenTCP(port + BACKENDS, self.listener, CONNECTIONS)
-        hollow = [relay for relay in range(scenario.fleet.relays) if relay not in set(self.real)]
-        for place in range(self.plan.processes):
-            group = Group(self, place, hollow[place :: self.plan.processes])
+        self.record_line(Head(0, VERSION, "trial", scenario.name, self.seed, scenario.facts(0), scenario.plain()))
+        self.reactor.callLater(self.plan.max_seconds * self.plan.clock_rate, self.give_up)
+        self.reactor.listenTCP(port + LIST, self.discovery, BACKLOG)
+        self.reactor.listenTCP(port + PLATFORM, self.platform, BACKLOG)
+        self.reactor.listenTCP(port + BACKENDS, self.listener, BACKLOG)
+        hollow_relays = [relay for relay in range(scenario.fleet.relays) if relay not in set(self.real)]
+        for index in range(self.plan.processes):
+            group = HollowGroup(self, index, hollow_relays[index :: self.plan.processes])
             self.groups.append(group)
             self.group_of |= dict.fromkeys(group.relays, group)
-        self.took_up()
+        self.apply_changes()
         for relay in self.real:
             self.relays.start(relay)
 
-    def out_of_time(self) -> None:
-        if not self.over:
-            self.wrong(f"not over within {self.plan.most_seconds:.0f} s")
+    def give_up(self) -> None:
+        if not self.is_over:
+            self.report_violation(f"not over within {self.plan.max_seconds:.0f} s")
             self.finish()
 
     def relays_changed(self) -> None:
-        if not self.over:
-            self.clients.receive(parts.RelayStates(self.relays.ready(), self.relays.ending()))
+        """A real relay is ready or leaves."""
+        if not self.is_over:
+            self.clients.receive(client_messages.RelayStates(self.relays.ready(), self.relays.ending()))
             self.begin_if_ready()
 
     def begin_if_ready(self) -> None:
-        ready = all(group.ready for group in self.groups) and len(self.relays.ready()) == len(self.real)
-        if self.setup.has_begun or not ready or self.over:
+        """Let the day begin once all relays are up."""
+        ready = all(group.is_ready for group in self.groups) and len(self.relays.ready()) == len(self.real)
+        if self.setup.has_begun or not ready or self.is_over:
             return
-        zero = self.reactor.seconds() + LEAD
+        start = self.reactor.seconds() + START_DELAY_S
         for relay in self.group_of:
-            self.tell(Life(0, relay, "up"))
-        self.setup.begin(zero)
-        self.clients.receive(parts.DayBegin(zero))
+            self.record_line(Life(0, relay, "up"))
+        self.setup.begin(start)
+        self.clients.receive(client_messages.DayBegin(start))
         for group in self.groups:
-            group.tell(director_messages.Begin(zero))
+            group.send(director_messages.DayBegin(start))
         self.wake()
         self.ping()
-        self.reactor.callLater(LEAD, self.day_begins)
-        self.reactor.callLater(LEAD + self.scenario.seconds, self.closing)
-
-    def day_begins(self) -> None:
-        self.day_began, self.cpu_begun = time.monotonic(), time.process_time()
-        self.before = self.relays.spent()
-        self.relays.count()
-        self.watch_memory()
-        self.watch_loop()
-
-    def watch_loop(self) -> None:
-        """Notes when nothing of the director ran in time."""
+        self.reactor.callLater(START_DELAY_S, self.begin_day)
+        self.reactor.callLater(START_DELAY_S + self.scenario.seconds, self.end_arrivals)
+
+    def begin_day(self) -> None:
+        self.day_began_at, self.cpu_begun = time.monotonic(), time.process_time()
+        self.usage_before = self.relays.usage()
+        self.relays.request_counters()
+        self.check_memory()
+        self.check_stall()
+
+    def check_stall(self) -> None:
+        """Note a stall if this call is late by more than MIN_STALL; call again after STALL_CHECK."""
         now = self.setup.now()
-        if now > self.looked + LOOK_EVERY + STALL:
-            self.stalls.append((self.looked + LOOK_EVERY, now))
-        self.looked = now
-        if not self.over:
-            self.reactor.callLater(LOOK_EVERY / TENTHS, self.watch_loop)
-
-    def watch_memory(self) -> None:
-        """Resident memory of all processes of the run, each second."""
+        if now > self.checked_at + STALL_CHECK + MIN_STALL:
+            self.stalls.append((self.checked_at + STALL_CHECK, now))
+        self.checked_at = now
+        if not self.is_over:
+            self.reactor.callLater(STALL_CHECK / TENTHS_PER_SECOND, self.check_stall)
+
+    def check_memory(self) -> None:
+        """Note the resident memory of all processes of the run together; call again after a second."""
         pids = [group.process.pid for group in self.groups] + [each.pid for _, each in self.relays.running.values()]
         total = 0.0
         for pid in (*pids, "self"):
@@ -280,85 +304,92 @@
             except OSError:  # it has just ended
                 continue
         self.memory_mb = max(self.memory_mb, total)
-        if not self.over:
-            self.reactor.callLater(1.0, self.watch_memory)
+        if not self.is_over:
+            self.reactor.callLater(1.0, self.check_memory)
 
     def ping(self) -> None:
         self.platform.ping()
-        if not self.over:
+        if not self.is_over:
             self.reactor.callLater(PING, self.ping)
 
-    def closing(self) -> None:
-        """The last arrival has been: on until all is answered."""
-        self.waiting, self.closed = len(self.groups) + 1, True
-        self.closed_at = time.monotonic()
-        spent = self.relays.spent()
-        for relay, (cpu, memory) in spent.items():
-            if relay in self.before and not self.relays.killed_at.get(relay):
-                self.costs.append(ProcessCost(relay, cpu - self.before[relay][0], memory, {}))
-        self.relays.count()
-        self.clients.receive(parts.ArrivalsOver())
+    def end_arrivals(self) -> None:
+        """The last request has arrived: end once all are answered, or after ANSWER_GRACE_S."""
+        self.waiting, self.arrivals_over = len(self.groups) + 1, True
+        self.arrivals_over_at = time.monotonic()
+        usage = self.relays.usage()
+        for relay, (cpu, memory) in usage.items():
+            if relay in self.usage_before and not self.relays.killed_at.get(relay):
+                self.costs.append(ProcessCost(relay, cpu - self.usage_before[relay][0], memory, {}))
+        self.relays.request_counters()
+        self.clients.receive(client_messages.ArrivalsOver())
         for group in self.groups:
-            group.tell(director_messages.Close())
-        self.reactor.callLater(GRACE, self.finish)
+            group.send(director_messages.ArrivalsOver())
+        self.reactor.callLater(ANSWER_GRACE_S, self.finish)
 
-    def part_said(self, word: Any) -> None:
-        if isinstance(word, parts.AllAnswered):
-            self.one_answered()
+    def receive_from_clients(self, message: Any) -> None:
+        """A message of the director's own clients, those of the real relays."""
+        if isinstance(message, client_messages.AllAnswered):
+            self.count_answered()
 
-    def one_answered(self) -> None:
+    def count_answered(self) -> None:
+        """The clients of one process have all their answers."""
         self.waiting -= 1
-        if self.closed and not self.waiting:
+        if self.arrivals_over and not self.waiting:
             self.finish()
 
-    def heard(self, group: Group, word: Any) -> None:
-        """What a process of hollow relays says."""
-        match word:
-            case director_messages.Ready():
-                group.ready = True
+    def receive(self, group: HollowGroup, message: Any) -> None:
+        """A message of a process of hollow relays."""
+        match message:
+            case director_messages.RelaysReady():
+                group.is_ready = True
                 self.begin_if_ready()
             case director_messages.Vote(relay, build, stage, verdict):
                 answer = self.vote(relay, build, stage, verdict)
                 if answer != "nothing":
-                    group.tell(director_messages.Voted(relay, answer))
-            case director_messages.Fell(name):
-                self.fell(name)
+                    group.send(director_messages.VoteAnswer(relay, answer))
+            case director_messages.BackendCrashed(name):
+                self.on_backend_crash(name)
             case director_messages.Traffic(second, sent, received):
                 so_far = self.traffic.setdefault(second, [0, 0])
                 so_far[0] += sent
                 so_far[1] += received
-            case director_messages.Wrong(text):
-                self.wrong(text)
-            case director_messages.Answered():
-                self.one_answered()
-            case director_messages.Over():
-                group.over = word
-                self.end_if_all_over()
+            case director_messages.Violation(text):
+                self.report_violation(text)
+            case director_messages.AllAnswered():
+                self.count_answered()
+            case director_messages.FinalReport():
+                group.final_report = message
+                self.stop_if_all_ended()
 
     def finish(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.relays.end()
             for group in self.groups:
-                group.tell(director_messages.Stop())
+                group.send(director_messages.Stop())
 
-    def real_gone(self) -> None:
-        self.end_if_all_over()
+    def on_real_relays_ended(self) -> None:
+        self.stop_if_all_ended()
 
-    def group_lost(self) -> None:
+    def on_group_lost(self) -> None:
+        """A process of hollow relays has ended early: end the run."""
         self.finish()
-        self.end_if_all_over()
-
-    def end_if_all_over(self) -> None:
-        if self.over and not self.relays.running and all(group.over or group.ended for group in self.groups):
+        self.stop_if_all_ended()
+
+    def stop_if_all_ended(self) -> None:
+        if (
+            self.is_over
+            and not self.relays.running
+            and all(group.final_report or group.has_ended for group in self.groups)
+        ):
             self.reactor.callLater(0, self.stop)
 
     def stop(self) -> None:
         if self.reactor.running:
             self.reactor.stop()
 
-    def abandon(self) -> None:
-        """No process outlives the director."""
+    def kill_processes(self) -> None:
+        """Kill what still runs, and release the ports: no process outlives the director."""
         self.relays.kill_all()
         for group in self.groups:
             try:
@@ -367,96 +398,101 @@
                 continue
         self.port_block.release()
 
-    # the day
+    # the simulated day
     def wake(self) -> None:
-        if self.over:
+        if self.is_over:
             return
         if self.setup.now() >= self.day.due:
             self.day.wake(self.setup.now())
-            self.took_up()
+            self.apply_changes()
         else:
-            self.plan_wake()
+            self.schedule()
 
-    def plan_wake(self) -> None:
+    def schedule(self) -> None:
+        """Set the timer of the day's next event."""
         if self.timer and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(min(self.setup.seconds_until(self.day.due), 1.0), self.wake)
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> str:
+        """The platform's answer to a relay's vote."""
         answer = self.day.vote(self.setup.now(), relay, build, stage, verdict)
-        self.reactor.callLater(0, self.took_up)
+        self.reactor.callLater(0, self.apply_changes)
         return answer
 
-    def fell(self, name: str) -> None:
+    def on_backend_crash(self, name: str) -> None:
         unit = self.day.fleet.units.get(name)
         if unit and not unit.dead:
             unit.fell = unit.told_fallen = True
             self.day.fallen(self.setup.now(), unit)
-            self.took_up()
+            self.apply_changes()
 
-    def took_up(self) -> None:
-        """Carries out what the day left to do."""
+    def apply_changes(self) -> None:
+        """Carry out what the day has left to do."""
         left = self.day.left()
         for line in left.lines:
-            self.tell(line)
+            self.record_line(line)
         changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitLine) and line.at)
-        self.tell_backends(changed | dict.fromkeys(unit.name for unit in left.touched))
+        self.send_states(changed | dict.fromkeys(unit.name for unit in left.touched))
         if left.rounds and not self.list_timer:
-            self.list_timer = self.reactor.callLater(self.plan.list_every, self.tell_list)
+            self.list_timer = self.reactor.callLater(self.plan.list_interval, self.publish_list)
         if self.day.moved and self.setup.now() >= self.day.desk.silent_until:
             self.day.moved = False
-            self.tell_rollout()
+            self.publish_rollout()
         for order in left.relays:
-            self.carry_out(order)
-        if self.setup.has_begun and not self.over:
-            self.plan_wake()
+            self.execute(order)
+        if self.setup.has_begun and not self.is_over:
+            self.schedule()
 
-    def tell_backends(self, names: dict[str, None]) -> None:
+    def send_states(self, names: dict[str, None]) -> None:
+        """Send the states of these backends to all processes, where they have changed."""
         for name in names:
             unit = self.day.fleet.units.get(name)
-            word = backend(name, unit)
-            if self.told.get(name) == word:
+            state = backend_state(name, unit)
+            if self.backend_states.get(name) == state:
                 continue
-            before, self.told[name] = self.told.get(name), word
-            self.number(name)
-            self.backends.change(word)
-            if word.dead or before and (before.mark, before.started) != (word.mark, word.started):
-                self.listener.ended(name)
+            before, self.backend_states[name] = self.backend_states.get(name), state
+            self.backend_number(name)
+            self.backends.update(state)
+            if state.dead or before and (before.mark, before.started) != (state.mark, state.started):
+                self.listener.reset_connections(name)
             for group in self.groups:
-                group.tell(word)
+                group.send(state)
 
-    def tell_list(self) -> None:
-        """What changed since relays were last told, to each at its own time."""
+    def publish_list(self) -> None:
+        """Publish what has changed since the last time; each relay gets it after its own lag."""
         self.list_timer, roster = None, self.day.roster
         since, self.list_version = self.list_version, roster.version
         last = {entry.name: entry for entry in roster.log[since : roster.version]}
         for group in self.groups:
-            group.tell(director_messages.Listed(roster.version, list(last.values())))
+            group.send(director_messages.ListUpdate(roster.version, list(last.values())))
         for relay in self.real:
-            self.reactor.callLater(roster.lag[relay] / TENTHS, self.list.publish, relay, roster.version)
+            self.reactor.callLater(roster.lag[relay] / TENTHS_PER_SECOND, self.discovery.publish, relay, roster.version)
 
-    def tell_rollout(self) -> None:
+    def publish_rollout(self) -> None:
         state = self.day.desk.state
         self.platform.publish()
         for group in self.groups:
-            group.tell(director_messages.Rollout(state.build, state.stage, state.phase, state.cap, state.since))
+            group.send(director_messages.RolloutUpdate(state.build, state.stage, state.phase, state.cap, state.since))
 
-    def carry_out(self, order: Order) -> None:
-        """A script may kill hollow relays, which come up again; only a real one has a process that can be stopped."""
+    def execute(self, order: Order) -> None:
+        """Do to a relay what the script says.
+
+        Hollow relays can only be killed and come up again: they have no process of their own that could be stopped."""
         group = self.group_of.get(order.relay)
         if group is None:
             return self.relays.execute(order)
         match order.what:
             case "down":
-                self.tell(Life(self.setup.now(), order.relay, "down"))
-                group.tell(director_messages.Kill(order.relay))
+                self.record_line(Life(self.setup.now(), order.relay, "down"))
+                group.send(director_messages.KillRelay(order.relay))
             case "up":
-                self.tell(Life(self.setup.now(), order.relay, "up"))
-                group.tell(director_messages.Start(order.relay))
+                self.record_line(Life(self.setup.now(), order.relay, "up"))
+                group.send(director_messages.StartRelay(order.relay))
             case _:
-                self.wrong(f"relay {order.relay} is hollow: '{order.what}' can be done to real ones alone")
+                self.report_violation(f"relay {order.relay} is hollow: '{order.what}' needs a real relay")
 
-    # what came of it
+    # results
     def record(self) -> list[Line]:
         """The lines of all processes in the order of their times."""
         lines = list(self.lines)
@@ -465,63 +501,70 @@
                 lines += [line for line in read(group.record) if not isinstance(line, (Head, Close))]
         return sorted(lines, key=lambda line: line.at)
 
-    def lost_alive(self) -> list[str]:
-        """Requests that a real relay lost which nobody had killed, in director_messages."""
+    def lost_while_up(self) -> list[str]:
+        """Requests that a real relay lost although the script had not killed it, a sentence each."""
         return [
-            f"relay {relay}, which nobody had killed, lost a request at {at / TENTHS:.3f}s"
+            f"relay {relay}, which nobody had killed, lost a request at {at / TENTHS_PER_SECOND:.3f}s"
             for relay, at in self.clients.lost_while_up
-            if not any(abs(at - down) < KILLED_NEAR for down in self.relays.killed_at.get(relay, ()))
+            if not any(abs(at - down) < KILL_MARGIN for down in self.relays.killed_at.get(relay, ()))
         ]
 
-    def played(self) -> Played:
-        late: dict[int, int] = {}
-        overs = [group.over for group in self.groups if group.over]
-        heard_of: dict[int, list[int]] = {}
-        for over in overs:
-            for each, count in over.late.items():
-                late[each] = late.get(each, 0) + count
-            for relay, figures in over.heard_of.items():
+    def measurements(self) -> Measurements:
+        """All figures of the run, those of its processes added up."""
+        lateness: dict[int, int] = {}
+        reports = [group.final_report for group in self.groups if group.final_report]
+        peer_traffic: dict[int, list[int]] = {}
+        for report in reports:
+            for late, count in report.lateness.items():
+                lateness[late] = lateness.get(late, 0) + count
+            for relay, figures in report.peer_traffic.items():
                 if relay in self.real:
-                    so_far = heard_of.setdefault(relay, [0, 0, 0, 0])
-                    heard_of[relay] = [one + other for one, other in zip(so_far, figures)]
-        return Played(
+                    so_far = peer_traffic.setdefault(relay, [0, 0, 0, 0])
+                    peer_traffic[relay] = [one + other for one, other in zip(so_far, figures)]
+        return Measurements(
             self.real,
             self.setup.has_begun,
-            self.problems + self.lost_alive()[:10],
-            [cost_with_counts(cost, self.relays.counters(cost.relay)) for cost in self.costs],
-            [cost for over in overs for cost in over.costs],
-            {relay: tuple(figures) for relay, figures in heard_of.items()},
+            self.problems + self.lost_while_up()[:MAX_LOST],
+            [add_counts(cost, self.relays.read_counters(cost.relay)) for cost in self.costs],
+            [cost for report in reports for cost in report.costs],
+            {relay: tuple(figures) for relay, figures in peer_traffic.items()},
             {second: tuple(figures) for second, figures in sorted(self.traffic.items())},
             [
-                (group.over.cpu, group.over.memory_mb, group.over.bare_mb, len(group.relays))
+                (
+                    group.final_report.cpu,
+                    group.final_report.memory_mb,
+                    group.final_report.initial_mb,
+                    len(group.relays),
+                )
                 for group in self.groups
-                if group.over
+                if group.final_report
             ],
-            late,
-            [group.over.stalls if group.over else [] for group in self.groups],
+            lateness,
+            [group.final_report.stalls if group.final_report else [] for group in self.groups],
             [group.relays for group in self.groups],
             self.stalls,
             time.process_time() - self.cpu_begun,
             self.memory_mb,
             1 + len(self.groups) + len(self.real),
-            (self.day_began - self.started_at) / self.plan.rate,
-            (self.closed_at - self.day_began) / self.plan.rate,
+            (self.day_began_at - self.started_at) / self.plan.clock_rate,
+            (self.arrivals_over_at - self.day_began_at) / self.plan.clock_rate,
         )
 
 
-def cost_with_counts(cost: ProcessCost, counters: list[dict[str, int]]) -> ProcessCost:
-    """With the growth of its counters in the day, from the two times that it wrote them."""
+def add_counts(cost: ProcessCost, counters: list[dict[str, int]]) -> ProcessCost:
+    """The cost with the growth of the relay's counters in the day; `counters` are those that it wrote at the day's
+    beginning and at its end.  Without both the cost stays as it is."""
     if len(counters) < 2:
         return cost
     first, last = counters[0], counters[1]
     return msgspec.structs.replace(cost, counts={name: count - first.get(name, 0) for name, count in last.items()})
 
 
-def backend(name: str, unit: Unit | None) -> director_messages.Backend:
-    """As the day's fleet has it; none: it is gone."""
+def backend_state(name: str, unit: Unit | None) -> director_messages.BackendState:
+    """A backend's state as the day's fleet has it; `unit` is None if it is gone."""
     if unit is None:
-        return director_messages.Backend(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
-    return director_messages.Backend(
+        return director_messages.BackendState(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
+    return director_messages.BackendState(
         name,
         unit.mark,
         unit.build.number,
@@ -538,21 +581,23 @@
 
 
 def main() -> None:
-    """Reads {scenario, seed, folder, record, plan} from standard input, plays, and writes what came of it as JSON."""
+    """Read {scenario, seed, folder, plan} from standard input, play, and write the results (`Run`) as JSON."""
     from twisted.internet import reactor
 
-    from .results import read_run
+    from .results import evaluate_run
 
-    told = json.load(sys.stdin)
+    order = json.load(sys.stdin)
     raise_descriptor_limit()
-    plan = msgspec.convert(told["plan"], Plan)
-    director = Director(use_shared_clock(reactor), convert(told["scenario"]), told["seed"], Path(told["folder"]), plan)
+    plan = msgspec.convert(order["plan"], Plan)
+    director = Director(
+        use_shared_clock(reactor), convert(order["scenario"]), order["seed"], Path(order["folder"]), plan
+    )
     reactor.callWhenRunning(director.start)
     try:
         reactor.run()
     finally:
-        director.abandon()
-    run = read_run(director.scenario, director.played(), director.record())
+        director.kill_processes()
+    run = evaluate_run(director.scenario, director.measurements(), director.record())
     sys.stdout.buffer.write(msgspec.json.encode(run))
 
 
--- a/tealsail/lab/scale/director_messages.py
+++ b/tealsail/lab/scale/director_messages.py
@@ -1,4 +1,4 @@
-"""What the director of a scale run and its processes of hollow relays tell each other: typed values as JSON lines."""
+"""The messages between the director of a scale run and its processes of hollow relays: typed values as JSON lines."""
 
 from typing import Any
 
@@ -7,15 +7,16 @@
 from ...world.roster import Entry
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, tag=True):
-    """What all have."""
+class Message(msgspec.Struct, array_like=True, frozen=True, tag=True):
+    """A JSON array: the tag, then the fields in their order."""
 
 
-class Cast(Word, tag="cast"):
-    """The first to a process: its place among how many, the day, the file of its record, and its hollow relays."""
+class ProcessAssignment(Message, tag="cast"):
+    """The first message to a process: which of how many it is, the scenario, and its hollow relays; `record` is a file
+    to write."""
 
-    place: int
-    many: int
+    index: int
+    count: int
     scenario: dict[str, Any]
     seed: int
     port: int
@@ -23,14 +24,14 @@
     relays: list[int]
 
 
-class Begin(Word, tag="begin"):
-    """The day's zero, in seconds of the run's clock."""
+class DayBegin(Message, tag="begin"):
+    """The day's start, in seconds of the run's clock."""
 
-    zero: float
+    start: float
 
 
-class Backend(Word, tag="backend"):
-    """A backend as the director has it: a new one, or what has changed of one."""
+class BackendState(Message, tag="backend"):
+    """A backend as the director has it: a new one, or one that has changed.  `started` is in tenths of a ms."""
 
     name: str
     mark: int
@@ -46,15 +47,16 @@
     dead: bool
 
 
-class Listed(Word, tag="listed"):
-    """The endpoint list has come to this version; `entries` are the last word on what changed since the one before."""
+class ListUpdate(Message, tag="listed"):
+    """A new version of the endpoint list; `entries` has the last state of each unit that changed since the one
+    before."""
 
     version: int
     entries: list[Entry]
 
 
-class Rollout(Word, tag="rollout"):
-    """Where the newest build stands, and since when."""
+class RolloutUpdate(Message, tag="rollout"):
+    """The rollout state of the newest build; `since` is a time of the day in tenths of a ms."""
 
     build: int
     stage: int
@@ -63,58 +65,64 @@
     since: int
 
 
-class Kill(Word, tag="kill"):
+class KillRelay(Message, tag="kill"):
+    """A hollow relay is killed."""
+
     relay: int
 
 
-class Start(Word, tag="start"):
-    """A relay that was killed comes up again, with what its machine knows of the list by now."""
+class StartRelay(Message, tag="start"):
+    """A relay that was killed comes up again, with the endpoint list of now."""
 
     relay: int
 
 
-class Voted(Word, tag="voted"):
+class VoteAnswer(Message, tag="voted"):
     """The platform's answer to a relay's vote."""
 
     relay: int
     answer: str
 
 
-class Close(Word, tag="close"):
-    """The last arrival has been: say when all is answered."""
+class ArrivalsOver(Message, tag="close"):
+    """The last request has arrived: report when all are answered."""
 
 
-class Stop(Word, tag="stop"):
-    """The run is over."""
+class Stop(Message, tag="stop"):
+    """The run is over: send the final report and end."""
 
 
-class Ready(Word, tag="ready"):
+class RelaysReady(Message, tag="ready"):
     """All hollow relays of this process are up."""
 
 
-class Vote(Word, tag="vote"):
+class Vote(Message, tag="vote"):
+    """A hollow relay's vote for the platform."""
+
     relay: int
     build: int
     stage: int
     verdict: str
 
 
-class Fell(Word, tag="fell"):
-    """A backend fell over under what it was sent."""
+class BackendCrashed(Message, tag="fell"):
+    """A backend crashed under its load."""
 
     name: str
 
 
-class Wrong(Word, tag="wrong"):
+class Violation(Message, tag="wrong"):
+    """What went wrong in a process, apart from the rules, in one sentence."""
+
     text: str
 
 
-class Answered(Word, tag="answered"):
-    """This process's clients have their answers."""
+class AllAnswered(Message, tag="answered"):
+    """All clients of this process have their answers."""
 
 
-class Traffic(Word, tag="traffic"):
-    """Datagrams of this process's relays in one second of the day."""
+class Traffic(Message, tag="traffic"):
+    """Datagrams that this process's relays sent and received in one second of the day."""
 
     second: int
     sent: int
@@ -122,7 +130,10 @@
 
 
 class RelayCost(msgspec.Struct, array_like=True, frozen=True):
-    """What one hollow relay cost: processor seconds by kind of work, datagrams at its socket; `lived` in seconds."""
+    """What one hollow relay cost: processor seconds by kind of work, datagrams and bytes at its socket.
+
+    `lived` is in seconds; `shed` counts datagrams that it dropped, since there were too many or nobody it knew had sent
+    them."""
 
     relay: int
     lived: float
@@ -134,47 +145,51 @@
     shed: int
 
 
-class Over(Word, tag="over"):
-    """The last of a process.  `memory_mb` is at the end and `bare_mb` before its relays; `late` counts arrivals by how
-    many tenths of a ms late they were; `heard_of` has, by other relay,
-    datagrams and bytes received of it, datagrams and bytes sent to it.  `stalls`: from when to when, in tenths of a ms,
-    nothing of the process ran in time, since the machine had no time for it or its loop too much to do."""
+class FinalReport(Message, tag="over"):
+    """The last message of a process.
+
+    `cpu` is in seconds; `memory_mb` is the process's memory at the end and `initial_mb` that before its relays were
+    built; `lateness` counts arrivals by how late they were served, in tenths of a ms.  `peer_traffic` has by other
+    relay the datagrams and bytes received of it, and the datagrams and bytes sent to it.  `stalls` are the spans, in
+    tenths of a ms of the day, in which nothing of the process ran in time, since the machine had no time for it or its
+    event loop too much to do."""
 
     costs: list[RelayCost]
     cpu: float
     memory_mb: float
-    bare_mb: float
-    late: dict[int, int]
-    heard_of: dict[int, tuple[int, int, int, int]]
+    initial_mb: float
+    lateness: dict[int, int]
+    peer_traffic: dict[int, tuple[int, int, int, int]]
     stalls: list[tuple[int, int]]
 
 
-Said = (
-    Cast
-    | Begin
-    | Backend
-    | Listed
-    | Rollout
-    | Kill
-    | Start
-    | Voted
-    | Close
+AnyMessage = (
+    ProcessAssignment
+    | DayBegin
+    | BackendState
+    | ListUpdate
+    | RolloutUpdate
+    | KillRelay
+    | StartRelay
+    | VoteAnswer
+    | ArrivalsOver
     | Stop
-    | Ready
+    | RelaysReady
     | Vote
-    | Fell
-    | Wrong
-    | Answered
+    | BackendCrashed
+    | Violation
+    | AllAnswered
     | Traffic
-    | Over
+    | FinalReport
 )
-ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(Said)
+ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyMessage)
 
 
-def encode(word: Word) -> bytes:
-    return ENCODER.encode(word) + b"\n"
+def encode(message: Message) -> bytes:
+    """One line, with its end."""
+    return ENCODER.encode(message) + b"\n"
 
 
-def decode(line: bytes) -> Said:
+def decode(line: bytes) -> AnyMessage:
     """Raises msgspec.DecodeError."""
     return DECODER.decode(line)
--- a/tealsail/lab/scale/hollow_process.py
+++ b/tealsail/lab/scale/hollow_process.py
@@ -1,4 +1,7 @@
-"""One process of hollow relays: their requests, their backends, and what the director tells them; `python -m` it."""
+"""One process of hollow relays, with their requests and backends; the director starts it as `python -m` this module.
+
+Messages from the director (director_messages.py) come in on standard input, and those to it go out on standard output.
+"""
 
 import gc
 import time
@@ -13,7 +16,7 @@
 
 from ...net import statements
 from ...net.clients import Rejected
-from ...net.discovery import Entry as Known, News
+from ...net.discovery import Entry as RelayEntry, News
 from ...net.platform import RolloutState
 from ...net.relay import unit_number
 from ...net.relay_configuration import RelayConfiguration
@@ -34,408 +37,435 @@
 from .addresses import ScaleAddresses
 from .backends import Backends
 from .director_messages import RelayCost, decode, encode
-from .hollow_relay import HollowRelay, Outside
+from .hollow_relay import HollowRelay, ProcessServices
 
-TENTHS = 10_000  # in a second
-LOOK_EVERY, STALL = 200, 200  # tenths of a ms: between looks at the loop; later than that is a stall
-MOST_STALLS = 20_000
-MB = 1024  # kilobytes
-SOMEWHERE = "127.59.0.1:1"  # every backend's address: hollow relays open no connection
-SOCKETS = 1024  # descriptors that a relay is told it may use
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+STALL_CHECK = 200  # tenths of a ms between checks of the event loop
+MIN_STALL = 200  # tenths of a ms by which a check is late, from which on it is a stall
+MAX_STALLS = 20_000  # that are kept
+MAX_VIOLATIONS = 20  # that are sent to the director
+MAX_LOG_LINE = 300  # characters of a relay's log line that are sent to the director
+KB_PER_MB = 1024
+UNUSED_ADDRESS = "127.59.0.1:1"  # listed for every backend: hollow relays open no connection
+DESCRIPTORS = 1024  # that a relay is configured with
 
 
 def proportional_memory() -> float:
-    """This process's own part of memory (PSS), in MB."""
+    """This process's proportional share of memory (PSS), in MB."""
     text = Path("/proc/self/smaps_rollup").read_text()
-    return int(text.split("\nPss:")[1].split()[0]) / MB
+    return int(text.split("\nPss:")[1].split()[0]) / KB_PER_MB
 
 
-class Serving:
+class PendingRequest:
     """One request of a client, at a hollow relay."""
 
-    __slots__ = ("arrival", "relay", "answer", "timer", "over")
+    __slots__ = ("arrival", "relay", "answer", "timer", "is_over")
 
     def __init__(self, arrival: Arrival, relay: HollowRelay) -> None:
-        self.arrival, self.relay, self.over = arrival, relay, False
+        self.arrival, self.relay, self.is_over = arrival, relay, False
         self.answer: Deferred | None = None
         self.timer: Any = None
 
 
-class Listing:
-    """The endpoint list, read once for all relays of the process; entries are shared between them."""
+class EndpointList:
+    """The endpoint list, read once for all relays of the process; they share its entries."""
 
     def __init__(self, setup: TrialSetup, day: Day) -> None:
         self.setup = setup
         self.version = day.roster.version
-        self.entries = {entry.name: self.known(entry) for entry in day.roster.whole(self.version)}
-        self.names = {unit_number(name): name for name in self.entries}
-        self.closed: dict[str, tuple[int, Entry]] = {}  # backend that drains or is gone -> since which version
+        self.entries = {entry.name: self.relay_entry(entry) for entry in day.roster.whole(self.version)}
+        self.names = {unit_number(name): name for name in self.entries}  # by the relay's number of a backend
+        # by backend that drains or is gone: the first version that says so, and its entry there
+        self.closed: dict[str, tuple[int, Entry]] = {}
 
-    def known(self, entry: Entry) -> Known:
+    def relay_entry(self, entry: Entry) -> RelayEntry:
+        """The entry as a relay reads it from discovery."""
         started = self.setup.unix_ms(entry.started) if entry.started else 0
         state = STATES[entry.state]
-        return Known(entry.name, SOMEWHERE, entry.zone, entry.cell, state, entry.weight, started, entry.build)
+        return RelayEntry(entry.name, UNUSED_ADDRESS, entry.zone, entry.cell, state, entry.weight, started, entry.build)
 
     def whole(self) -> News:
         return News(self.version, True, list(self.entries.values()))
 
-    def change(self, word: director_messages.Listed) -> News:
-        """What relays are told of the changes."""
-        self.version = word.version
-        told = []
-        for entry in word.entries:
+    def apply(self, update: director_messages.ListUpdate) -> News:
+        """Take the update, and return the changes as relays get them."""
+        self.version = update.version
+        changed = []
+        for entry in update.entries:
             self.names[unit_number(entry.name)] = entry.name
-            known = self.known(entry)
-            told.append(known)
+            relay_entry = self.relay_entry(entry)
+            changed.append(relay_entry)
             if entry.state == "gone":
                 self.entries.pop(entry.name, None)
             else:
-                self.entries[entry.name] = known
+                self.entries[entry.name] = relay_entry
             if entry.state == "open":
                 self.closed.pop(entry.name, None)
             else:
-                self.closed.setdefault(entry.name, (word.version, entry))
-        return News(word.version, False, told)
+                self.closed.setdefault(entry.name, (update.version, entry))
+        return News(update.version, False, changed)
 
 
 class HollowProcess:
-    """Hundreds of hollow relays and what is round them; `say` takes words for the director."""
-
-    def __init__(self, reactor: Any, cast: director_messages.Cast, say: Any) -> None:
-        self.reactor, self.cast, self.say = reactor, cast, say
-        self.scenario: Scenario = convert(cast.scenario)
-        self.writer = Writer(cast.record)
-        self.writer(Head(0, VERSION, "trial", self.scenario.name, cast.seed, {}))
-        self.setup = TrialSetup(reactor, self.scenario, cast.seed, cast.port, self.writer, self.wrong, say)
-        self.setup.addresses = ScaleAddresses(cast.port)
-        day = Day(self.scenario.parts(), cast.seed, clients_of(self.scenario, cast.seed))
-        self.clients, self.lags = day.clients, day.roster.lag
-        self.listing = Listing(self.setup, day)
-        self.backends = Backends(self.setup, day.fleet.units, lambda name: say(director_messages.Fell(name)))
+    """Hundreds of hollow relays with their clients and backends; `send` takes messages to the director."""
+
+    def __init__(self, reactor: Any, assignment: director_messages.ProcessAssignment, send: Any) -> None:
+        self.reactor, self.assignment, self.send = reactor, assignment, send
+        self.scenario: Scenario = convert(assignment.scenario)
+        self.writer = Writer(assignment.record)
+        self.writer(Head(0, VERSION, "trial", self.scenario.name, assignment.seed, {}))
+        self.setup = TrialSetup(
+            reactor, self.scenario, assignment.seed, assignment.port, self.writer, self.report_violation, send
+        )
+        self.setup.addresses = ScaleAddresses(assignment.port)
+        day = Day(self.scenario.parts(), assignment.seed, clients_of(self.scenario, assignment.seed))
+        self.clients, self.list_lags = day.clients, day.roster.lag
+        self.endpoint_list = EndpointList(self.setup, day)
+        self.backends = Backends(self.setup, day.fleet.units, lambda name: send(director_messages.BackendCrashed(name)))
         state = day.desk.state
-        self.rollout = director_messages.Rollout(state.build, state.stage, state.phase, state.cap, 0)
+        self.rollout = director_messages.RolloutUpdate(state.build, state.stage, state.phase, state.cap, 0)
         self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
-        self.outside = Outside(
-            self.backends, self.listing.names, self.vote, self.list_anew, self.note_sent, self.note_received
+        self.services = ProcessServices(
+            self.backends, self.endpoint_list.names, self.vote, self.resend_list, self.count_sent, self.count_received
         )
         self.relays: dict[int, HollowRelay] = {}
-        self.started: dict[int, float] = {}  # relay -> when it came up
-        self.ended: list[RelayCost] = []  # of relays that were killed
-        self.versions: dict[int, list[tuple[int, int]]] = {}  # relay -> (version, when it was told), in order
-        self.recorded: set[tuple[int, str]] = (
-            set()
-        )  # relay and backend of which the record has that it drains or is gone
-        self.backends.attempted = self.attempted
-        self.serving: dict[int, Serving] = {}  # by the request's number
-        self.repeats = 0  # of clients, to come
-        self.late: Counter[int] = Counter()  # tenths of a ms -> arrivals that were so late
-        self.numbers = {
-            (place.host, place.port): relay
+        self.started_at: dict[int, float] = {}  # by relay, in seconds of the reactor
+        self.ended_costs: list[RelayCost] = []  # of relays that were killed
+        # by relay: the versions of the list that it got, each with its time of the day, in order
+        self.list_versions: dict[int, list[tuple[int, int]]] = {}
+        # relay and backend where the record says that the relay knew of the backend's end
+        self.recorded_ends: set[tuple[int, str]] = set()
+        self.backends.on_attempt = self.record_known_end
+        self.pending: dict[int, PendingRequest] = {}  # by the request's number
+        self.pending_repeats = 0  # that clients will send
+        self.lateness: Counter[int] = Counter()  # arrivals by how late they were served, in tenths of a ms
+        self.relay_numbers = {
+            (address.host, address.port): relay
             for relay in range(self.scenario.fleet.relays)
-            for place in [self.setup.addresses.relay(relay)]
+            for address in [self.setup.addresses.relay(relay)]
         }
-        self.heard_of: dict[int, list[int]] = {}  # other relay -> datagrams, bytes of it; datagrams, bytes to it
-        self.closing = False
-        self.bare_mb = 0.0
-        self.cpu_begun = 0.0
-        self.before: dict[int, RelayCost] = {}  # what relays had cost when the day began
-        self.datagrams = (0, 0)
-        self.wrongs = 0
+        # by other relay: datagrams and bytes received of it, datagrams and bytes sent to it
+        self.peer_traffic: dict[int, list[int]] = {}
+        self.is_closing = False  # the last request has arrived
+        self.initial_mb = 0.0  # memory of the process before its relays were built
+        self.cpu_begun = 0.0  # processor seconds when the day began
+        self.setup_costs: dict[int, RelayCost] = {}  # by relay: its cost when the day began
+        self.datagrams = (0, 0)  # sent and received until the last count
+        self.violations = 0
         self.stalls: list[tuple[int, int]] = []
-        self.looked = 0
+        self.checked_at = 0  # time of the last check for stalls
         logger.remove()
-        logger.add(lambda text: self.wrong(str(text).strip()[:300]), level="ERROR", format="{message}")
+        logger.add(
+            lambda text: self.report_violation(str(text).strip()[:MAX_LOG_LINE]), level="ERROR", format="{message}"
+        )
 
-    def wrong(self, text: str) -> None:
-        self.wrongs += 1
-        if self.wrongs <= 20:
-            self.say(director_messages.Wrong(f"process {self.cast.place}: {text}"))
+    def report_violation(self, text: str) -> None:
+        self.violations += 1
+        if self.violations <= MAX_VIOLATIONS:
+            self.send(director_messages.Violation(f"process {self.assignment.index}: {text}"))
 
     # relays
-    def build(self) -> None:
-        """All relays, one a turn; nothing of them is looked at by the collector again."""
+    def start_relays(self) -> None:
+        """Start all relays, one in each turn of the loop; the garbage collector never looks at them again."""
         gc.collect()
         gc.disable()
-        self.bare_mb = proportional_memory()
-        self.build_next(list(reversed(self.cast.relays)))
+        self.initial_mb = proportional_memory()
+        self.start_next(list(reversed(self.assignment.relays)))
 
-    def build_next(self, left: list[int]) -> None:
-        if left:
-            self.start(left.pop())
-            self.reactor.callLater(0, self.build_next, left)
+    def start_next(self, remaining: list[int]) -> None:
+        if remaining:
+            self.start(remaining.pop())
+            self.reactor.callLater(0, self.start_next, remaining)
             return
         gc.collect()
         gc.freeze()
         gc.enable()
-        self.say(director_messages.Ready())
+        self.send(director_messages.RelaysReady())
 
-    def assignment(self, relay: int) -> RelayConfiguration:
+    def configuration(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
-        age = max(0, self.setup.now() - rollout.since) / 10
-        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age)
-        seed = mix(self.cast.seed, relay, self.setup.now(), 17)
+        age_ms = max(0, self.setup.now() - rollout.since) / 10
+        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age_ms)
+        seed = mix(self.assignment.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
-        known = self.listing.whole()
+        known = self.endpoint_list.whole()
         everyone = str(self.setup.addresses.everyone(relay))
         return RelayConfiguration(
-            f"n{relay}", own, own, seed, SOCKETS, own, self.peers, everyone, "", state, known, facts
+            f"n{relay}", own, own, seed, DESCRIPTORS, own, self.peers, everyone, "", state, known, facts
         )
 
     def start(self, relay: int) -> None:
-        one = HollowRelay(self.reactor, self.assignment(relay), self.outside, time.time)
-        self.relays[relay], self.started[relay] = one, self.reactor.seconds()
-        self.versions[relay] = [(self.listing.version, self.setup.now())]
-        self.tell_rollout(relay)
-        one.start()
+        hollow = HollowRelay(self.reactor, self.configuration(relay), self.services, time.time)
+        self.relays[relay], self.started_at[relay] = hollow, self.reactor.seconds()
+        self.list_versions[relay] = [(self.endpoint_list.version, self.setup.now())]
+        self.record_rollout(relay)
+        hollow.start()
 
     def kill(self, relay: int) -> None:
-        one = self.relays.pop(relay, None)
-        if one is None:
+        hollow = self.relays.pop(relay, None)
+        if hollow is None:
             return
-        self.ended.append(self.cost(relay, one))
-        for serving in [each for each in self.serving.values() if each.relay is one]:
-            self.finish(serving, "lost", 0)
-        one.kill()
+        self.ended_costs.append(self.cost(relay, hollow))
+        for request in [each for each in self.pending.values() if each.relay is hollow]:
+            self.finish(request, "lost", 0)
+        hollow.kill()
 
-    def tell_rollout(self, relay: int) -> None:
+    def record_rollout(self, relay: int) -> None:
+        """Record that the relay gets the rollout state of now."""
         rollout = self.rollout
         self.setup.record_line(
             NewsLine(self.setup.now(), relay, rollout.build, rollout.stage, rollout.phase, rollout.cap)
         )
 
     def vote(self, relay: int, build: int, stage: int, verdict: str) -> None:
-        self.say(director_messages.Vote(relay, build, stage, verdict))
+        self.send(director_messages.Vote(relay, build, stage, verdict))
+
+    def resend_list(self, hollow: HollowRelay) -> None:
+        """Give the relay the whole list, as it asks for."""
+        self.reactor.callLater(0, self.deliver_list, hollow, self.endpoint_list.whole(), "whole")
 
-    def list_anew(self, one: HollowRelay) -> None:
-        self.reactor.callLater(0, self.tell_list, one, self.listing.whole(), "whole")
+    def deliver_list(self, hollow: HollowRelay, news: News, kind: str) -> None:
+        """Give the relay a list or changes, unless it has been killed since."""
+        if self.relays.get(hollow.index) is hollow:
+            self.list_versions[hollow.index].append((news.version, self.setup.now()))
+            hollow.listed(news, kind)
 
-    def tell_list(self, one: HollowRelay, news: News, kind: str) -> None:
-        if self.relays.get(one.index) is one:
-            self.versions[one.index].append((news.version, self.setup.now()))
-            one.listed(news, kind)
+    def record_known_end(self, relay: int, name: str) -> None:
+        """Record for the checker when the relay learnt that this backend drains or is gone.
 
-    def attempted(self, relay: int, name: str) -> None:
-        """The record is told of what this relay knew of the backend's end, for the checker: of this one alone, since
-        all changes at all relays would be millions of lines.  The director puts lines in order."""
-        version, entry = self.listing.closed.get(name, (0, None))
-        if entry is None or (relay, name) in self.recorded:
+        This is done only for a relay that sends the backend an attempt, since all changes at all relays would be
+        millions of lines.  The line has an earlier time than its neighbours; the director puts lines in order."""
+        version, entry = self.endpoint_list.closed.get(name, (0, None))
+        if entry is None or (relay, name) in self.recorded_ends:
             return
-        at = next((at for told, at in self.versions[relay] if told >= version), None)
+        at = next((at for received, at in self.list_versions[relay] if received >= version), None)
         if at is not None:
-            self.recorded.add((relay, name))
+            self.recorded_ends.add((relay, name))
             self.setup.record_line(Told(at, relay, name, entry.build, entry.state, entry.started))
 
-    def note_sent(self, address: tuple[str, int], size: int) -> None:
-        other = self.heard_of.setdefault(self.numbers.get(address, -1), [0, 0, 0, 0])
-        other[2] += 1
-        other[3] += size
-
-    def note_received(self, address: tuple[str, int], size: int) -> None:
-        other = self.heard_of.setdefault(self.numbers.get(address, -1), [0, 0, 0, 0])
-        other[0] += 1
-        other[1] += size
-
-    # what the director says
-    def heard(self, word: Any) -> None:
-        match word:
-            case director_messages.Begin(zero):
-                self.begin(zero)
-            case director_messages.Backend():
-                self.backends.change(word)
-            case director_messages.Listed():
-                self.list_changed(self.listing.change(word))
-            case director_messages.Rollout():
-                self.rollout_changed(word)
-            case director_messages.Kill(relay):
+    def count_sent(self, address: tuple[str, int], size: int) -> None:
+        counts = self.peer_traffic.setdefault(self.relay_numbers.get(address, -1), [0, 0, 0, 0])
+        counts[2] += 1
+        counts[3] += size
+
+    def count_received(self, address: tuple[str, int], size: int) -> None:
+        counts = self.peer_traffic.setdefault(self.relay_numbers.get(address, -1), [0, 0, 0, 0])
+        counts[0] += 1
+        counts[1] += size
+
+    # messages of the director
+    def receive(self, message: Any) -> None:
+        match message:
+            case director_messages.DayBegin(start):
+                self.begin(start)
+            case director_messages.BackendState():
+                self.backends.update(message)
+            case director_messages.ListUpdate():
+                self.publish_list(self.endpoint_list.apply(message))
+            case director_messages.RolloutUpdate():
+                self.publish_rollout(message)
+            case director_messages.KillRelay(relay):
                 self.kill(relay)
-            case director_messages.Start(relay) if relay not in self.relays:
+            case director_messages.StartRelay(relay) if relay not in self.relays:
                 self.start(relay)
-            case director_messages.Voted(relay, answer) if relay in self.relays:
+            case director_messages.VoteAnswer(relay, answer) if relay in self.relays:
                 self.relays[relay].on_vote_answer(answer)
-            case director_messages.Close():
-                self.closing = True
-                self.look()
+            case director_messages.ArrivalsOver():
+                self.is_closing = True
+                self.report_when_answered()
 
-    def begin(self, zero: float) -> None:
-        self.setup.begin(zero)
+    def begin(self, start: float) -> None:
+        """The day begins; `start` is in seconds of the reactor."""
+        self.setup.begin(start)
         self.cpu_begun = time.process_time()
-        self.before = {relay: self.cost(relay, one) for relay, one in self.relays.items()}
-        self.heard_of.clear()
-        self.next_arrival()
-        self.reactor.callLater(self.setup.seconds_until(TENTHS), self.count_traffic, 0)
-        self.reactor.callLater(self.setup.seconds_until(LOOK_EVERY), self.watch)
-
-    def watch(self) -> None:
-        """Notes when nothing ran for longer than a loop in good order takes for a turn."""
-        now, due = self.setup.now(), self.looked + LOOK_EVERY
-        if now > due + STALL and len(self.stalls) < MOST_STALLS:
+        self.setup_costs = {relay: self.cost(relay, hollow) for relay, hollow in self.relays.items()}
+        self.peer_traffic.clear()
+        self.schedule_arrivals()
+        self.reactor.callLater(self.setup.seconds_until(TENTHS_PER_SECOND), self.count_traffic, 0)
+        self.reactor.callLater(self.setup.seconds_until(STALL_CHECK), self.check_stall)
+
+    def check_stall(self) -> None:
+        """Note a stall if this call is late by more than MIN_STALL; call again after STALL_CHECK."""
+        now, due = self.setup.now(), self.checked_at + STALL_CHECK
+        if now > due + MIN_STALL and len(self.stalls) < MAX_STALLS:
             self.stalls.append((due, now))
-        self.looked = now
-        self.reactor.callLater(LOOK_EVERY / TENTHS, self.watch)
-
-    def list_changed(self, news: News) -> None:
-        for relay, one in self.relays.items():
-            self.reactor.callLater(self.lags[relay] / TENTHS, self.tell_list, one, news, "changes")
-
-    def rollout_changed(self, word: director_messages.Rollout) -> None:
-        self.rollout = word
-        for relay, one in list(self.relays.items()):
-            self.tell_rollout(relay)
-            age = max(0, self.setup.now() - word.since) / 10
-            one.on_rollout_state(RolloutState(word.build, word.stage, word.phase, word.cap, age))
+        self.checked_at = now
+        self.reactor.callLater(STALL_CHECK / TENTHS_PER_SECOND, self.check_stall)
+
+    def publish_list(self, news: News) -> None:
+        """Give changes of the list to each relay after its own lag."""
+        for relay, hollow in self.relays.items():
+            self.reactor.callLater(
+                self.list_lags[relay] / TENTHS_PER_SECOND, self.deliver_list, hollow, news, "changes"
+            )
+
+    def publish_rollout(self, update: director_messages.RolloutUpdate) -> None:
+        self.rollout = update
+        for relay, hollow in list(self.relays.items()):
+            self.record_rollout(relay)
+            age_ms = max(0, self.setup.now() - update.since) / 10
+            hollow.on_rollout_state(RolloutState(update.build, update.stage, update.phase, update.cap, age_ms))
 
     def count_traffic(self, second: int) -> None:
-        meters = [one.meter for one in self.relays.values()]
-        gone = sum(cost.sent for cost in self.ended), sum(cost.received for cost in self.ended)
-        now = gone[0] + sum(meter.sent for meter in meters), gone[1] + sum(meter.received for meter in meters)
-        self.say(director_messages.Traffic(second, now[0] - self.datagrams[0], now[1] - self.datagrams[1]))
+        """Report the datagrams of that second of the day; call again a second later."""
+        meters = [hollow.meter for hollow in self.relays.values()]
+        ended = sum(cost.sent for cost in self.ended_costs), sum(cost.received for cost in self.ended_costs)
+        now = ended[0] + sum(meter.sent for meter in meters), ended[1] + sum(meter.received for meter in meters)
+        self.send(director_messages.Traffic(second, now[0] - self.datagrams[0], now[1] - self.datagrams[1]))
         self.datagrams = now
-        if not self.closing:
-            self.reactor.callLater(self.setup.seconds_until((second + 2) * TENTHS), self.count_traffic, second + 1)
+        if not self.is_closing:
+            self.reactor.callLater(
+                self.setup.seconds_until((second + 2) * TENTHS_PER_SECOND), self.count_traffic, second + 1
+            )
 
     # requests
-    def next_arrival(self) -> None:
+    def schedule_arrivals(self) -> None:
         due = self.clients.due
         if due is not None:
-            self.reactor.callLater(self.setup.seconds_until(due), self.arrive)
+            self.reactor.callLater(self.setup.seconds_until(due), self.take_arrivals)
 
-    def arrive(self) -> None:
-        """All that are due by now; all processes draw all arrivals, and each serves those of its relays."""
-        clients, now, own = self.clients, self.setup.now(), set(self.cast.relays)
+    def take_arrivals(self) -> None:
+        """Take all that are due by now: each process draws the same arrivals, and serves those of its relays."""
+        clients, now, own = self.clients, self.setup.now(), set(self.assignment.relays)
         while clients.due is not None and clients.due <= now:
             arrival = clients.next()
             if arrival.relay in own:
-                self.late[max(0, now - arrival.at)] += 1
+                self.lateness[max(0, now - arrival.at)] += 1
                 self.serve(arrival)
-        self.next_arrival()
+        self.schedule_arrivals()
 
-    def chosen(self, relay: int) -> HollowRelay | None:
-        """The relay itself, or the next of this process that is up."""
+    def choose_relay(self, relay: int) -> HollowRelay | None:
+        """That relay, or the next of this process that is up."""
         if relay in self.relays:
             return self.relays[relay]
-        own = self.cast.relays
-        place = own.index(relay)
-        return next((self.relays[each] for each in own[place:] + own[:place] if each in self.relays), None)
+        own = self.assignment.relays
+        index = own.index(relay)
+        return next((self.relays[each] for each in own[index:] + own[:index] if each in self.relays), None)
 
     def serve(self, arrival: Arrival) -> None:
-        one, now = self.chosen(arrival.relay), self.setup.now()
-        if one is None:
+        """Hand a request to its relay; without any relay it is not recorded."""
+        hollow, now = self.choose_relay(arrival.relay), self.setup.now()
+        if hollow is None:
             return
         customer = self.setup.tenants[arrival.customer]
-        self.setup.record_line(take_line(now, one.index, arrival))
-        table = self.scenario.workload[arrival.workload]
-        wait = max(1, (arrival.give_up - now) // 10)
-        text = statement_text(arrival, table.name, table.effect, customer, wait)
-        serving = self.serving[arrival.number] = Serving(arrival, one)
-        serving.timer = self.reactor.callLater(
-            self.setup.seconds_until(arrival.give_up + PATIENCE), self.leave, serving
+        self.setup.record_line(take_line(now, hollow.index, arrival))
+        workload = self.scenario.workload[arrival.workload]
+        wait_ms = max(1, (arrival.give_up - now) // 10)
+        text = statement_text(arrival, workload.name, workload.effect, customer, wait_ms)
+        request = self.pending[arrival.number] = PendingRequest(arrival, hollow)
+        request.timer = self.reactor.callLater(
+            self.setup.seconds_until(arrival.give_up + PATIENCE), self.time_out, request
         )
-        serving.answer = one.take(statements.read(text), one.clock())
-        serving.answer.addCallbacks(self.answered, self.failed, callbackArgs=(serving,), errbackArgs=(serving,))
+        request.answer = hollow.take(statements.read(text), hollow.clock())
+        request.answer.addCallbacks(self.on_answer, self.on_cancelled, callbackArgs=(request,), errbackArgs=(request,))
 
-    def answered(self, answer: Any, serving: Serving) -> None:
-        """In a turn of its own: what a client does is no part of what its relay costs."""
-        word = "served" if isinstance(answer, Value) else "rejected" if isinstance(answer, Rejected) else "forfeited"
+    def on_answer(self, answer: Any, request: PendingRequest) -> None:
+        """Finish the request in the loop's next turn, so that a client's work does not count as its relay's."""
+        outcome = "served" if isinstance(answer, Value) else "rejected" if isinstance(answer, Rejected) else "forfeited"
         retry_after = answer.retry_after if isinstance(answer, Rejected) else 0
-        self.reactor.callLater(0, self.finish, serving, word, retry_after)
+        self.reactor.callLater(0, self.finish, request, outcome, retry_after)
 
-    def failed(self, reason: Failure, serving: Serving) -> None:
-        """It was cancelled, since its client left."""
+    def on_cancelled(self, reason: Failure, request: PendingRequest) -> None:
+        """Nothing to do: the client has left (`time_out`)."""
 
-    def leave(self, serving: Serving) -> None:
-        if not serving.over:
-            self.finish(serving, "left", 0)
-            serving.answer.cancel()
+    def time_out(self, request: PendingRequest) -> None:
+        """The client waits no longer."""
+        if not request.is_over:
+            self.finish(request, "left", 0)
+            request.answer.cancel()
 
-    def finish(self, serving: Serving, answer: str, retry_after: int) -> None:
-        if serving.over:
+    def finish(self, request: PendingRequest, answer: str, retry_after: int) -> None:
+        """Record the answer, and schedule the client's repeat if it makes one."""
+        if request.is_over:
             return
-        serving.over, arrival = True, serving.arrival
-        if serving.timer.active():
-            serving.timer.cancel()
-        self.serving.pop(arrival.number, None)
-        self.setup.record_line(End(self.setup.now(), serving.relay.index, arrival.number, answer))
-        again = self.clients.answered(self.setup.now(), arrival, answer, retry_after)
-        if again:
-            self.repeats += 1
-            self.reactor.callLater(self.setup.seconds_until(again.at), self.again, again)
-        self.look()
-
-    def again(self, arrival: Arrival) -> None:
-        self.repeats -= 1
+        request.is_over, arrival = True, request.arrival
+        if request.timer.active():
+            request.timer.cancel()
+        self.pending.pop(arrival.number, None)
+        self.setup.record_line(End(self.setup.now(), request.relay.index, arrival.number, answer))
+        repeated = self.clients.answered(self.setup.now(), arrival, answer, retry_after)
+        if repeated:
+            self.pending_repeats += 1
+            self.reactor.callLater(self.setup.seconds_until(repeated.at), self.repeat, repeated)
+        self.report_when_answered()
+
+    def repeat(self, arrival: Arrival) -> None:
+        self.pending_repeats -= 1
         self.serve(arrival)
-        self.look()
-
-    def look(self) -> None:
-        if self.closing and not self.serving and not self.repeats:
-            self.closing = False
-            self.say(director_messages.Answered())
-
-    # what it cost
-    def cost(self, relay: int, one: HollowRelay) -> RelayCost:
-        meter, counts = one.meter, one.counters.counts
-        lived = self.reactor.seconds() - self.started[relay]
+        self.report_when_answered()
+
+    def report_when_answered(self) -> None:
+        if self.is_closing and not self.pending and not self.pending_repeats:
+            self.is_closing = False
+            self.send(director_messages.AllAnswered())
+
+    # costs
+    def cost(self, relay: int, hollow: HollowRelay) -> RelayCost:
+        """The relay's cost since it came up."""
+        meter, counts = hollow.meter, hollow.counters.counts
+        lived = self.reactor.seconds() - self.started_at[relay]
         shed = counts["peers.shed"] + counts["peers.dropped"]
         return RelayCost(
             relay, lived, meter.seconds(), meter.sent, meter.received, meter.bytes_out, meter.bytes_in, shed
         )
 
-    def of_the_day(self, now: RelayCost) -> RelayCost:
-        """Less what it had cost before the day began."""
-        before = self.before.get(now.relay)
-        if before is None or before.lived > now.lived:  # it came up in the day
-            return now
-        cpu = {kind: seconds - before.cpu.get(kind, 0.0) for kind, seconds in now.cpu.items()}
+    def subtract_setup(self, total: RelayCost) -> RelayCost:
+        """The cost without what the relay had cost before the day began."""
+        before = self.setup_costs.get(total.relay)
+        if before is None or before.lived > total.lived:  # it came up in the day
+            return total
+        cpu = {kind: seconds - before.cpu.get(kind, 0.0) for kind, seconds in total.cpu.items()}
         figures = [
-            getattr(now, name) - getattr(before, name) for name in ("sent", "received", "bytes_out", "bytes_in", "shed")
+            getattr(total, name) - getattr(before, name)
+            for name in ("sent", "received", "bytes_out", "bytes_in", "shed")
         ]
-        return RelayCost(now.relay, now.lived - before.lived, cpu, *figures)
+        return RelayCost(total.relay, total.lived - before.lived, cpu, *figures)
 
-    def over(self) -> director_messages.Over:
-        costs = [self.of_the_day(self.cost(relay, one)) for relay, one in self.relays.items()]
-        for one in self.relays.values():
-            if one.facade.faults:
-                self.wrong(f"relay {one.index}: {one.facade.faults} faults of the module")
+    def final_report(self) -> director_messages.FinalReport:
+        costs = [self.subtract_setup(self.cost(relay, hollow)) for relay, hollow in self.relays.items()]
+        for hollow in self.relays.values():
+            if hollow.facade.faults:
+                self.report_violation(f"relay {hollow.index}: {hollow.facade.faults} faults of the decision module")
         self.writer.close()
-        return director_messages.Over(
+        return director_messages.FinalReport(
             costs,
             time.process_time() - self.cpu_begun,
             proportional_memory(),
-            self.bare_mb,
-            dict(self.late),
-            {relay: tuple(figures) for relay, figures in self.heard_of.items()},
+            self.initial_mb,
+            dict(self.lateness),
+            {relay: tuple(figures) for relay, figures in self.peer_traffic.items()},
             self.stalls,
         )
 
 
-class Ear(Protocol):
-    """The director's words come in as lines on standard input, and this process's go out on standard output."""
+class DirectorConnection(Protocol):
+    """Messages of the director as lines on standard input, and this process's on standard output."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.held = reactor, b""
+        self.reactor, self.buffer = reactor, b""
         self.process: HollowProcess | None = None
 
-    def say(self, word: director_messages.Word) -> None:
-        self.transport.write(encode(word))
+    def send(self, message: director_messages.Message) -> None:
+        self.transport.write(encode(message))
 
     def dataReceived(self, data: bytes) -> None:
-        *lines, self.held = (self.held + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
-            self.heard(decode(line))
+            self.receive(decode(line))
 
-    def heard(self, word: Any) -> None:
-        match word:
-            case director_messages.Cast():
-                self.process = HollowProcess(self.reactor, word, self.say)
-                self.process.build()
+    def receive(self, message: Any) -> None:
+        match message:
+            case director_messages.ProcessAssignment():
+                self.process = HollowProcess(self.reactor, message, self.send)
+                self.process.start_relays()
             case director_messages.Stop():
-                self.say(self.process.over())
+                self.send(self.process.final_report())
                 self.reactor.callLater(0.1, self.reactor.stop)
             case _:
-                self.process.heard(word)
+                self.process.receive(message)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The director has gone."""
+        """The director has ended."""
         if self.reactor.running:
             self.reactor.stop()
 
@@ -445,7 +475,7 @@
     from twisted.internet.stdio import StandardIO
 
     raise_descriptor_limit()
-    StandardIO(Ear(use_shared_clock(reactor)))
+    StandardIO(DirectorConnection(use_shared_clock(reactor)))
     reactor.run()
 
 
--- a/tealsail/lab/scale/hollow_relay.py
+++ b/tealsail/lab/scale/hollow_relay.py
@@ -1,9 +1,9 @@
 """A hollow relay: `net.relay.Relay` itself, with clients and backends in its process instead of behind sockets.
 
-Everything between them is the relay's own code: facade, choices, list handling, timers, and messages to other relays
-over its own UDP socket.  So whatever the relay comes to wire is wired here, too.  What is left out: the listener for
-clients and their connections, connections to backends and their table, and the connections to discovery and platform,
-which one connection of the process stands for.
+Everything between clients and backends is the relay's own code: facade, choices, list handling, timers, and messages
+to other relays over its own UDP socket.  So whatever is added to the relay's code is in force here, too.  What is left
+out: the listener for clients and their connections, connections to backends and their table, and the connections to
+discovery and platform, in whose place the process has one connection to the director.
 """
 
 from collections.abc import Callable
@@ -20,24 +20,26 @@
 from .backends import Backends, Load
 from .meter import Meter, MeteredPeers
 
-ONE_WAY = 0.0002  # seconds to a backend, and back
-VALUE = messages.Value(messages.RowDescription(b"", 1), messages.DataRow(b"", 1), messages.CommandComplete(b""))
+ONE_WAY_S = 0.0002  # to a backend, and back
+SERVED_VALUE = messages.Value(messages.RowDescription(b"", 1), messages.DataRow(b"", 1), messages.CommandComplete(b""))
 
 
-class Outside(NamedTuple):
-    """What a hollow relay needs of its process.  `names` gives a backend's name by its number; `vote` takes a relay's
-    vote to the platform; `list_anew` is asked by a relay for the whole list; `sent` and `received` are told of
-    datagrams."""
+class ProcessServices(NamedTuple):
+    """What a hollow relay needs of its process.
+
+    `backend_names` gives a backend's name by the relay's number of it; `vote` passes on a relay's vote (relay, build,
+    stage, verdict); `request_list` makes the process send a relay the whole list; `on_sent` and `on_received` get the
+    address and size of each datagram."""
 
     backends: Backends
-    names: dict[int, str]
+    backend_names: dict[int, str]
     vote: Callable[[int, int, int, str], None]
-    list_anew: Callable[["HollowRelay"], None]
-    sent: Callable[[tuple[str, int], int], None]
-    received: Callable[[tuple[str, int], int], None]
+    request_list: Callable[["HollowRelay"], None]
+    on_sent: Callable[[tuple[str, int], int], None]
+    on_received: Callable[[tuple[str, int], int], None]
 
 
-class NoListener:
+class NullListener:
     """In place of the listener for clients."""
 
     def stopListening(self) -> None:
@@ -47,18 +49,18 @@
 class HollowReactor:
     """The process's reactor as a hollow relay sees it: no listener for clients, and a metered UDP socket."""
 
-    def __init__(self, reactor: Any, meter: Meter, outside: Outside) -> None:
-        self.reactor, self.meter, self.outside = reactor, meter, outside
+    def __init__(self, reactor: Any, meter: Meter, services: ProcessServices) -> None:
+        self.reactor, self.meter, self.services = reactor, meter, services
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.reactor, name)
 
-    def listenTCP(self, *what: Any) -> NoListener:
-        return NoListener()
+    def listenTCP(self, *arguments: Any) -> NullListener:
+        return NullListener()
 
-    def listenUDP(self, port: int, protocol: Any, *more: Any, **named: Any) -> Any:
-        metered = MeteredPeers(protocol, self.meter, self.outside.sent, self.outside.received)
-        return self.reactor.listenUDP(port, metered, *more, **named)
+    def listenUDP(self, port: int, protocol: Any, *arguments: Any, **keywords: Any) -> Any:
+        metered = MeteredPeers(protocol, self.meter, self.services.on_sent, self.services.on_received)
+        return self.reactor.listenUDP(port, metered, *arguments, **keywords)
 
 
 class HollowDiscovery:
@@ -70,10 +72,10 @@
         self.relay = relay
 
     def reconnect(self) -> None:
-        self.relay.outside.list_anew(self.relay)
+        self.relay.services.request_list(self.relay)
 
     def move(self, address: str) -> None:
-        """There is one list."""
+        """Nothing to do: there is one list."""
 
     def stop(self) -> None:
         """Nothing is open."""
@@ -89,70 +91,73 @@
         self.relay = relay
 
     def vote(self, build: int, stage: int, verdict: str) -> None:
-        self.relay.outside.vote(self.relay.index, build, stage, verdict)
+        self.relay.services.vote(self.relay.index, build, stage, verdict)
 
     def reconnect(self) -> None:
-        """The process's connection stands."""
+        """Nothing to do: the process's connection stays."""
 
     def move(self, address: str) -> None:
-        """There is one platform."""
+        """Nothing to do: there is one platform."""
 
     def stop(self) -> None:
         """Nothing is open."""
 
 
 class HollowAttempt:
-    """One attempt at a backend, with the outside of `net.units.Shot`: `done` gets its one Came."""
+    """One attempt at a backend, with the interface of `net.units.Shot`: `done` fires once, with a ShotResult."""
 
     def __init__(
-        self, relay: "HollowRelay", name: str, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]
+        self, relay: "HollowRelay", backend: str, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]
     ) -> None:
-        self.owner, self.name, self.text, self.stands = relay, name, text, stands
-        self.relay, self.number, self.place = relay.index, -1, 0
+        """`text` gives the statement to send, `wait` the seconds to wait for an answer; `stands` is asked whether the
+        attempt is still wanted when it reaches the backend."""
+        self.owner, self.backend, self.text, self.stands = relay, backend, text, stands
+        self.relay, self.number, self.index = relay.index, -1, 0
         self.done: Deferred[ShotResult] = Deferred()
-        self.over = self.taken = False
+        self.is_over = self.is_at_backend = False
         self.timer = relay.reactor.callLater(wait, self.stop, "timeout")
-        relay.reactor.callLater(ONE_WAY, self.arrive)
+        relay.reactor.callLater(ONE_WAY_S, self.arrive)
 
     def arrive(self) -> None:
         """Its bytes have come to the backend."""
-        if self.over:
+        if self.is_over:
             return
         if not self.stands():
             return self.end("moot")
-        backends = self.owner.outside.backends
+        backends = self.owner.services.backends
         statement = statements.read(self.text())
         self.number = int(statement.id)
-        self.place = backends.next_place(self.number)
+        self.index = backends.next_index(self.number)
         request_class = self.owner.facade.workloads[statement.workload]
-        self.taken = True  # before the backend takes it: it may answer at once
+        self.is_at_backend = True  # before the backend takes it: it may answer at once
         if not backends.take(self, request_class, int(statement.wait * 10)):
-            self.taken = False
+            self.is_at_backend = False
             self.end("unreachable")
 
-    def answered(self, outcome: str, load: Load) -> None:
-        if not self.over:
-            self.taken = False
-            self.owner.reactor.callLater(ONE_WAY, self.end, "served" if outcome == "wrong" else outcome, load)
+    def on_answer(self, outcome: str, load: Load) -> None:
+        if not self.is_over:
+            self.is_at_backend = False
+            self.owner.reactor.callLater(ONE_WAY_S, self.end, "served" if outcome == "wrong" else outcome, load)
 
     def stop(self, outcome: str) -> None:
-        """Its relay waits no longer; told a turn later, as the end of a connection is."""
-        if self.over:
+        """The relay waits no longer; it gets the outcome in the loop's next turn, as with a connection that ends."""
+        if self.is_over:
             return
-        if not self.taken:
+        if not self.is_at_backend:
             return self.end("moot" if self.number < 0 else outcome)
-        self.taken = False
-        self.owner.outside.backends.stop(self)
+        self.is_at_backend = False
+        self.owner.services.backends.cancel(self)
         self.owner.reactor.callLater(0, self.end, outcome)
 
     def end(self, outcome: str, load: Load = None) -> None:
-        if self.over:
+        """Report the outcome to the relay, unless that has been killed."""
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         if self.timer.active():
             self.timer.cancel()
-        if not self.owner.dead:
-            value = VALUE if outcome == "served" else None
+        if not self.owner.is_dead:
+            value = SERVED_VALUE if outcome == "served" else None
             self.owner.meter.run("serving", self.done.callback, ShotResult(outcome, value, load))
 
 
@@ -177,56 +182,60 @@
     def shoot(
         self, number: int, text: Callable[[], bytes], wait: float, stands: Callable[[], bool]
     ) -> HollowAttempt | None:
-        """None: that backend is not listed (any more)."""
+        """Begin an attempt; None if that backend is not listed (any more)."""
         if number not in self.relay.facade.relay.units:
             return None
-        return HollowAttempt(self.relay, self.relay.outside.names[number], text, wait, stands)
+        return HollowAttempt(self.relay, self.relay.services.backend_names[number], text, wait, stands)
 
 
 class HollowRelay(Relay):
-    """A relay without clients and backends on sockets; requests come in by `take`.  What it does is metered by kind."""
+    """A relay without sockets for clients and backends; requests come in by `take`.  Its work is metered by kind."""
 
     def __init__(
-        self, reactor: Any, told: RelayConfiguration, outside: Outside, wall: Callable[[], float] | None = None
+        self,
+        reactor: Any,
+        configuration: RelayConfiguration,
+        services: ProcessServices,
+        wall: Callable[[], float] | None = None,
     ) -> None:
-        self.meter, self.outside, self.dead = Meter(), outside, False
-        self.index = int(told.facts.get("index", 0))
-        super().__init__(HollowReactor(reactor, self.meter, outside), told, wall=wall)
+        self.meter, self.services, self.is_dead = Meter(), services, False
+        self.index = int(configuration.facts.get("index", 0))
+        super().__init__(HollowReactor(reactor, self.meter, services), configuration, wall=wall)
         self.units.timer.cancel()
         self.clients.stop_sweeping()
         self.units = HollowBackends(self)
         self.discovery, self.platform = HollowDiscovery(self), HollowPlatform(self)
 
     def start_discovery(self) -> None:
-        """The process watches the list for all its relays."""
+        """Nothing to do: the process gets the list for all its relays."""
 
     def take(self, statement: statements.Statement, at: int) -> Deferred:
         return self.meter.run("serving", super().take, statement, at)
 
     def on_tick(self) -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.meter.run("tick", super().on_tick)
 
     def listed(self, news: News, kind: str = "") -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.meter.run("list", super().listed, news, kind)
 
     def on_rollout_state(self, state: RolloutState) -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.meter.run("rollout", super().on_rollout_state, state)
 
     def on_vote_answer(self, answer: str) -> None:
-        if not self.dead:
+        if not self.is_dead:
             self.meter.run("rollout", super().on_vote_answer, answer)
 
     def kill(self) -> None:
-        """Its process ends at once, and what it had at hand is lost."""
-        self.dead = True
+        """End at once, as a killed process does: open requests get no answer."""
+        self.is_dead = True
         for timer in (self.timer, self.clock_check_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        for serving in list(self.serving.values()):
-            for attempt in list(serving.shots.values()):
+        for invocation in list(self.serving.values()):
+            for attempt in list(invocation.shots.values()):
                 attempt.stop("cancelled")
         self.serving.clear()
         if self.peer_listener:
--- a/tealsail/lab/scale/slow_clock.py
+++ b/tealsail/lab/scale/slow_clock.py
@@ -1,9 +1,9 @@
-"""Runs a Python module with its clocks at a part of their speed: `python slow_clock.py RATE ZERO MODULE ARGUMENTS...`.
+"""Runs a Python module on slow clocks: `python slow_clock.py RATE START MODULE ARGUMENTS...`.
 
-A run that needs more processor time than the machine has is played slower: in every process of it a second lasts
-1 / RATE true ones from ZERO of CLOCK_MONOTONIC on, so that all of them share one slow clock.  What a process waits for
-is stretched as well; what it computes is not, and so takes RATE times as long on this clock as on a true one.  Nothing
-of tealsail is imported here: the clocks have to be replaced before anything else is loaded.
+A run that needs more processor time than the machine has is played slower: in each of its processes a second lasts
+1 / RATE true ones from START of CLOCK_MONOTONIC on, so that all of them share one slow clock.  A process's waits are
+stretched in the same way; its computing is not, and so takes RATE times as long by this clock as by a true one.
+Nothing of tealsail is imported here: the clocks have to be replaced before anything else is loaded.
 """
 
 import os
@@ -13,48 +13,50 @@
 import time
 from typing import Any
 
-EVEN_CLOCKS = (time.CLOCK_REALTIME, time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)
+SLOWED_CLOCKS = (time.CLOCK_REALTIME, time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)
 
 
 class SlowClock:
-    """Even and wall time, and how long true time is for a time on the slow clock."""
+    """Steady and wall time of the slow clock, in seconds.
 
-    def __init__(self, rate: float, zero: float) -> None:
-        self.rate, self.zero = rate, zero
+    `rate`: its seconds in a true one; `start`: the time of CLOCK_MONOTONIC at which both show the same."""
+
+    def __init__(self, rate: float, start: float) -> None:
+        self.rate, self.start = rate, start
         self.true_monotonic, self.true_wall, self.true_gettime = time.monotonic, time.time, time.clock_gettime
 
     def monotonic(self) -> float:
-        return self.zero + (self.true_monotonic() - self.zero) * self.rate
+        return self.start + (self.true_monotonic() - self.start) * self.rate
 
     def wall(self) -> float:
         return self.true_wall() - self.true_monotonic() + self.monotonic()
 
     def gettime(self, clock: int) -> float:
-        """Any of the system's clocks (relays keep even time by CLOCK_BOOTTIME); those of processor time are true."""
-        if clock not in EVEN_CLOCKS:
+        """The time of any system clock; relays take steady time from CLOCK_BOOTTIME.  Processor time stays true."""
+        if clock not in SLOWED_CLOCKS:
             return self.true_gettime(clock)
         return self.true_gettime(clock) - self.true_monotonic() + self.monotonic()
 
-    def true_span(self, seconds: float) -> float:
-        """A wait on the slow clock, in true seconds."""
+    def true_seconds(self, seconds: float) -> float:
+        """How many true seconds a wait of `seconds` by the slow clock lasts."""
         return seconds / self.rate
 
 
 class SlowPoll:
     """The system's epoll object, with its waits stretched."""
 
-    def __init__(self, clock: SlowClock, poll: Any) -> None:
-        self.clock, self.inner = clock, poll
+    def __init__(self, clock: SlowClock, inner: Any) -> None:
+        self.clock, self.inner = clock, inner
 
-    def poll(self, timeout: float = -1, most: int = -1) -> Any:
-        return self.inner.poll(timeout if timeout <= 0 else self.clock.true_span(timeout), most)
+    def poll(self, timeout: float = -1, maxevents: int = -1) -> Any:
+        return self.inner.poll(timeout if timeout <= 0 else self.clock.true_seconds(timeout), maxevents)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
 
 def install(clock: SlowClock) -> None:
-    """Before anything that keeps time is imported."""
+    """Replace the system's clocks; to be called before anything that keeps time is imported."""
     true_epoll = select.epoll
     time.monotonic = clock.monotonic
     time.time = clock.wall
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: hollow relays send what real ones send, its clock and addresses, and a small run of processes."""
+"""Scale runs: hollow relays send what real ones send, the slow clock, addresses, and a small run of processes."""
 
 import json
 import os
@@ -16,10 +16,10 @@
 from tealsail.lab.scale import hollow_relay, runs
 from tealsail.lab.scale.addresses import ScaleAddresses, backend_number
 from tealsail.lab.scale.director import Plan
-from tealsail.lab.scale.hollow_relay import HollowRelay, Outside
+from tealsail.lab.scale.hollow_relay import HollowRelay, ProcessServices
 from tealsail.lab.scale.real_relays import CLOCK
 from tealsail.lab.scale.results import windows
-from tealsail.lab.scale.runs import MARK
+from tealsail.lab.scale.runs import RUN_VARIABLE
 from tealsail.lab.scale.slow_clock import SlowClock, SlowPoll
 from tealsail.lab.scenario import BadScenario, read
 from tealsail.net import messages, statements
@@ -32,10 +32,12 @@
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
 from .test_relay import config, listing, state, told
 
-RELAYS, OWN, BACKENDS = 5, 3, 12
+RELAYS = 5
+OWN = 3  # index of the relay under test
+BACKENDS = 12
 SMALL = Path(__file__).parent.parent / "examples" / "scale-small.toml"
-ATTEMPTS = 3
-STEP = 0.01  # seconds
+ATTEMPTS = 3  # at a run that is not void
+STEP = 0.01  # seconds of a step of the sequence
 EMPTY_QUERY = messages.query(b"")
 ANSWERS = {"served": ROW + READY, "error": error_response("XX000") + READY, "full": error_response("53300") + READY}
 
@@ -51,7 +53,7 @@
 
 
 def assignment() -> Any:
-    """Relay 3 of five, with a build on trial from its first moment."""
+    """The configuration of relay 3 of five, with a build on trial from its start."""
     tree = config(
         peers=[f"127.0.0.{10 + other}:7946" for other in range(RELAYS)],
         peer_listen=f"127.0.0.{10 + OWN}:7946",
@@ -63,7 +65,7 @@
 
 
 class Driven:
-    """One relay on a network in memory: requests, answers, datagrams and news go in by the same calls."""
+    """One relay on a network in memory: requests, answers, datagrams and lists go in by the same calls."""
 
     def __init__(self) -> None:
         self.reactor = Reactor()
@@ -103,7 +105,7 @@
         self.settle()
 
     def settle(self) -> None:
-        """Connections come up, prove that they stand, and bring attempts; those that a relay ended end."""
+        """Complete connections and their handshakes, collect attempts, and drop connections that the relay ended."""
         moved = True
         while moved:
             moved = False
@@ -127,32 +129,32 @@
 
 
 class ScriptedBackends:
-    """Holds attempts until the story answers them."""
+    """Keeps attempts until the test answers them."""
 
     def __init__(self, waiting: dict[str, Any]) -> None:
-        self.waiting, self.places = waiting, 0
+        self.waiting, self.index = waiting, 0
 
-    def next_place(self, number: int) -> int:
-        self.places += 1
-        return self.places
+    def next_index(self, number: int) -> int:
+        self.index += 1
+        return self.index
 
     def take(self, attempt: Any, request_class: int, wait: int) -> bool:
         self.waiting[str(attempt.number)] = attempt
         return True
 
-    def stop(self, attempt: Any) -> None:
-        """Its relay waits no longer."""
+    def cancel(self, attempt: Any) -> None:
+        """Nothing to do: the attempt has ended for its relay."""
 
 
 class DrivenHollow(Driven):
-    """The same, hollow."""
+    """A hollow relay with the same configuration."""
 
     kind: type[HollowRelay] = HollowRelay
 
     def __init__(self) -> None:
         super().__init__()
         names = {unit_number(f"s-{place}"): f"s-{place}" for place in range(BACKENDS + 1)}
-        outside = Outside(
+        services = ProcessServices(
             ScriptedBackends(self.waiting),
             names,
             lambda *vote: None,
@@ -160,7 +162,7 @@
             lambda address, size: None,
             lambda address, size: None,
         )
-        self.relay = self.kind(self.reactor, assignment(), outside)
+        self.relay = self.kind(self.reactor, assignment(), services)
         self.relay.start()
 
     def ask(self, number: str, request_class: str) -> None:
@@ -172,12 +174,13 @@
         self.reactor.advance(0)
 
     def answer(self, number: str, outcome: str) -> None:
-        self.waiting.pop(number).answered(outcome, None)
+        self.waiting.pop(number).on_answer(outcome, None)
         self.settle()
 
 
 def play(driven: Driven) -> list[tuple[bytes, tuple[str, int]]]:
-    """One sequence of events: requests, every kind of answer, messages of others, news; what was sent, in order."""
+    """Play one sequence of events: requests, every kind of answer, messages of other relays, changes of the list and of
+    the rollout state.  Returns the datagrams that the relay sent, with their addresses, in order."""
     reactor = driven.reactor
     tracker = driven.relay.facade.relay.guide.order[0]
     answered = 0
@@ -186,7 +189,7 @@
         if step % 7 == 0:
             driven.ask(str(1000 + step), "order" if step % 21 == 0 else "basket")
         asked = [data for data, to in reactor.datagrams if len(data) >= 9 and len(data) == 5 + 2 * data[4]]
-        while answered < len(asked):  # the load tracker names the last it was asked about; silent for a while
+        while answered < len(asked):  # the tracker answers with the last backend it was asked about, but for a while
             if not 300 <= step < 420:
                 driven.receive(tracker, answer_note(int.from_bytes(asked[answered][:4], "little"), 0))
             answered += 1
@@ -212,12 +215,12 @@
     maxDiff = 2000
 
     def compared(self, kind: type[HollowRelay]) -> tuple[list, list]:
-        hollow_relay.ONE_WAY, before = 0, hollow_relay.ONE_WAY  # connections in memory take no time either
+        hollow_relay.ONE_WAY_S, before = 0, hollow_relay.ONE_WAY_S  # connections in memory take no time either
         DrivenHollow.kind = kind
         try:
             return play(DrivenReal()), play(DrivenHollow())
         finally:
-            hollow_relay.ONE_WAY, DrivenHollow.kind = before, HollowRelay
+            hollow_relay.ONE_WAY_S, DrivenHollow.kind = before, HollowRelay
 
     def test_a_hollow_relay_sends_byte_for_byte_what_a_real_one_sends_for_the_same_events(self) -> None:
         real, hollow_ones = self.compared(HollowRelay)
@@ -226,7 +229,7 @@
         self.assertTrue({6, 9} & kinds and any(size > 14 and size % 4 == 2 for size in kinds), kinds)
         self.assertEqual(real, hollow_ones)
 
-    def test_a_hollow_relay_that_passes_over_an_answer_of_the_tracker_is_found_out(self) -> None:
+    def test_a_hollow_relay_that_ignores_answers_of_the_load_tracker_is_detected(self) -> None:
         class Deaf(HollowRelay):
             def on_peer_message(self, number: int, data: bytes) -> None:
                 if len(data) != 5:
@@ -235,10 +238,10 @@
         real, hollow_ones = self.compared(Deaf)
         self.assertNotEqual(real, hollow_ones)
 
-    def test_a_hollow_relay_that_wires_one_thing_less_is_found_out(self) -> None:
+    def test_a_hollow_relay_that_ignores_changes_of_the_list_is_detected(self) -> None:
         class Unlisted(HollowRelay):
             def listed(self, news: Any, kind: str = "") -> None:
-                if kind:  # what it knew at its start, and no change
+                if kind:  # the list that it starts with, and no change
                     super().listed(news, kind)
 
         real, hollow_ones = self.compared(Unlisted)
@@ -255,7 +258,7 @@
 
 
 class Clock(unittest.TestCase):
-    def test_a_second_lasts_eight_and_a_wait_is_as_long_on_the_slow_clock_as_it_was_asked_for(self) -> None:
+    def test_a_second_lasts_eight_true_ones_and_waits_are_stretched_alike(self) -> None:
         clock = SlowClock(0.125, 100.0)
         clock.true_monotonic, clock.true_wall = lambda: 180.0, lambda: 5_000.0
         self.assertEqual(clock.monotonic(), 110.0)
@@ -267,7 +270,7 @@
         self.assertEqual(waits, [4.0, 0, -1])
 
     def test_all_clocks_that_a_relay_reads_go_at_one_rate(self) -> None:
-        """A relay keeps even time by CLOCK_BOOTTIME, which was left true: its requests ran out of time."""
+        """Relays take steady time from CLOCK_BOOTTIME; when it was not slowed, their requests ran out of time."""
         program = (
             "import time; names = (time.CLOCK_REALTIME, time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)\n"
             "read = lambda: [time.time(), time.monotonic(), *map(time.clock_gettime, names)]\n"
@@ -284,16 +287,16 @@
 
 
 class Windows(unittest.TestCase):
-    def test_lines_of_the_script_that_say_the_same_are_one_fault_and_all_is_as_before_after_two_calm_seconds(
+    def test_equal_lines_of_the_script_are_one_kind_of_fault_and_two_calm_seconds_count_as_restored(
         self,
     ) -> None:
         lines = [Fault(30_000, "at 3s kill 3 units"), Fault(50_000, "at 5s kill 3 units"), Fault(90_000, "at 9s x")]
         seconds = SimpleNamespace(
-            shots=[10] * 12,
-            asked=[10] * 12,
-            kept=[10, 10, 10, 5, 10, 10, 5, 10, 10, 0, 0, 0],
+            attempts=[10] * 12,
+            requests=[10] * 12,
+            in_time=[10, 10, 10, 5, 10, 10, 5, 10, 10, 0, 0, 0],
             wasted=[0] * 12,
-            herd=[1.0] * 12,
+            worst_100ms=[1.0] * 12,
             p99=lambda *which: 7.0,
         )
         found = windows(seconds, lines, [100.0] * 12)
@@ -304,33 +307,33 @@
 
 
 class Runs(unittest.TestCase):
-    """Three real relays, sixty hollow ones in two processes, and the world round them, in real time."""
+    """Three real relays, sixty hollow ones in two processes, and all that they talk to, in real time."""
 
     def processes(self, folder: str) -> list[str]:
-        """Those of the run whose logs are in that folder, the director among them."""
+        """Ids of the processes of the run whose logs are in that folder, the director among them."""
         found = []
         for environment in Path("/proc").glob("[0-9]*/environ"):
             try:
-                if f"{MARK}={folder}\0".encode() in environment.read_bytes() + b"\0":
+                if f"{RUN_VARIABLE}={folder}\0".encode() in environment.read_bytes() + b"\0":
                     found.append(environment.parent.name)
             except OSError:  # it has just ended
                 continue
         return found
 
-    def test_the_small_form_keeps_the_rules_through_each_kind_of_fault_and_leaves_no_process(self) -> None:
+    def test_the_small_scenario_keeps_the_rules_through_each_kind_of_fault_and_leaves_no_process(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for _ in range(ATTEMPTS):  # a machine too busy to play it gives no verdict
                 found = runs.play(read(SMALL), 1, 3, 2, logs=folder)
-                if not found.void:
+                if not found.is_void:
                     break
             self.assertEqual(self.processes(folder), [])
-        self.assertFalse(found.void, found.stalled_part)
+        self.assertFalse(found.is_void, found.stalled_part)
         self.assertEqual((found.breaches, found.broken, found.problems), ({}, [], []))
-        self.assertTrue(found.kept)
+        self.assertTrue(found.has_passed)
         names = ["calm", "kill 10% of relays for 1s", "pause the keeper for 2s", "kill 6 units for 1s"]
         self.assertEqual([each.name for each in found.windows], names)
         self.assertEqual((found.processes, found.relays, len(found.real), found.units), (6, 63, 3, 120))
-        self.assertIn(found.tracker, found.real)  # so that it is a process that was stopped
+        self.assertIn(found.tracker, found.real)  # so that the script stopped a process
         self.assertEqual([role.role for role in found.roles][:2], ["relay, hollow", "load tracker"])
         self.assertEqual(sum(role.many for role in found.roles[1:]), 2)  # the third is among those killed
         self.assertGreater(sum(each.requests for each in found.windows), 1_000)
@@ -342,15 +345,15 @@
     def test_a_run_that_is_ended_early_leaves_no_process_behind(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             plan = Plan(3, 2, 1.0, 0.0, 0.5, 60.0)
-            told = {"scenario": read(SMALL).plain(), "seed": 1, "folder": folder, "plan": msgspec.to_builtins(plan)}
+            order = {"scenario": read(SMALL).plain(), "seed": 1, "folder": folder, "plan": msgspec.to_builtins(plan)}
             director = subprocess.Popen(
                 [sys.executable, "-B", "-m", "tealsail.lab.scale.director"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
-                env=os.environ | {MARK: folder},
+                env=os.environ | {RUN_VARIABLE: folder},
             )
-            director.stdin.write(json.dumps(told).encode())
+            director.stdin.write(json.dumps(order).encode())
             director.stdin.close()
             deadline = time.monotonic() + 60
             while len(self.processes(folder)) < 6 and time.monotonic() < deadline:
@@ -362,7 +365,7 @@
                 time.sleep(0.05)
             self.assertEqual((len(running), self.processes(folder)), (6, []))
 
-    def test_what_nobody_in_a_run_could_do_is_turned_down_before_it_begins(self) -> None:
+    def test_scenarios_that_a_scale_run_cannot_play_are_refused_before_it_begins(self) -> None:
         for changes, why in (
             ({"script": "from 1s for 2s notes lost 30%"}, "reach each other directly"),
             ({"script": "at 1s run clocks of relay 1 x 1.2"}, "reach each other directly"),
