--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -15,19 +15,19 @@
 from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, Message, NetworkState
 from .trial_setup import TrialSetup
 
-BACKLOG = 512  # connections that wait to be taken
-DESCRIBED = messages.message(b"T", b"\0\1content\0" + bytes(6) + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1")
-COMPLETE = messages.message(b"C", b"SELECT 1\0")
+BACKLOG = 512  # connections that wait in the kernel to be accepted
+ROW_DESCRIPTION = messages.message(b"T", b"\0\1content\0" + bytes(6) + b"\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\1")
+COMMAND_COMPLETE = messages.message(b"C", b"SELECT 1\0")
 
 
 def row(value: bytes) -> bytes:
-    """A result's row of one column."""
+    """A result's row of one column, as a message."""
     return messages.message(b"D", b"\0\1" + len(value).to_bytes(4, "big") + value)
 
 
-SERVED = DESCRIBED + row(b"\x9f\x03") + COMPLETE
-WRONG = DESCRIBED + row(b"\x00") + COMPLETE
-VALUES = {
+SERVED = ROW_DESCRIPTION + row(b"\x9f\x03") + COMMAND_COMPLETE
+WRONG = ROW_DESCRIPTION + row(b"\x00") + COMMAND_COMPLETE
+ANSWERS = {  # messages by outcome
     "served": SERVED,
     "wrong": WRONG,
     "error": messages.error_response("XX000", "the build failed"),
@@ -66,7 +66,7 @@
         return self.listener.is_reachable(self.relay)
 
     def cut_off(self) -> None:
-        """Nothing goes in or out any longer, and the relay learns nothing of it."""
+        """Let nothing in or out any longer; the relay learns nothing of it."""
         self.is_cut_off = True
         self.transport.pauseProducing()
 
@@ -118,7 +118,7 @@
         if load:
             text = ",".join(f"{name}={figure:.3f}" for name, figure in load.items()).encode()
             report = messages.message(b"S", b"stats\0" + text + b"\0")
-        self.write(VALUES[outcome] + report + messages.READY_FOR_QUERY)
+        self.write(ANSWERS[outcome] + report + messages.READY_FOR_QUERY)
 
     def write(self, data: bytes) -> None:
         if self.is_reachable() and not self.is_cut_off:
@@ -160,7 +160,7 @@
         self.port = setup.reactor.listenTCP(setup.addresses.port + BACKENDS + self.number, self, BACKLOG)
 
     def close(self) -> None:
-        """Its process has ended: connections are reset and new ones refused."""
+        """Reset all connections and refuse new ones, as when the backend's process has ended."""
         if self.port:
             self.port.stopListening()
             self.port = None
@@ -171,19 +171,20 @@
 
 
 class BackendPool:
-    """Every `count`th of a trial's backends: opens those that run, closes those that ended, wakes those at work."""
+    """Every `count`th of a trial's backends, from `index` on: opens those that run, closes those that ended, and wakes
+    those at work."""
 
     def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
         self.setup, self.index, self.count = setup, index, count
         self.listeners: dict[str, BackendListener] = {}
-        self.attempts: dict[int, int] = {}  # request -> attempts of it that came to this member, less one
+        self.last_attempts: dict[int, int] = {}  # by request: the last of its attempts here, counted from 0
         self.network = Network(setup.scenario.paths(), setup.scenario.relay_zones(), setup.seed)
         self.kind, self.works = setup.scenario.kind(), setup.scenario.works()
         self.builds = setup.scenario.builds_by_number()
 
     def attempt_number(self, number: int) -> int:
-        """A number for an attempt, apart from those that other members give: the wire has none."""
-        earlier = self.attempts[number] = self.attempts.get(number, -1) + 1
+        """A number for the request's next attempt, apart from those of other members: the relay sends none."""
+        earlier = self.last_attempts[number] = self.last_attempts.get(number, -1) + 1
         return earlier * self.count + self.index
 
     def receive(self, message: Message) -> None:
@@ -200,7 +201,7 @@
                         self.setup.reactor.callLater(self.setup.seconds_until(relay_until) + 0.001, self.reset_cut_off)
 
     def update(self, state: BackendState) -> None:
-        """A backend comes up, goes, or changes."""
+        """Start, end or change a backend as the coordinator says."""
         listener, now = self.listeners.get(state.name), self.setup.now()
         if listener and (state.dead or not self.is_same(listener.backend, state)):
             self.remove(listener)
@@ -246,7 +247,7 @@
         listener.close()
 
     def reset_cut_off(self) -> None:
-        """What was cut off and is reached again: its old connections are reset."""
+        """Reset connections that were cut off where the relay reaches the backend again."""
         for listener in self.listeners.values():
             for connection in [
                 connection for connection in listener.connections if connection.is_cut_off and connection.is_reachable()
@@ -254,7 +255,7 @@
                 connection.transport.abortConnection()
 
     def follow_up(self, listener: BackendListener) -> None:
-        """Takes up what a backend has begun, answered and wants to be woken for."""
+        """Record and pass on what a backend has begun and answered, and schedule its next wake-up."""
         setup, backend = self.setup, listener.backend
         now = setup.now()
         taken, backend.taken = backend.taken, []
@@ -277,7 +278,7 @@
         query.connection.answer(outcome, backend.load(now) if backend.kind.report_every else None)
 
     def schedule(self, listener: BackendListener) -> None:
-        """When the backend wants to be woken."""
+        """Set the timer of the backend's next wake-up."""
         setup, due, timer = self.setup, listener.backend.due, listener.timer
         if due < NEVER and not listener.backend.dead:
             if timer and timer.active():
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets: arrivals at their times whatever the answers do, over connections as clients keep them."""
+"""Clients on sockets: requests arrive at their times whenever answers come, over connections that clients keep."""
 
 from collections import Counter
 from typing import Any
@@ -16,15 +16,15 @@
 from .process_messages import AllAnswered, ArrivalsOver, DayBegin, FinalReport, Message, RelayStates
 from .trial_setup import TrialSetup
 
-CONNECT_WAIT = 2.0  # seconds to connect in
-LATE_END = 10_000  # tenths of a ms after a relay's end in which ends of its connections may still come
+CONNECT_TIMEOUT_S = 2.0
+ENDING_MARGIN = 10_000  # tenths of a ms after a relay's end in which ends of its connections may still come
 NEVER = 1 << 60  # tenths of a ms
-PATIENCE = 2_000  # tenths of a ms beyond the deadline: then a client closes
-REJECTED_CODES = (b"53300", b"57P03")
+CLIENT_GRACE = 2_000  # tenths of a ms from the deadline until a client closes its connection
+REJECTED_CODES = (b"53300", b"57P03")  # error codes of a rejection
 
 
 def statement_text(arrival: Arrival, request_class: str, effect: str, tenant: str, wait: int) -> bytes:
-    """A request as a client writes it; `wait` is its deadline in milliseconds from now."""
+    """A request's SQL as a client writes it; `wait` is the deadline in milliseconds from now."""
     fields = (
         f"id={arrival.number},c={request_class}"
         + (f",t={tenant}" if tenant else "")
@@ -76,18 +76,20 @@
         self.transport.write(messages.startup(b"backend", b"store"))
 
     def send_request(self, arrival: Arrival) -> None:
-        """May be called before the greeting has come: the query goes right behind the startup."""
+        """Send a request; it may follow the startup message at once, before the relay has answered that."""
         pool, setup = self.pool, self.pool.setup
         now = setup.now()
         self.arrival, self.answer, self.retry_after = arrival, "", 0
         setup.record_line(take_line(now, self.relay, arrival))
         pool.lateness[max(0, now - arrival.at)] += 1
         wait = max(1, (arrival.give_up - now) // 10)
-        each = setup.scenario.workload[arrival.workload]
+        workload = setup.scenario.workload[arrival.workload]
         self.transport.write(
-            messages.query(statement_text(arrival, each.name, each.effect, setup.tenants[arrival.customer], wait))
+            messages.query(
+                statement_text(arrival, workload.name, workload.effect, setup.tenants[arrival.customer], wait)
+            )
         )
-        self.timer = setup.reactor.callLater(setup.seconds_until(arrival.give_up + PATIENCE), self.time_out)
+        self.timer = setup.reactor.callLater(setup.seconds_until(arrival.give_up + CLIENT_GRACE), self.time_out)
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
@@ -130,9 +132,10 @@
         idle = self.pool.idle[self.relay]
         if self in idle:
             idle.remove(self)
+        # a relay that ends has closed the connection before it read the query: in order, or by a reset if the query
+        # came at that moment
         if self.arrival and not self.answer and self.pool.is_ending(self.relay):
-            return self.pool.resend(self)  # a relay that ends closed it before it had read the query, in order or,
-            # where the query came just then, by a reset
+            return self.pool.resend(self)
         self.finish("lost")
 
 
@@ -143,16 +146,16 @@
 
     def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
         self.setup, self.index, self.count = setup, index, count
-        # each member draws all arrivals, as the model does, surges among them, and passes over those of others
+        # each member draws all arrivals, surges among them, as the model does, and skips those of other members
         self.clients = Day(setup.scenario.parts(), setup.seed, clients_of(setup.scenario, setup.seed)).clients
         self.idle: list[list[ClientConnection]] = [[] for _ in range(setup.relays)]
         self.ready_relays: set[int] = set()
-        self.last_ending: list[int] = []  # relays that were ending by the last message
-        self.ending_at: dict[int, int] = {}  # relay that was told to end -> when it was last known to run
+        self.last_ending: list[int] = []  # relays that were ending by the last RelayStates
+        self.ending_at: dict[int, int] = {}  # by relay that was told to end: when it was last known to run
         self.open_requests = 0  # without an answer, or to be repeated
-        self.lateness: Counter[int] = Counter()  # tenths of a ms -> arrivals that were so late
+        self.lateness: Counter[int] = Counter()  # arrivals by how late they were sent, in tenths of a ms
         self.lost_while_up: list[tuple[int, int]] = []  # relay and when
-        self.resent: list[tuple[int, int]] = []  # relay and number of what it had not read when it ended
+        self.resent: list[tuple[int, int]] = []  # relay and number of requests that it had not read when it ended
         self.is_closing = False
 
     def receive(self, message: Message) -> None:
@@ -168,14 +171,14 @@
 
     def update_relays(self, ready: list[int], ending: list[int]) -> None:
         now = self.setup.now()
-        self.ending_at = {relay: at for relay, at in self.ending_at.items() if now - at < LATE_END}
+        self.ending_at = {relay: at for relay, at in self.ending_at.items() if now - at < ENDING_MARGIN}
         self.ending_at |= dict.fromkeys(self.last_ending, now)
         self.ending_at |= dict.fromkeys(ending, NEVER)
         self.ready_relays, self.last_ending = set(ready), ending
 
     def is_ending(self, relay: int) -> bool:
         """Whether it was told to end and still runs, or ran a moment ago: its connections may be ending just now."""
-        return self.setup.now() - self.ending_at.get(relay, -NEVER) < LATE_END
+        return self.setup.now() - self.ending_at.get(relay, -NEVER) < ENDING_MARGIN
 
     def report_when_answered(self) -> None:
         if self.is_closing and not self.open_requests:
@@ -188,7 +191,7 @@
             self.setup.reactor.callLater(self.setup.seconds_until(due), self.take_arrivals)
 
     def take_arrivals(self) -> None:
-        """All that are due by now; what is late counts from its intended time all the same."""
+        """Send all that are due by now; the latency of a late one counts from its intended time all the same."""
         clients, now = self.clients, self.setup.now()
         while clients.due is not None and clients.due <= now:
             arrival = clients.next()
@@ -197,7 +200,7 @@
         self.schedule_arrivals()
 
     def dispatch(self, arrival: Arrival, step: int = 0) -> None:
-        """The front gives it to its relay, or to the next one that is up, from `step` places on."""
+        """Send a request to its relay, or to the next one that is up, from `step` relays on."""
         setup = self.setup
         self.open_requests += 1
         while step < setup.relays and (arrival.relay + step) % setup.relays not in self.ready_relays:
@@ -210,27 +213,29 @@
             connection = idle.pop()
             if connection.transport.connected:
                 return connection.send_request(arrival)
-        place = setup.addresses.relay(relay)
+        address = setup.addresses.relay(relay)
         connection = ClientConnection(self, relay)
-        joined = connectProtocol(TCP4ClientEndpoint(setup.reactor, place.host, place.port, CONNECT_WAIT), connection)
+        joined = connectProtocol(
+            TCP4ClientEndpoint(setup.reactor, address.host, address.port, CONNECT_TIMEOUT_S), connection
+        )
         joined.addCallbacks(
             lambda _: connection.send_request(arrival), lambda _: self.connect_failed(relay, arrival, step + 1)
         )
 
     def connect_failed(self, relay: int, arrival: Arrival, step: int) -> None:
-        """On to the next relay; one that is up and takes no connection has lost the request."""
+        """Try the next relay; one that is up and accepts no connection has lost the request."""
         if relay in self.ready_relays and not self.is_ending(relay):
             self.lost_while_up.append((relay, self.setup.now()))
         self.open_requests -= 1
         self.dispatch(arrival, step)
 
     def record_unreachable(self, relay: int, arrival: Arrival) -> None:
-        """No relay could be reached: the request counts as sent, and no relay has lost it."""
+        """Record a request for which no relay could be reached: it counts as sent, and no relay has lost it."""
         self.setup.record_line(take_line(self.setup.now(), relay, arrival))
         self.record_answer(relay, arrival, "lost", 0)
 
     def resend(self, connection: ClientConnection) -> None:
-        """Sent once more, over a new connection; the first relay has not taken it."""
+        """Send a request once more over a new connection, since the first relay has not taken it."""
         setup, arrival = self.setup, connection.arrival
         connection.arrival = None
         if connection.timer and connection.timer.active():
--- a/tealsail/lab/loopback/clock_offset.py
+++ b/tealsail/lab/loopback/clock_offset.py
@@ -4,10 +4,9 @@
 trial writes.  It needs no library loaded ahead and nothing of the program is changed; it imports nothing of tealsail,
 so that the program of another checkout can be run with it.
 
-FILE holds twice the same four doubles: rate, since (CLOCK_MONOTONIC), lead and step.  A steady clock shows
-real + lead + (real - since) * (rate - 1), the wall clock that much more than it would and `step` besides.  What the
-system itself waits for (a time-out of epoll) is not moved: a relay with a fast clock is late for its own timers by that
-part.
+FILE holds the same four doubles twice: rate, since (CLOCK_MONOTONIC), lead and step.  A steady clock shows
+real + lead + (real - since) * (rate - 1); the wall clock has the same offset, and `step` in addition.  Waits of the
+system itself (a time-out of epoll) do not change, so a relay with a fast clock is late for its own timers by that part.
 """
 
 import mmap
@@ -17,11 +16,11 @@
 import sys
 import time
 
-CLOCK_FILE = struct.Struct("=dddd")
+CLOCK_FILE = struct.Struct("=dddd")  # rate, since, lead and step
 
 
 class ClockOffset:
-    """What the file says now of the clocks' rate and offset."""
+    """The rate and offset of the clocks, from the file."""
 
     def __init__(self, path: str) -> None:
         with open(path, "r+b") as file:
@@ -29,19 +28,20 @@
         self.monotonic = time.monotonic
 
     def read(self) -> tuple[float, float, float, float]:
-        """Both copies have to be the same: else one is being written."""
+        """Rate, since, lead and step; waits until both copies are the same, since otherwise one is being written."""
         while True:
             first, second = self.memory[: CLOCK_FILE.size], self.memory[CLOCK_FILE.size : 2 * CLOCK_FILE.size]
             if first == second:
                 return CLOCK_FILE.unpack(first)
 
     def ahead(self) -> float:
+        """Seconds that steady clocks are ahead of CLOCK_MONOTONIC."""
         rate, since, lead, _ = self.read()
         return lead + (self.monotonic() - since) * (rate - 1)
 
 
 def take_over(offset: ClockOffset) -> None:
-    """Puts clocks with that offset in place of `time`'s; before the program is imported."""
+    """Replace the clocks of `time` by ones with that offset; to be called before the program is imported."""
     monotonic, wall, gettime = time.monotonic, time.time, time.clock_gettime
     time.monotonic = lambda: monotonic() + offset.ahead()
     time.time = lambda: wall() + offset.ahead() + offset.read()[3]
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -1,6 +1,6 @@
-"""The control plane's stand-ins: discovery of the endpoint list (HTTP/1.1) and the platform (JSON-RPC lines).
+"""Stand-ins for the control plane: discovery of the endpoint list (HTTP/1.1) and the platform (JSON-RPC lines).
 
-One listener each for all relays; which relay calls is told by the address that it connected to.
+Each has one listener for all relays; the address that was connected to tells which relay calls.
 """
 
 import json
@@ -19,14 +19,16 @@
 from .addresses import calling_relay
 from .trial_setup import TrialSetup
 
-LONGEST_HEAD, LONGEST_LINE = 16 * 1024, 8 * 1024
-LONGEST_WAIT = 60.0  # seconds of a watch
+MAX_HEAD_BYTES = 16 * 1024  # of an HTTP request
+MAX_LINE_BYTES = 8 * 1024  # of a JSON-RPC call
+MAX_WATCH_S = 60.0
 LIST_REQUEST = re.compile(rb"GET /catalog/members(?:\?after=(\d{1,12})&wait_ms=(\d{1,9}))? HTTP/1\.1\r\n")
-STATES = {"open": "ready", "draining": "draining", "gone": "gone"}
+# names on the wire, by those of the simulation
+LIFECYCLES = {"open": "ready", "draining": "draining", "gone": "gone"}
 PHASES = {"on trial": "canary", "going back": "reverting", "released": "stable", "withdrawn": "reverted"}
-VERDICTS = {"blank": "none", "go": "on", "stay": "hold", "stop": "back"}
+VERDICTS = {"blank": "none", "go": "on", "stay": "hold", "stop": "back"}  # of the simulation, by those on the wire
 ERRORS = {"moot": "STALE", "full": "BUSY", "error": "FAILED"}
-PING = 1.0  # seconds
+PING_INTERVAL_S = 1.0
 
 
 def endpoint_list(
@@ -43,7 +45,7 @@
                 "hostPort": str(setup.addresses.backend(relay, port_number(each.name))),
                 "zone": each.zone,
                 "cell": each.cell,
-                "lifecycle": STATES[each.state],
+                "lifecycle": LIFECYCLES[each.state],
                 "weight": each.weight,
                 "startedAtMs": setup.unix_ms(each.started) if each.started else 0,
                 "build": each.build,
@@ -54,7 +56,7 @@
 
 
 def rollout_state(setup: TrialSetup, state: State) -> dict[str, Any]:
-    """Where the roll-out stands, as the platform says it."""
+    """The rollout state in JSON, as the platform sends it."""
     return {
         "Revision": state.build,
         "Wave": state.stage,
@@ -65,7 +67,9 @@
 
 
 class ServiceConnection(Protocol):
-    """One connection of a relay to a service; cut off, nothing goes in or out and the relay learns nothing of it."""
+    """One connection of a relay to a service.
+
+    Once it is cut off, nothing goes in or out and the relay learns nothing of it."""
 
     service = ""
 
@@ -92,7 +96,7 @@
 
 
 class ControlPlaneService(Factory):
-    """What the two services have in common."""
+    """What the two services have in common: the connections of relays."""
 
     noisy = False
     connection: type[ServiceConnection] = ServiceConnection
@@ -105,7 +109,7 @@
         return self.connection(self)
 
     def reset_cut_off(self) -> None:
-        """Where a cut is over the old connections are reset."""
+        """Reset connections that were cut off where the relay reaches the service again."""
         for connection in [
             connection
             for connection in self.connections
@@ -121,14 +125,14 @@
 
     def __init__(self, owner: "DiscoveryService") -> None:
         super().__init__(owner)
-        self.watch_timer: Any = None  # the timer at which a watch is answered
+        self.watch_timer: Any = None  # at its end the watch is answered
         self.after = -1  # the version that the watching relay has
 
     def dataReceived(self, data: bytes) -> None:
         if not self.is_reachable():
             return
         self.buffer += data
-        if len(self.buffer) > LONGEST_HEAD:
+        if len(self.buffer) > MAX_HEAD_BYTES:
             return self.transport.abortConnection()
         while b"\r\n\r\n" in self.buffer:
             head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
@@ -145,12 +149,12 @@
         after = int(match[1])
         if after < roster.told[self.relay]:
             return self.answer_watch(after)
-        wait = min(LONGEST_WAIT, int(match[2]) / 1000)
+        wait = min(MAX_WATCH_S, int(match[2]) / 1000)
         self.after = after
         self.watch_timer = setup.reactor.callLater(wait, self.answer_watch, after)
 
     def answer_watch(self, after: int) -> None:
-        """With the changes since that version, perhaps none."""
+        """Answer with the changes since that version, perhaps none."""
         self.stop_watch()
         if not self.is_reachable():
             return
@@ -188,10 +192,10 @@
         self.port_number = port_number
 
     def publish(self, relay: int, version: int) -> None:
-        """From now on that relay may know the list up to that version."""
+        """Let a relay know the list up to that version from now on, and answer its watch if anything has changed."""
         now, roster = self.setup.now(), self.day.roster
         if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
-            return  # told once it moves again, or is reached
+            return  # it learns of the changes once its list moves again, or the cut is over
         _, entries = roster.news(relay, version)
         if entries:
             for connection in [
@@ -210,7 +214,7 @@
         if not self.is_reachable():
             return
         *lines, self.buffer = (self.buffer + data).split(b"\n")
-        if len(self.buffer) >= LONGEST_LINE:
+        if len(self.buffer) >= MAX_LINE_BYTES:
             return self.transport.abortConnection()
         for line in lines:
             try:
@@ -262,7 +266,7 @@
         return [] if is_silent else [connection for connection in self.connections if connection.is_subscribed]
 
     def publish(self) -> None:
-        """The roll-out's state, to all who subscribed."""
+        """Send the rollout state to all who subscribed."""
         for connection in self.subscribers():
             connection.send_state()
 
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -1,5 +1,4 @@
-"""The relays of a trial: one process each, configured by a JSON file as the platform would, and what the script does to
-them."""
+"""The relays of a trial, one process each: their JSON configurations, what the script does to them, and their logs."""
 
 import json
 import os
@@ -25,19 +24,21 @@
 from .control_plane import endpoint_list, rollout_state
 from .trial_setup import TrialSetup
 
-STILL_ACCEPTS = 0.4  # seconds after SIGTERM in which new connections still come
-END_WAIT = 8.0  # seconds after it in which a relay has to end
-MOST_ACTING = 3  # relays that share a duty
-LOG_MOST = 64 * 1024 * 1024  # bytes of one relay's log that are kept
-LINE_MOST = 10_000  # bytes of a line of it that is not yet whole
-LOG_LINE = 300  # characters of a line that go into the record
-CHECKOUT = Path(__file__).parents[3]  # that this program is of
-LISTENING = b" serving name="  # in a relay's log: from now on it takes connections
+ACCEPTING_S = 0.4  # after SIGTERM, in which clients still open new connections
+END_TIMEOUT_S = 8.0  # after SIGTERM, in which a relay has to end
+PROBE_TIMEOUT_S = 5.0  # for a connection that tests whether a relay answers
+PROBE_INTERVAL_S = 1.0
+MAX_DUTY_HOLDERS = 3  # relays that share a duty
+MAX_LOG_BYTES = 64 * 1024 * 1024  # of one relay's log that are kept
+MAX_PARTIAL_LINE = 10_000  # bytes of a line of the log that has not come whole
+MAX_RECORDED_LINE = 300  # characters of a line of the log that go into the record
+CHECKOUT = Path(__file__).parents[3]  # the checkout that this program belongs to
+LISTENING = b" serving name="  # in a relay's log: from now on it accepts connections
 RECORDED = (b"module: verdict", b"duties ")  # lines of a relay's log that go into the record
 
 
 def toml(tree: dict[str, Any], path: str = "") -> str:
-    """A document of tables and plain values, as TOML.  Keys are quoted; text has JSON's escapes, which are TOML's."""
+    """A document of tables and plain values, as TOML.  Keys are quoted; text has JSON's escapes, as TOML allows."""
     plain = {name: value for name, value in tree.items() if not isinstance(value, dict)}
     lines = [f"[{path}]"] * bool(path) + [f"{json.dumps(name)} = {json.dumps(value)}" for name, value in plain.items()]
     for name, value in tree.items():
@@ -47,7 +48,7 @@
 
 
 def read_duties(text: str) -> dict[str, list[int]]:
-    """From `duties keeper=3 judges=1,2,4`: who acts as what."""
+    """The relays by duty, from a log line such as `duties keeper=3 judges=1,2,4`."""
     fields = (field.partition("=") for field in text.split()[1:])
     return {name: [int(each) for each in value.split(",") if each.lstrip("-").isdigit()] for name, _, value in fields}
 
@@ -58,29 +59,32 @@
     def __init__(self, fleet: "ProcessFleet", relay: int, log: Path) -> None:
         self.fleet, self.relay = fleet, relay
         self.log, self.written, self.buffer = open(log, "ab"), 0, b""
-        self.is_wanted = True  # False: it has been told to end
-        self.is_ready = self.is_stopped = False  # it answers; SIGSTOP
-        self.starts_again = False  # once it has ended
-        self.has_been_up = False  # and the record says so
-        self.duties: dict[str, list[int]] = {}  # who acts for the fleet, as it logged
+        self.is_wanted = True  # False once it has been told to end
+        self.is_ready = self.is_stopped = False  # whether it answers; whether SIGSTOP has stopped it
+        self.starts_again = False  # whether it is started anew once it has ended
+        self.has_been_up = False  # whether the record says that it came up
+        self.duties: dict[str, list[int]] = {}  # relays by duty, as it logged last
 
     def childDataReceived(self, number: int, data: bytes) -> None:
-        if self.written < LOG_MOST:
+        if self.written < MAX_LOG_BYTES:
             self.log.write(data)
             self.written += len(data)
         *lines, self.buffer = (self.buffer + data).split(b"\n")
-        self.buffer = self.buffer[-LINE_MOST:]
+        self.buffer = self.buffer[-MAX_PARTIAL_LINE:]
         for line in lines:
             self.read_log(line)
 
     def read_log(self, line: bytes) -> None:
+        """Probe the relay once it listens, record what matters, and report errors."""
         if LISTENING in line:
             self.fleet.probe(self)
         for mark in RECORDED:
             if mark in line:
-                self.record_log(line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:LOG_LINE])
+                self.record_log(
+                    line[line.index(mark) :].removeprefix(b"module: ").decode(errors="replace")[:MAX_RECORDED_LINE]
+                )
         if b" ERROR " in line or b"module: fault" in line:
-            text = line.decode(errors="replace")[:LOG_LINE]
+            text = line.decode(errors="replace")[:MAX_RECORDED_LINE]
             self.fleet.setup.report_violation(f"relay {self.relay}: {text}")
 
     def record_log(self, text: str) -> None:
@@ -130,7 +134,7 @@
         self.setup, self.day, self.folder, self.port_number = setup, day, folder, port_number
         self.on_change, self.on_empty = on_change, on_empty
         self.running: dict[int, tuple[RelayProcess, Any]] = {}
-        self.killed_at: dict[int, list[int]] = {}  # relay -> when it was killed
+        self.killed_at: dict[int, list[int]] = {}  # by relay: when it was killed, in tenths of a ms of the day
         self.is_over = False
         table = setup.scenario.trial
         self.other_checkout = Path(table.beside) if table.beside else CHECKOUT
@@ -147,17 +151,17 @@
         """Those that have been told to end, in order, and still run."""
         return [relay for relay, (running, _) in self.running.items() if not running.is_wanted]
 
-    def acting(self, name: str) -> list[int]:
-        """Who acts for the fleet as the keeper, the judge or the judges, by the logs of most relays."""
-        duty, most = ("judges", 1) if name == "judge" else (name, MOST_ACTING)
+    def duty_holders(self, name: str) -> list[int]:
+        """The relays that act as the keeper (the load tracker), the judge or the judges, by the logs of most relays."""
+        duty, most = ("judges", 1) if name == "judge" else (name, MAX_DUTY_HOLDERS)
         named: Counter[int] = Counter()
         for running, _ in self.running.values():
             named.update(running.duties.get(duty, [])[:most])
         best = sorted((relay for relay in named if relay >= 0), key=lambda relay: (-named[relay], relay))
-        return best[: MOST_ACTING if name == "judges" else 1]
+        return best[: MAX_DUTY_HOLDERS if name == "judges" else 1]
 
     def clock_file(self, relay: int) -> Path:
-        """What its clocks show (clock_offset.py)."""
+        """The file with the offset of the relay's clocks (clock_offset.py)."""
         return self.folder / f"relay-{relay}.clock"
 
     def start(self, relay: int) -> None:
@@ -210,23 +214,25 @@
             "peers": [
                 str(addresses.peer(relay, other)) if other != relay else str(own) for other in range(setup.relays)
             ],
-            "peers_all": str(addresses.everyone(relay)),
+            "peers_all": str(addresses.broadcast(relay)),
             "rollouts": {"address": str(addresses.at(PLATFORM, relay)), "news": rollout_state(setup, state)},
             "known": endpoint_list(setup, self.port_number, relay, roster.told[relay], True, entries),
             "settings": setup.scenario.relay_settings(relay),
         }
 
     def probe(self, running: RelayProcess) -> None:
+        """Connect to a relay that listens, every PROBE_INTERVAL_S until it answers."""
         if self.running.get(running.relay, (None,))[0] is running and not running.is_ready and not self.is_over:
-            place, reactor = self.setup.addresses.relay(running.relay), self.setup.reactor
+            address, reactor = self.setup.addresses.relay(running.relay), self.setup.reactor
             connectProtocol(
-                TCP4ClientEndpoint(reactor, place.host, place.port, 5.0), ReadinessProbe(self, running)
+                TCP4ClientEndpoint(reactor, address.host, address.port, PROBE_TIMEOUT_S), ReadinessProbe(self, running)
             ).addErrback(lambda _: None)
-            reactor.callLater(1.0, self.probe, running)
+            reactor.callLater(PROBE_INTERVAL_S, self.probe, running)
 
     def mark_ready(self, running: RelayProcess) -> None:
+        """It answers; ignored if it was killed while its first answer was on the way."""
         if self.running.get(running.relay, (None,))[0] is running and running.is_wanted:
-            running.is_ready = running.has_been_up = True  # else it was killed while its first answer was on the way
+            running.is_ready = running.has_been_up = True
             self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
             self.on_change()
 
@@ -253,7 +259,7 @@
                 self.set_clock(order.relay, step=order.amount)
 
     def set_clock(self, relay: int, rate: float | None = None, step: float = 0.0) -> None:
-        """From what its clocks show now."""
+        """Change the rate of a relay's clocks, or step its wall clock, from what they show now."""
         path, now = self.clock_file(relay), time.monotonic()
         before = path.read_bytes()[: CLOCK_FILE.size] if path.exists() else CLOCK_FILE.pack(1.0, now, 0.0, 0.0)
         earlier, since, lead, stepped = CLOCK_FILE.unpack(before)
@@ -271,45 +277,45 @@
         process.signalProcess("KILL")
 
     def record_down(self, running: RelayProcess) -> None:
-        """The record says nothing of one that had not come up yet."""
+        """Record that a relay is down, unless it had not come up yet."""
         if running.has_been_up:
             self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
-        """Planned: told to end, and started anew once it has."""
+        """A planned restart: tell the relay to end, and start it anew once it has."""
         if running.is_wanted:
             running.is_wanted, running.starts_again = False, True
             self.on_change()
             self.resume(running, process)
             process.signalProcess("TERM")
-            self.setup.reactor.callLater(STILL_ACCEPTS, self.mark_unready, running)
-            self.setup.reactor.callLater(END_WAIT, self.kill_late, running, process)
+            self.setup.reactor.callLater(ACCEPTING_S, self.mark_unready, running)
+            self.setup.reactor.callLater(END_TIMEOUT_S, self.kill_late, running, process)
 
     def resume(self, running: RelayProcess, process: Any) -> None:
-        """One that is stopped can't end."""
+        """Continue a relay that is stopped, since it could not end."""
         if running.is_stopped:
             running.is_stopped = False
             os.kill(process.pid, signal.SIGCONT)
 
     def mark_unready(self, running: RelayProcess) -> None:
-        """Clients send it no new connections."""
+        """From now on clients open no new connections to it."""
         running.is_ready = False
         self.on_change()
 
     def end(self) -> None:
-        """In order: SIGTERM, and SIGKILL for what does not heed it."""
+        """End all relays by SIGTERM, and by SIGKILL after END_TIMEOUT_S."""
         self.is_over = True
         for running, process in self.running.values():
             running.is_wanted = False
             self.resume(running, process)
             process.signalProcess("TERM")
-            self.setup.reactor.callLater(END_WAIT, self.kill_late, running, process)
+            self.setup.reactor.callLater(END_TIMEOUT_S, self.kill_late, running, process)
         self.on_change()
         if not self.running:
             self.on_empty()
 
     def kill_all(self) -> None:
-        """The coordinator ends, perhaps early: no relay outlives it."""
+        """Kill all relays, since none may outlive the coordinator, even if that ends early."""
         for _, process in self.running.values():
             try:
                 process.signalProcess("KILL")
@@ -317,6 +323,7 @@
                 continue
 
     def kill_late(self, running: RelayProcess, process: Any) -> None:
+        """Kill a relay that has not ended in time, and report it."""
         if not running.log.closed:
             self.setup.report_violation(f"relay {running.relay} did not end when told to")
             process.signalProcess("KILL")
@@ -333,15 +340,15 @@
             self.on_empty()
 
     def costs(self) -> dict[str, float]:
-        """Mean and most of the relays that run: memory (MB; of what is shared its part) and processor time (s)."""
+        """Mean and most of the relays that run: memory (PSS, in MB) and processor time (s)."""
         memory, cpu = [], []
-        tick = os.sysconf("SC_CLK_TCK")
+        ticks_per_second = os.sysconf("SC_CLK_TCK")
         for _, process in self.running.values():
             try:
-                kept = Path(f"/proc/{process.pid}/smaps_rollup").read_text()
-                memory.append(int(kept.split("\nPss:")[1].split()[0]) / 1024)
-                used = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-                cpu.append((int(used[11]) + int(used[12])) / tick)
+                smaps = Path(f"/proc/{process.pid}/smaps_rollup").read_text()
+                memory.append(int(smaps.split("\nPss:")[1].split()[0]) / 1024)
+                stat = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+                cpu.append((int(stat[11]) + int(stat[12])) / ticks_per_second)
             except (OSError, IndexError, ValueError):  # it has just ended
                 continue
         found = {}
--- a/tealsail/lab/loopback/process_group.py
+++ b/tealsail/lab/loopback/process_group.py
@@ -23,16 +23,18 @@
 from .relay_messages import MessageCarrier
 from .trial_setup import TrialSetup, use_shared_clock
 
-ROLES = {"units": BackendPool, "clients": ClientPool, "notes": MessageCarrier}
-DESCRIPTORS = 65_536  # that a process may hold, as far as the system allows
-ERRORS_KEPT = 4_000  # bytes of a member's standard error
-END_WAIT = 0.1  # seconds in which a member's last message goes out
+ROLES = {"units": BackendPool, "clients": ClientPool, "notes": MessageCarrier}  # notes: messages between relays
+MAX_DESCRIPTORS = 65_536  # that a process asks the system for
+MAX_ERROR_BYTES = 4_000  # of a member's standard error that are kept
+MAX_ERROR_TEXT = 300  # characters of it that are reported
+LAST_MESSAGE_S = 0.1  # seconds in which a member's last message goes out
 
 
 def raise_descriptor_limit() -> None:
-    """As many descriptors as are allowed: hundreds of relays keep thousands of connections."""
+    """Allow this process as many file descriptors as the system does, up to MAX_DESCRIPTORS: hundreds of relays keep
+    thousands of connections."""
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = DESCRIPTORS if most == resource.RLIM_INFINITY else min(DESCRIPTORS, most)
+    wanted = MAX_DESCRIPTORS if most == resource.RLIM_INFINITY else min(MAX_DESCRIPTORS, most)
     resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, most))
 
 
@@ -77,13 +79,14 @@
             self.setup.send(decode(line))
 
     def errReceived(self, data: bytes) -> None:
-        self.errors = (self.errors + data)[-ERRORS_KEPT:]
+        self.errors = (self.errors + data)[-MAX_ERROR_BYTES:]
 
     def processEnded(self, reason: Failure) -> None:
         self.has_ended = True
         if self.errors or reason.value.exitCode:
             self.setup.report_violation(
-                f"{self.name}: {self.errors.decode(errors='replace').strip()[-300:] or reason.getErrorMessage()}"
+                f"{self.name}: "
+                f"{self.errors.decode(errors='replace').strip()[-MAX_ERROR_TEXT:] or reason.getErrorMessage()}"
             )
             self.setup.send(FinalReport({}, [], 0.0))
 
@@ -112,6 +115,7 @@
                 self.member.receive(message)
 
     def take_role(self, assignment: RoleAssignment) -> None:
+        """Build the member; its lines of the record go to the file that the assignment names."""
         self.writer = Writer(assignment.record)
         scenario = convert(assignment.scenario)
         self.writer(Head(0, VERSION, "trial", scenario.name, assignment.seed, {}))
@@ -127,10 +131,11 @@
         self.member = ROLES[assignment.role](setup, assignment.index, assignment.count)
 
     def finish(self) -> None:
+        """Send the final report, and end the process."""
         report = self.member.final_report()
         self.writer.close()
         self.send(msgspec.structs.replace(report, cpu=time.process_time()))
-        self.reactor.callLater(END_WAIT, self.reactor.stop)
+        self.reactor.callLater(LAST_MESSAGE_S, self.reactor.stop)
 
     def send(self, message: Message) -> None:
         self.out.write(encode(message))
@@ -152,7 +157,7 @@
             process.dataReceived(data)
 
         def connectionLost(self, reason: Failure = None) -> None:
-            """The coordinator has gone."""
+            """The coordinator has ended."""
             if reactor.running:
                 reactor.stop()
 
--- a/tealsail/lab/loopback/process_messages.py
+++ b/tealsail/lab/loopback/process_messages.py
@@ -13,7 +13,8 @@
 
 
 class RoleAssignment(Message, tag="cast"):
-    """The first to a process: its role, which of how many members it is, the scenario; `record` is a file to write."""
+    """The first message to a process: its role, which of how many members it is, the scenario; `record` is a file to
+    write."""
 
     role: str
     index: int
@@ -31,7 +32,7 @@
 
 
 class BackendState(Message, tag="stand"):
-    """A backend as the coordinator has it: a new one, or what has changed of one."""
+    """A backend as the coordinator has it: a new one, or one that has changed.  `started` is in tenths of a ms."""
 
     name: str
     number: int  # of its port
@@ -49,13 +50,13 @@
 
 
 class NetworkState(Message, tag="net"):
-    """All that is wrong with the network (Network.plain)."""
+    """All faults of the network (`Network.plain`)."""
 
     plain: list[Any]
 
 
 class RelayStates(Message, tag="relays"):
-    """Those that answer, and those that have been told to end and run yet."""
+    """The relays that answer, and those that have been told to end and still run."""
 
     ready: list[int]
     ending: list[int]
@@ -70,7 +71,7 @@
 
 
 class BackendCrashed(Message, tag="fell"):
-    """A backend crashed under what it was sent."""
+    """A backend crashed under its load."""
 
     name: str
 
@@ -86,7 +87,7 @@
 
 
 class FinalReport(Message, tag="over"):
-    """The last of a member.
+    """The last message of a member.
 
     `lateness` counts arrivals by how late they were sent (tenths of a ms); `lost_while_up` is which relay lost a
     request while it was up, and when; `cpu` the processor time in seconds; `resent` the relay and number of each
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -17,12 +17,13 @@
 IP_PKTINFO = 8  # of Linux's <linux/in.h>; the socket module has no name for it yet
 INFO = struct.Struct("=i4s4s")  # struct in_pktinfo: interface, local address, address sent to
 ANCILLARY_ROOM = socket.CMSG_SPACE(INFO.size)
-LONGEST = 256  # bytes of a message
-AT_ONCE = 512  # datagrams taken before others in the process get their turn
-MOST_ON_THE_WAY = 100_000  # messages; more are lost
-BUFFER = 8 * 1024 * 1024  # bytes of the socket's buffers, as far as the system allows
-EARLY = 0.0005  # seconds: what is due so soon goes with what is due now
-DROPPED_PART = 100  # one message in so many may find no room
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+MAX_MESSAGE_BYTES = 256
+READ_BATCH = 512  # datagrams read in one turn of the loop, so that others in the process get theirs
+MAX_IN_FLIGHT = 100_000  # messages; more are dropped
+SOCKET_BUFFER_BYTES = 8 * 1024 * 1024  # of each of the socket's buffers, as far as the system allows
+EARLY_S = 0.0005  # messages that are due so soon are sent with those due now
+MESSAGES_PER_DROP = 100  # one message in so many may be dropped
 
 
 def sent_between(ancillary: list[tuple[int, int, bytes]]) -> tuple[int, int]:
@@ -34,7 +35,7 @@
 
 
 class MessageCarrier:
-    """Carries messages between relays, late or not at all, as the network has it."""
+    """Carries messages between relays with the delays and losses of the simulated network (world/network.py)."""
 
     def __init__(self, setup: TrialSetup, index: int, count: int) -> None:
         self.setup = setup
@@ -43,9 +44,9 @@
         self.socket.setblocking(False)
         self.socket.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
         for buffer in (socket.SO_RCVBUF, socket.SO_SNDBUF):
-            self.socket.setsockopt(socket.SOL_SOCKET, buffer, BUFFER)
+            self.socket.setsockopt(socket.SOL_SOCKET, buffer, SOCKET_BUFFER_BYTES)
         self.socket.bind(("", setup.addresses.port + addresses.MESSAGES))
-        self.on_the_way: list[tuple[float, int, int, int, bytes]] = []  # due, number, sender, receiver, message
+        self.in_flight: list[tuple[float, int, int, int, bytes]] = []  # due, number, sender, receiver, message
         self.count = self.carried = self.dropped = 0
         self.timer: Any = None
         setup.reactor.addReader(self)
@@ -68,12 +69,12 @@
         """The reactor ends."""
 
     def doRead(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(READ_BATCH):
             try:
-                data, ancillary, _, _ = self.socket.recvmsg(LONGEST + 1, ANCILLARY_ROOM)
+                data, ancillary, _, _ = self.socket.recvmsg(MAX_MESSAGE_BYTES + 1, ANCILLARY_ROOM)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # what an earlier message met at a closed port
+            except OSError:  # an earlier message was sent to a closed port
                 continue
             self.distribute(*sent_between(ancillary), data)
 
@@ -81,9 +82,9 @@
         relays = range(self.setup.relays)
         if sender not in relays:
             return
-        if len(data) > LONGEST:
-            self.setup.report_violation(f"relay {sender} sent a note of more than {LONGEST} bytes")
-        elif receiver == addresses.EVERYONE:
+        if len(data) > MAX_MESSAGE_BYTES:
+            self.setup.report_violation(f"relay {sender} sent a message of more than {MAX_MESSAGE_BYTES} bytes")
+        elif receiver == addresses.BROADCAST:
             for other in relays:
                 if other != sender:
                     self.carry(sender, other, data)
@@ -94,32 +95,34 @@
         seconds = self.setup.reactor.seconds()
         self.carried += 1
         for wait in self.network.note(self.setup.now(), sender, receiver):
-            if len(self.on_the_way) >= MOST_ON_THE_WAY:
+            if len(self.in_flight) >= MAX_IN_FLIGHT:
                 self.dropped += 1
                 continue
             self.count += 1
-            heapq.heappush(self.on_the_way, (seconds + wait / 10_000, self.count, sender, receiver, data))
+            heapq.heappush(self.in_flight, (seconds + wait / TENTHS_PER_SECOND, self.count, sender, receiver, data))
         self.schedule()
 
     def schedule(self) -> None:
-        if self.on_the_way and not (self.timer and self.timer.active()):
+        if self.in_flight and not (self.timer and self.timer.active()):
             self.timer = self.setup.reactor.callLater(
-                max(0.0, self.on_the_way[0][0] - self.setup.reactor.seconds()), self.deliver
+                max(0.0, self.in_flight[0][0] - self.setup.reactor.seconds()), self.deliver
             )
 
     def deliver(self) -> None:
-        now = self.setup.reactor.seconds() + EARLY
-        while self.on_the_way and self.on_the_way[0][0] <= now:
-            _, _, sender, receiver, data = heapq.heappop(self.on_the_way)
+        now = self.setup.reactor.seconds() + EARLY_S
+        while self.in_flight and self.in_flight[0][0] <= now:
+            _, _, sender, receiver, data = heapq.heappop(self.in_flight)
             source, target = self.setup.addresses.peer(receiver, sender), self.setup.addresses.relay(receiver)
             info = INFO.pack(0, socket.inet_aton(source.host), bytes(4))
             try:
                 self.socket.sendmsg([data], [(socket.IPPROTO_IP, IP_PKTINFO, info)], 0, (target.host, target.port))
-            except OSError:  # nobody listens, or its buffer is full: lost, as datagrams may be
+            except OSError:  # nobody listens or the buffer is full: dropped, as datagrams may be
                 self.dropped += 1
         self.schedule()
 
     def final_report(self) -> FinalReport:
-        if self.dropped > self.carried // DROPPED_PART:
-            self.setup.report_violation(f"{self.dropped} of {self.carried} notes found no room on their way")
+        if self.dropped > self.carried // MESSAGES_PER_DROP:
+            self.setup.report_violation(
+                f"{self.dropped} of {self.carried} messages were dropped on their way for want of room"
+            )
         return FinalReport({}, [], 0.0)
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -25,7 +25,7 @@
 from ..scenario import Scenario, convert
 from ..traffic import clients_of
 from .addresses import LIST, PLATFORM, PortBlock
-from .control_plane import PING, DiscoveryService, PlatformService
+from .control_plane import PING_INTERVAL_S, DiscoveryService, PlatformService
 from .process_fleet import ProcessFleet
 from .process_group import LocalMember, ProcessMember, raise_descriptor_limit
 from .process_messages import (
@@ -43,24 +43,34 @@
 )
 from .trial_setup import TrialSetup, use_shared_clock
 
-READY, EACH = 30.0, 0.25  # seconds for relays to come up, and more for each of them
-GRACE, END = 10.0, 25.0  # for answers; for the end
-LEAD = 2_000  # tenths of a ms between the last relay's coming up and the day
-LATE, LATE_SHARE = 100, 0.01  # tenths of a ms; more arrivals than this share so late: void
-FEW = 24  # relays up to which all members fit in one process
-SLACK = Slack(time=1_500, shots=2, part=0.04)
-NEAR = 10_000  # tenths of a ms: what is lost so near a kill is lost by it
+READY_TIMEOUT_S = 30.0  # for all relays to come up
+READY_TIMEOUT_PER_RELAY_S = 0.25  # more for each of them
+ANSWER_GRACE_S = 10.0  # for answers after the last arrival
+END_TIMEOUT_S = 25.0  # for the end of all processes
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+START_DELAY = 2_000  # tenths of a ms between the last relay's coming up and the day's beginning
+LATE_ARRIVAL = 100  # tenths of a ms; an arrival that is sent later than that is too late
+MAX_LATE_SHARE = 0.01  # of arrivals that are too late; with more of them a trial is void
+MAX_LOCAL_RELAYS = 24  # relays up to which all members fit in the coordinator's process
+RELAYS_PER_MEMBER = 200  # relays for which a member can play backends or clients
+SLACK = Slack(time=1_500, shots=2, part=0.04)  # what sockets add
+KILL_MARGIN = 10_000  # tenths of a ms; a request lost so near a relay's kill is lost by the kill
+MAX_PROBLEMS = 100  # that are kept
+MAX_LOST = 10  # lost requests that are reported
+BACKLOG = 512  # connections that wait in the kernel to be accepted
 
 
 def processes_by_role(relays: int) -> dict[str, int]:
-    """How many processes the members of each role get; none: the coordinator's own."""
-    if relays <= FEW:
+    """How many processes each role has; 0 stands for the coordinator's own."""
+    if relays <= MAX_LOCAL_RELAYS:
         return {"units": 0, "clients": 0, "notes": 0}
-    return {"units": 1 + relays // 200, "clients": 1 + relays // 200, "notes": 1}
+    return {"units": 1 + relays // RELAYS_PER_MEMBER, "clients": 1 + relays // RELAYS_PER_MEMBER, "notes": 1}
 
 
 class Trial:
-    """Drives a day's machines with a reactor; `problems` says what relays did that no rule has a name for."""
+    """Drives the simulated day and the relays' processes.
+
+    `problems` says what relays did that no rule has a name for."""
 
     def __init__(self, reactor: Any, scenario: Scenario, seed: int, folder: Path) -> None:
         self.reactor, self.scenario, self.seed, self.folder = reactor, scenario, seed, folder
@@ -76,12 +86,12 @@
         self.processes = ProcessFleet(
             self.setup, self.day, folder, self.port_number, self.relays_changed, self.stop_members
         )
-        self.day.roles = self.processes.acting
-        self.list = DiscoveryService(self.setup, self.day, self.port_number)
+        self.day.roles = self.processes.duty_holders
+        self.discovery = DiscoveryService(self.setup, self.day, self.port_number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
         self.members: dict[str, list[Any]] = {}
         self.backend_states: dict[str, BackendState] = {}  # as last sent to their members
-        self.network_state: list[Any] = []  # and the network's
+        self.network_state: list[Any] = []  # as last sent
         self.waiting = 0  # members whose clients have no answer yet
         self.final_reports: list[FinalReport] = []
         self.costs: dict[str, float] = {}
@@ -89,11 +99,11 @@
         self.timer: Any = None
 
     def report_violation(self, text: str) -> None:
-        if len(self.problems) < 100:
+        if len(self.problems) < MAX_PROBLEMS:
             self.problems.append(text)
 
     def port_number(self, name: str) -> int:
-        """A backend's, for its port: one that comes back under its name finds its own again."""
+        """The backend's number, for its port; one that comes back under its name keeps it."""
         return self.port_numbers.setdefault(name, len(self.port_numbers))
 
     def send(self, role: str, message: Message) -> None:
@@ -106,15 +116,15 @@
         setup.record_line(
             Head(0, VERSION, "trial", self.scenario.name, self.seed, self.scenario.facts(0), self.scenario.plain())
         )
-        self.reactor.listenTCP(port + LIST, self.list, 512)
-        self.reactor.listenTCP(port + PLATFORM, self.platform, 512)
+        self.reactor.listenTCP(port + LIST, self.discovery, BACKLOG)
+        self.reactor.listenTCP(port + PLATFORM, self.platform, BACKLOG)
         for role, count in processes_by_role(self.relays).items():
             apart = [ProcessMember(setup, role, index, count, self.folder) for index in range(count)]
             self.members[role] = apart or [LocalMember(setup, role)]
         self.apply_changes()
         for relay in range(self.relays):
             self.processes.start(relay)
-        self.reactor.callLater(READY + EACH * self.relays, self.give_up_waiting)
+        self.reactor.callLater(READY_TIMEOUT_S + READY_TIMEOUT_PER_RELAY_S * self.relays, self.give_up_waiting)
 
     def give_up_waiting(self) -> None:
         if not self.setup.has_begun and not self.is_over:
@@ -126,27 +136,29 @@
             return
         self.send("clients", RelayStates(self.processes.ready(), self.processes.ending()))
         if not self.setup.has_begun and len(self.processes.ready()) == self.relays:
-            start = self.reactor.seconds() + LEAD / 10_000
+            start = self.reactor.seconds() + START_DELAY / TENTHS_PER_SECOND
             self.setup.begin(start)
             for role in self.members:
                 self.send(role, DayBegin(start))
             self.wake()
             self.ping()
-            self.reactor.callLater(self.scenario.span / 10_000 + LEAD / 10_000, self.end_arrivals)
+            self.reactor.callLater(
+                self.scenario.span / TENTHS_PER_SECOND + START_DELAY / TENTHS_PER_SECOND, self.end_arrivals
+            )
 
     def ping(self) -> None:
         self.platform.ping()
         if not self.is_over:
-            self.reactor.callLater(PING, self.ping)
+            self.reactor.callLater(PING_INTERVAL_S, self.ping)
 
     def end_arrivals(self) -> None:
-        """The last arrival has been: on until all is answered."""
+        """The last request has arrived: end once all are answered, or after ANSWER_GRACE_S."""
         self.waiting, self.arrivals_over = len(self.members["clients"]), True
         self.send("clients", ArrivalsOver())
-        self.reactor.callLater(GRACE, self.finish)
+        self.reactor.callLater(ANSWER_GRACE_S, self.finish)
 
     def receive(self, message: Message) -> None:
-        """From a member."""
+        """A message from a member."""
         match message:
             case AllAnswered() if self.arrivals_over:
                 self.waiting -= 1
@@ -170,7 +182,7 @@
             self.is_over = True
             self.costs = self.processes.costs()
             self.processes.end()
-            self.reactor.callLater(END, self.done)
+            self.reactor.callLater(END_TIMEOUT_S, self.done)
 
     def stop_members(self) -> None:
         """No relay is left: the members end."""
@@ -181,7 +193,7 @@
         if self.reactor.running:
             self.reactor.stop()
 
-    # the day
+    # the simulated day
     def wake(self) -> None:
         if self.is_over:
             return
@@ -220,7 +232,7 @@
         )
 
     def send_states(self) -> None:
-        """What has changed of backends since their members were last told, and of the network."""
+        """Send the states of backends and of the network that have changed since they were last sent."""
         units = self.day.fleet.units
         for name, before in list(self.backend_states.items()):
             if name not in units and not before.dead:
@@ -236,23 +248,23 @@
                 self.send(role, NetworkState(plain))
 
     def send_backend_state(self, state: BackendState) -> None:
-        """To the one member that plays this backend."""
+        """Send a backend's state to the one member that plays it."""
         members = self.members["units"]
         self.backend_states[state.name] = state
         members[state.number % len(members)].send(state)
 
     def apply_changes(self) -> None:
-        """Carries out what the day has left to do."""
+        """Carry out what the day has left to do."""
         day, setup = self.day, self.setup
         left = day.left()
         for line in left.lines:
             setup.record_line(line)
         self.send_states()
-        for service in (self.list, self.platform):
+        for service in (self.discovery, self.platform):
             service.reset_cut_off()
         for version in left.rounds:
             for relay, lag in enumerate(day.roster.lag):
-                self.reactor.callLater(lag / 10_000, self.list.publish, relay, version)
+                self.reactor.callLater(lag / TENTHS_PER_SECOND, self.discovery.publish, relay, version)
         if day.moved and setup.now() >= day.desk.silent_until:
             day.moved = False
             self.platform.publish()
@@ -261,7 +273,7 @@
         if setup.has_begun and not self.is_over:
             self.schedule()
 
-    # what came of it
+    # results
     def record(self) -> Iterator[Line]:
         """The lines of all members in the order of their times."""
         members = [member for members in self.members.values() for member in members]
@@ -270,7 +282,7 @@
         return heapq.merge(self.lines, *streams, key=lambda line: line.at)
 
     def lateness(self) -> tuple[int, float]:
-        """How late the 99th of a hundred arrivals was sent, in tenths of a ms, and the share that was too late."""
+        """The 99th percentile of how late arrivals were sent, in tenths of a ms, and the share of those too late."""
         counts: Counter[int] = Counter()
         for report in self.final_reports:
             counts.update(report.lateness)
@@ -280,16 +292,16 @@
             if seen >= 0.99 * total:
                 ninety_ninth = late
                 break
-        too_late = sum(count for late, count in counts.items() if late > LATE)
+        too_late = sum(count for late, count in counts.items() if late > LATE_ARRIVAL)
         return ninety_ninth, too_late / (total or 1)
 
     def lost_while_up(self) -> list[str]:
-        """Requests that a relay lost which nobody had killed, a sentence each."""
+        """Requests that a relay lost although the script had not killed it, a sentence each."""
         return [
-            f"relay {relay}, which nobody had killed, lost an invocation at {at / 10_000:.3f}s"
+            f"relay {relay}, which nobody had killed, lost an invocation at {at / TENTHS_PER_SECOND:.3f}s"
             for report in self.final_reports
             for relay, at in report.lost_while_up
-            if not any(abs(at - down) < NEAR for down in self.processes.killed_at.get(relay, ()))
+            if not any(abs(at - down) < KILL_MARGIN for down in self.processes.killed_at.get(relay, ()))
         ]
 
 
@@ -302,7 +314,7 @@
     for line in trial.record():
         judged(line)
         if isinstance(line, Shot) and (line.relay, line.number) in resent:
-            taken.add((line.relay, line.number))  # it had read it after all, and never answered
+            taken.add((line.relay, line.number))  # the relay had read the request after all, and never answered
         if writer:
             writer(line)
     if writer:
@@ -313,16 +325,16 @@
     ]
     if lost:
         result.breaches["lost"] = result.breaches.get("lost", 0) + len(lost)
-        trial.problems += lost[:10]
+        trial.problems += lost[:MAX_LOST]
     if trial.problems:
         result.breaches["problems"] = len(trial.problems)
     own = time.process_time()
     result.figures.update(trial.costs, stand_ins_cpu=own + sum(report.cpu for report in trial.final_reports))
-    return result, judged, late_share > LATE_SHARE
+    return result, judged, late_share > MAX_LATE_SHARE
 
 
 def main() -> None:
-    """Reads {scenario, seed, folder, record} from standard input, plays, and writes the result there as JSON."""
+    """Read {scenario, seed, folder, record} from standard input, play, and write the result as JSON."""
     from twisted.internet import reactor
 
     order = json.load(sys.stdin)
--- a/tealsail/lab/loopback/trial_setup.py
+++ b/tealsail/lab/loopback/trial_setup.py
@@ -1,6 +1,5 @@
-"""What the coordinator and each member of a trial's process group share.
-
-That is the scenario, a clock, addresses, and where lines of the record and messages go.
+"""What the coordinator and each member of a trial's process group share: the scenario, a clock, addresses, and where
+lines of the record and messages go.
 """
 
 import time
@@ -12,6 +11,8 @@
 from .addresses import Addresses
 from .process_messages import Message
 
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond
+
 
 class TrialSetup:
     """One trial as seen from one process.
@@ -36,31 +37,34 @@
         self.addresses = Addresses(port)
         self.class_numbers = {each.name: place for place, each in enumerate(scenario.workload)}
         self.tenants = [each.name for each in scenario.customer] or [""]
-        self.start, self.has_begun = 0.0, False  # the record's zero; it begins once all relays are up
+        self.start, self.has_begun = (
+            0.0,
+            False,
+        )  # the record's zero in seconds of the reactor; whether the day has begun
 
     def begin(self, start: float) -> None:
-        """The day starts at that time of the reactors."""
+        """Let the day start at that time of the reactors, in seconds; called once all relays are up."""
         self.start, self.has_begun = start, True
 
     def now(self) -> int:
         """Time of the day in tenths of a ms; zero until it begins."""
-        return max(0, int((self.reactor.seconds() - self.start) * 10_000)) if self.has_begun else 0
+        return max(0, int((self.reactor.seconds() - self.start) * TENTHS_PER_SECOND)) if self.has_begun else 0
 
     def reactor_time(self, at: int) -> float:
-        """The reactor's time of a time of the day."""
-        return self.start + at / 10_000
+        """The reactor's time in seconds of a time of the day in tenths of a ms."""
+        return self.start + at / TENTHS_PER_SECOND
 
     def seconds_until(self, at: int) -> float:
-        """Seconds from now until a time of the day, none for what is past."""
+        """Seconds from now until a time of the day in tenths of a ms, 0 for a time that is past."""
         return max(0.0, self.reactor_time(at) - self.reactor.seconds())
 
     def unix_ms(self, at: int) -> int:
-        """A time of the day in Unix time, milliseconds."""
+        """A time of the day (tenths of a ms) in Unix time (ms)."""
         start = self.start if self.has_begun else self.reactor.seconds()
-        return int((start + at / 10_000 + time.time() - time.monotonic()) * 1000)
+        return int((start + at / TENTHS_PER_SECOND + time.time() - time.monotonic()) * 1000)
 
 
 def use_shared_clock(reactor: Any) -> Any:
-    """The reactor, on the clock that all processes of a machine share."""
+    """Set the reactor to the clock that all processes of a machine share, and return it."""
     reactor.seconds = time.monotonic
     return reactor
--- a/tealsail/lab/scale/addresses.py
+++ b/tealsail/lab/scale/addresses.py
@@ -29,7 +29,7 @@
         """The other relay's own socket: nothing carries the datagrams, so nothing can cut them off."""
         return self.relay(other)
 
-    def everyone(self, relay: int) -> Address:
+    def broadcast(self, relay: int) -> Address:
         """An unused address: only votes that need more than three relays are broadcast, and `runs.check` refuses
         scenarios with such votes."""
         return Address(UNUSED_HOST, self.port + MESSAGES)
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -24,7 +24,7 @@
 from ...world.unit import Unit
 from ..loopback import process_messages as client_messages
 from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
-from ..loopback.control_plane import PING, DiscoveryService, PlatformService
+from ..loopback.control_plane import PING_INTERVAL_S, DiscoveryService, PlatformService
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
@@ -178,7 +178,7 @@
             self.setup, self.day, folder, self.backend_number, self.relays_changed, self.on_real_relays_ended
         )
         self.relays.clock_rate, self.relays.clock_start = plan.clock_rate, plan.clock_start
-        self.day.roles = self.relays.acting
+        self.day.roles = self.relays.duty_holders
         self.discovery = DiscoveryService(self.setup, self.day, self.backend_number)
         self.platform = PlatformService(self.setup, self.day, self.vote)
         # the backends of real relays are machines of their own; those of `day` stay idle
@@ -310,7 +310,7 @@
     def ping(self) -> None:
         self.platform.ping()
         if not self.is_over:
-            self.reactor.callLater(PING, self.ping)
+            self.reactor.callLater(PING_INTERVAL_S, self.ping)
 
     def end_arrivals(self) -> None:
         """The last request has arrived: end once all are answered, or after ANSWER_GRACE_S."""
--- a/tealsail/lab/scale/hollow_process.py
+++ b/tealsail/lab/scale/hollow_process.py
@@ -27,8 +27,8 @@
 from ...world.clients import Arrival
 from ...world.day import Day
 from ...world.roster import Entry
-from ..loopback.clients import PATIENCE, statement_text, take_line
-from ..loopback.control_plane import STATES
+from ..loopback.clients import CLIENT_GRACE, statement_text, take_line
+from ..loopback.control_plane import LIFECYCLES
 from ..loopback.process_group import raise_descriptor_limit
 from ..loopback.trial_setup import TrialSetup, use_shared_clock
 from ..scenario import Scenario, convert
@@ -81,7 +81,7 @@
     def relay_entry(self, entry: Entry) -> RelayEntry:
         """The entry as a relay reads it from discovery."""
         started = self.setup.unix_ms(entry.started) if entry.started else 0
-        state = STATES[entry.state]
+        state = LIFECYCLES[entry.state]
         return RelayEntry(entry.name, UNUSED_ADDRESS, entry.zone, entry.cell, state, entry.weight, started, entry.build)
 
     def whole(self) -> News:
@@ -189,9 +189,9 @@
         seed = mix(self.assignment.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.endpoint_list.whole()
-        everyone = str(self.setup.addresses.everyone(relay))
+        broadcast = str(self.setup.addresses.broadcast(relay))
         return RelayConfiguration(
-            f"n{relay}", own, own, seed, DESCRIPTORS, own, self.peers, everyone, "", state, known, facts
+            f"n{relay}", own, own, seed, DESCRIPTORS, own, self.peers, broadcast, "", state, known, facts
         )
 
     def start(self, relay: int) -> None:
@@ -354,7 +354,7 @@
         text = statement_text(arrival, workload.name, workload.effect, customer, wait_ms)
         request = self.pending[arrival.number] = PendingRequest(arrival, hollow)
         request.timer = self.reactor.callLater(
-            self.setup.seconds_until(arrival.give_up + PATIENCE), self.time_out, request
+            self.setup.seconds_until(arrival.give_up + CLIENT_GRACE), self.time_out, request
         )
         request.answer = hollow.take(statements.read(text), hollow.clock())
         request.answer.addCallbacks(self.on_answer, self.on_cancelled, callbackArgs=(request,), errbackArgs=(request,))
--- a/tealsail/lab/scale/real_relays.py
+++ b/tealsail/lab/scale/real_relays.py
@@ -14,7 +14,7 @@
 
 from ...net import messages, statements
 from ...record.lines import Met, News
-from ..loopback.backends import VALUES
+from ..loopback.backends import ANSWERS
 from ..loopback.clients import ClientPool
 from ..loopback.process_fleet import ProcessFleet
 from ..loopback.trial_setup import TrialSetup
@@ -171,7 +171,7 @@
         if load:
             text = ",".join(f"{name}={figure:.3f}" for name, figure in load.items()).encode()
             report = messages.message(b"S", b"stats\0" + text + b"\0")
-        self.transport.write(VALUES[outcome] + report + messages.READY_FOR_QUERY)
+        self.transport.write(ANSWERS[outcome] + report + messages.READY_FOR_QUERY)
 
     def connectionLost(self, reason: Failure = Failure(ConnectionDone())) -> None:
         self.listener.connections.get(self.backend, {}).pop(self, None)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -97,7 +97,7 @@
 
 
 class Places(unittest.TestCase):
-    @given(st.integers(0, addresses.MOST_RELAYS - 1), st.integers(0, addresses.EVERYONE))
+    @given(st.integers(0, addresses.MAX_RELAYS - 1), st.integers(0, addresses.BROADCAST))
     def test_an_address_tells_who_calls_and_whom(self, relay: int, other: int) -> None:
         known = addresses.Addresses(10_000)
         place = known.peer(relay, other)
@@ -107,10 +107,10 @@
 
     def test_two_trials_never_share_ports(self) -> None:
         first, second = addresses.PortBlock(3), addresses.PortBlock(3)
-        self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK)
+        self.assertGreaterEqual(abs(first.port - second.port), addresses.BLOCK_PORTS)
         first.release(), second.release()
         with self.assertRaises(ValueError):
-            addresses.PortBlock(addresses.MOST_RELAYS + 1)
+            addresses.PortBlock(addresses.MAX_RELAYS + 1)
 
 
 class Clocks(unittest.TestCase):
