--- a/tealsail/adapter/__main__.py
+++ b/tealsail/adapter/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from .frames import serve
+from .protocol import serve
 
 sys.exit(serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr))
--- a/tealsail/adapter/frames.py
+++ b/tealsail/adapter/frames.py
@@ -35,7 +35,7 @@
     def vote(self, build: int, stage: int, verdict: int) -> None:
         self.out.append(f"BALLOT relay={self.number} ring={stage} buildNo={build} how={verdict}")
 
-    def tell(self, relay: int, data: bytes) -> None:
+    def send_note(self, relay: int, data: bytes) -> None:
         self.out.append(f"TELL relay={self.number} neighbourId={relay} payload={data.hex() or '-'}")
 
     def wake(self, at: int, token: int) -> None:
@@ -66,9 +66,9 @@
             "HEADERS": lambda relay, f: relay.on_started(int(f["requestId"]), int(f["try"])),
             "ABANDONED": lambda relay, f: relay.on_abandoned(int(f["requestId"])),
             "TIMER": lambda relay, f: relay.on_wake(int(f["ctx"])),
-            "HEARD": lambda relay, f: relay.on_told(int(f["originPeer"]), unhex(f["payload"])),
+            "HEARD": lambda relay, f: relay.on_note(int(f["originPeer"]), unhex(f["payload"])),
             "STAGE": self.stage,
-            "RETURNED": lambda relay, f: relay.on_flag(int(f["unit"]), int(f["grade"]), words.tenths(f["old"])),
+            "RETURNED": lambda relay, f: relay.on_wrong_answer(int(f["unit"]), int(f["grade"]), words.tenths(f["old"])),
         }
 
     def event(self, name: str, f: Fields) -> None:
--- a/tealsail/adapter/words.py
+++ b/tealsail/adapter/words.py
@@ -24,4 +24,4 @@
 
 def settings(pairs: dict[str, str]) -> dict:
     """The wire's path=value pairs as a plain map of the module's names."""
-    return table.facts(table.flat(pairs))
+    return table.facts(table.flat_leaves(pairs))
--- a/tealsail/choices/clock.py
+++ b/tealsail/choices/clock.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any
 
-TENTHS = 10_000  # in a second
+TENTHS_PER_SECOND = 10_000  # in a second
 STEP = 0.2  # seconds between two looks: more is a step, less is followed
-GAP = 2.0  # seconds in which nothing ran, though something runs each half second
+MIN_GAP_S = 2.0  # seconds in which nothing ran, though something runs each half second
 
 
 class Clock:
@@ -24,7 +24,7 @@
         self.steady, self.wall, self.woke = steady, wall, woke
         self.zero, self.base, self.last = (
             steady(),
-            int(wall() * TENTHS),
+            int(wall() * TENTHS_PER_SECOND),
             0,
         )  # a float of Unix time is too coarse to add to
         self.ran = self.zero  # when something last ran, for all that is known
@@ -33,8 +33,8 @@
     def __call__(self) -> int:
         steady = self.steady()
         gap, self.ran = steady - self.ran, steady
-        self.last = max(self.last, self.base + int((steady - self.zero) * TENTHS + 0.01))
-        if gap > GAP and self.woke:
+        self.last = max(self.last, self.base + int((steady - self.zero) * TENTHS_PER_SECOND + 0.01))
+        if gap > MIN_GAP_S and self.woke:
             self.woke(gap)
         return self.last
 
@@ -42,16 +42,16 @@
         """By how many seconds the wall clock has stepped ahead since the last look (below zero: back), 0 for not;
         call it about once a second."""
         self()
-        ahead = self.wall() - self.base / TENTHS - (self.ran - self.zero)
+        ahead = self.wall() - self.base / TENTHS_PER_SECOND - (self.ran - self.zero)
         step, self.ahead = ahead - self.ahead, ahead
         return step if abs(step) > STEP else 0.0
 
     def even(self, unix: int) -> int:
         """A stamp in Unix time, in tenths of a ms, as even time; nothing that is told of lies ahead of now."""
-        return min(unix - int(self.ahead * TENTHS), self())
+        return min(unix - int(self.ahead * TENTHS_PER_SECOND), self())
 
 
-class Stamps:
+class StartTimes:
     """Of each unit the stamp it was listed with and the even time that it was taken for: it stays, whatever the wall
     clock does later.  Guards against a step that makes every unit of the next list look started anew."""
 
@@ -59,7 +59,7 @@
         self.clock = clock
         self.known: dict[int, tuple[int, int]] = {}
 
-    def of(self, unit: int, unix: int) -> int:
+    def start_time(self, unit: int, unix: int) -> int:
         """0 (long ago) stays 0."""
         if not unix:
             return 0
@@ -68,18 +68,21 @@
             known = self.known[unit] = unix, max(1, self.clock.even(unix))
         return known[1]
 
-    def keep(self, units: set[int]) -> None:
+    def retain(self, units: set[int]) -> None:
         """Forgets the others."""
         for unit in [unit for unit in self.known if unit not in units]:
             del self.known[unit]
 
 
-def disregard(relay: Any, now: int) -> None:
+def discard_evidence(relay: Any, now: int) -> None:
     """Nothing ran for a while: what is out now was held up here, and what comes of it says nothing of builds, units
     or load. `relay` is the module's (tealsail/policy.py); `now` in tenths of a ms."""
     for invocation in relay.known.values():
         for shot in invocation.shots:
             shot.group = None  # no evidence
-    relay.admission.cut_at = now
+    relay.admission.limit_cut_at = now
     for unit in relay.units.values():
-        unit.waiting, unit.missed = now, min(unit.missed, -2)  # a connection that failed meanwhile is no news
+        unit.silent_since, unit.connection_failures = (
+            now,
+            min(unit.connection_failures, -2),
+        )  # a connection that failed meanwhile is no news
--- a/tealsail/choices/flood.py
+++ b/tealsail/choices/flood.py
@@ -10,7 +10,7 @@
 CELLS = 30  # of a note, at the least (tealsail/notes.py)
 
 
-class Limits(NamedTuple):
+class MessageLimits(NamedTuple):
     """Notes a second."""
 
     each: int
@@ -19,21 +19,21 @@
 
 NOTES_OF_A_SHOT = 3  # a question, a beginning, an end; a third as many go back to the asker
 MOST_SHOTS = 1_000  # a second of one relay: more than one process serves on a whole core
-SHOTS = Limits(NOTES_OF_A_SHOT * MOST_SHOTS, 12_000)  # small ones of shots
+SHOT_MESSAGE_LIMITS = MessageLimits(NOTES_OF_A_SHOT * MOST_SHOTS, 12_000)  # small ones of shots
 
 
-def limits(cells: int, most: int = 4_000) -> Limits:
+def count_message_limits(cells: int, most: int = 4_000) -> MessageLimits:
     """For counts of so many cells.  Honest relays tell all of them at most twice a second, and a few words besides."""
     parts = max(1, -(-cells // CELLS))
-    return Limits(4 * parts + 20, max(most, 40 * parts))
+    return MessageLimits(4 * parts + 20, max(most, 40 * parts))
 
 
-class Flood:
+class RateLimiter:
     """`allows` says of each note whether it is taken; `counts` is emptied each second, so it has a place at most for
     each sender that is known."""
 
-    def __init__(self, limits: Limits) -> None:
-        self.limits = limits
+    def __init__(self, count_message_limits: MessageLimits) -> None:
+        self.count_message_limits = count_message_limits
         self.second, self.taken = -1, 0
         self.counts: dict[int, int] = {}
 
@@ -44,8 +44,14 @@
             self.second, self.taken, self.counts = second, 0, {}
         count = self.counts.get(sender, 0)
         # past the half of what all may have, a sender may have an even part; past the whole, a first note only
-        crowded = 2 * self.taken >= self.limits.all and count > self.limits.all // (2 * max(1, len(self.counts)))
-        if count >= self.limits.each or crowded or (self.taken >= self.limits.all and count):
+        crowded = 2 * self.taken >= self.count_message_limits.all and count > self.count_message_limits.all // (
+            2 * max(1, len(self.counts))
+        )
+        if (
+            count >= self.count_message_limits.each
+            or crowded
+            or (self.taken >= self.count_message_limits.all and count)
+        ):
             return False
         self.counts[sender] = count + 1
         self.taken += 1
--- a/tealsail/choices/load_digests.py
+++ b/tealsail/choices/load_digests.py
@@ -10,7 +10,7 @@
 from math import exp
 from typing import NamedTuple
 
-from ..parts import Chance
+from ..parts import RandomGenerator
 from .digest_messages import DIGEST, MOST_ROWS, QUIET_REPORT, REPORT, Message, Row, decode, encode
 from .load_owner import LoadOwner
 from .rendezvous import REPLICAS, Rendezvous
@@ -109,7 +109,7 @@
 class LoadDigests:
     """The whole of it for one relay, which reports and owns at once.  `counts` and `lines` are for the log."""
 
-    def __init__(self, own: int, relays: int, born: int, chance: Chance) -> None:
+    def __init__(self, own: int, relays: int, born: int, chance: RandomGenerator) -> None:
         self.own, self.relays, self.born, self.chance = own, relays, born, chance
         self.rendezvous, self.owner = Rendezvous(relays), LoadOwner()
         self.followed: dict[int, Followed] = {}
--- a/tealsail/choices/rendezvous.py
+++ b/tealsail/choices/rendezvous.py
@@ -6,7 +6,7 @@
 
 from heapq import nlargest
 
-from ..parts import mix
+from ..parts import stable_hash
 
 REPLICAS = 2  # owners of a unit at a time: the first answers, the second stands by
 RANKED = 4  # of a unit's order that are kept: the owners, and those who stand in for silent ones
@@ -19,11 +19,11 @@
     """The order of owners for each unit, of relays numbered from 0."""
 
     def __init__(self, relays: int) -> None:
-        self.salts = [mix(SALT, relay) for relay in range(relays)]
+        self.salts = [stable_hash(SALT, relay) for relay in range(relays)]
 
     def ranked(self, unit: int) -> tuple[int, ...]:
         """The first few relays in this unit's order; about a millisecond at 1,300 relays, so not on a request's
         path."""
-        key = mix(unit, SALT)
+        key = stable_hash(unit, SALT)
         scores = [((salt ^ key) * MULTIPLIER) & MASK for salt in self.salts]
         return tuple(nlargest(RANKED, range(len(scores)), scores.__getitem__))
--- a/tealsail/choices/switch.py
+++ b/tealsail/choices/switch.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ..policy import Relay
-from ..settings import NAMES
+from ..settings import NAMES_BY_PATH
 
-PATHS = {name: path for path, name in NAMES.items()}
+PATHS = {name: path for path, name in NAMES_BY_PATH.items()}
 # what a running relay is built on: judges' order, windows, places of zones, connections
 FIXED = (
     "relays",
@@ -79,13 +79,13 @@
     relay.arrange()
 
 
-class Fixed(ValueError):
+class RestartNeeded(ValueError):
     """Settings that differ and need a restart, by name; `foreign`: so much that they are another fleet's or
     customer's."""
 
     def __init__(self, needs: list[str]) -> None:
         super().__init__(f"{', '.join(needs)}: needs a restart")
-        self.foreign = not FOREIGN.isdisjoint(needs)
+        self.is_foreign = not FOREIGN.isdisjoint(needs)
 
 
 class Quiet:
@@ -95,7 +95,7 @@
         return lambda *what: None
 
 
-class Switch:
+class LiveSettings:
     """The settings of one relay, and those on their way in."""
 
     def __init__(self, relay: Relay, facts: dict[str, Any]) -> None:
@@ -108,7 +108,7 @@
         for what needs a restart, or what the module raises that can't be built with them."""
         needs = fixed(self.facts, facts)
         if needs:
-            raise Fixed(needs)
+            raise RestartNeeded(needs)
         found, fresh = changed(self.facts, facts), Relay(Quiet(), facts, 0, self.relay.now)
         if found:
             self.facts, self.fresh, self.at_hand = facts, fresh, self.open(self.relay.known)
@@ -118,9 +118,13 @@
     def open(self, numbers: Iterable[int]) -> set[int]:
         """Those that are not over, or have shots out there."""
         known = self.relay.known
-        return {number for number in numbers if number in known and (not known[number].over or known[number].out())}
+        return {
+            number
+            for number in numbers
+            if number in known and (not known[number].is_over or known[number].open_shots())
+        }
 
-    def settle(self) -> None:
+    def end_transition(self) -> None:
         """Asked now and then: once all that was taken before is over, the new settings alone hold."""
         if self.fresh and self.at_hand:
             self.at_hand = self.open(self.at_hand)
--- a/tealsail/choices/zones.py
+++ b/tealsail/choices/zones.py
@@ -5,11 +5,11 @@
 (hearsay.py) counts where this relay has seen nothing itself: never against its own answers.
 """
 
-from ..parts import Chance, Invocation, Ring, Shot, Stage, Unit, mix
-from .hearsay import LISTENERS, Hearsay, Seen, Word, decode, encode
-from .returning import OUT, RAMP, UP, Returning
+from ..parts import ChainStage, Invocation, RandomGenerator, Shot, SlidingSum, Unit, stable_hash
 from .spill import Give, View, split
 from .tiers import Zoning, tiers
+from .zone_recovery import OUT, RAMP, UP, Returning
+from .zone_reports import LISTENERS, Hearsay, Seen, Word, decode, encode
 
 ANSWERED = ("served", "error", "full")
 IN_TIME = ("served", "full", "moot")  # if they come before they are late
@@ -32,23 +32,23 @@
         self.listed = self.usual = 0.0  # weights: now, and the most of late
         self.able = 0.0
         self.back = Returning(zoning, luck)
-        self.answered, self.missed = Ring(zoning.span, BUCKETS), Ring(zoning.span, BUCKETS)
-        self.late = Ring(zoning.span, BUCKETS)  # of those answered
+        self.answered, self.missed = SlidingSum(zoning.span, BUCKETS), SlidingSum(zoning.span, BUCKETS)
+        self.late = SlidingSum(zoning.span, BUCKETS)  # of those answered
         self.probe_at = self.looks = self.row_of_misses = 0
         self.unreached = False  # out by its silence, not by the list
         self.doubted = False  # out by the words of others, with no answer of its own against them
         self.alone = False  # its present loss began with a silence, not with the list
 
 
-class Zones(Stage):
+class Zones(ChainStage):
     """Owns the zones; told of the list by `arrange`, of time by `beat`."""
 
     def __init__(self, relay, zoning: Zoning, own: int, many: int) -> None:
         super().__init__(relay)
-        self.zoning, self.chance = zoning, Chance(mix(relay.chance.state, relay.index, 17))
+        self.zoning, self.random = zoning, RandomGenerator(stable_hash(relay.random.state, relay.index, 17))
         self.order = tiers(own, many, zoning)
         self.zones = {
-            zone: Zone(zone, place, zoning, self.chance.share())
+            zone: Zone(zone, place, zoning, self.random.share())
             for place, tier in enumerate(self.order)
             for zone in tier.zones
         }
@@ -60,12 +60,12 @@
         self.here: list[list[int]] = [[], []]  # tiers that have units, by side
         self.out = 0  # zones that are out of reach, for all that is known
         self.home: Zone | None = None  # takes all, while nothing is out, short or on trial
-        self.taken = Ring(zoning.span, BUCKETS)
-        self.spilled = {zone: Ring(zoning.span, BUCKETS) for zone in self.zones}
+        self.taken = SlidingSum(zoning.span, BUCKETS)
+        self.spilled = {zone: SlidingSum(zoning.span, BUCKETS) for zone in self.zones}
         self.counts = {"kept": 0, "spilled": 0, "refused": 0, "probes": 0, "matched": 0, "doubted": 0, "told": 0}
         relay.tier = self.tier
         self.hearsay, self.own = Hearsay(2 * zoning.span), own
-        self.hear_on, relay.on_told = relay.on_told, self.hear
+        self.hear_on, relay.on_note = relay.on_note, self.hear
 
     def tier(self, unit: Unit) -> int:
         """How far a unit is, 0 for the nearest tier there is."""
@@ -111,7 +111,7 @@
             if zone and seen.good and zone.looks:  # others reach it: look again soon
                 zone.looks, zone.probe_at = 0, min(zone.probe_at, now + PROBE)
         self.weigh()
-        self.tell()
+        self.send_note()
 
     def hear(self, sender: int, data: bytes) -> None:
         """A note; what is no word on zones is the judges'."""
@@ -127,7 +127,7 @@
         zone = self.zones[self.own]
         return zone.alone or zone.row_of_misses >= DOUBTFUL
 
-    def tell(self) -> None:
+    def send_note(self) -> None:
         """What was seen of late, while there is trouble, to a few relays drawn anew each time."""
         relay, now, facts = self.relay, self.relay.now, self.relay.facts
         trouble = self.alone() or any(zone.unreached or zone.back.state != UP for zone in self.zones.values())
@@ -144,9 +144,9 @@
             return
         data, others = encode(Word(self.own, trouble, self.alone(), tuple(rows))), facts["relays"] - 1
         for _ in range(min(LISTENERS, others)):
-            to = int(self.chance.share() * others)
+            to = int(self.random.share() * others)
             self.counts["told"] += 1
-            relay.host.tell(to + (to >= relay.index), data)
+            relay.host.send_note(to + (to >= relay.index), data)
 
     def weigh(self) -> None:
         """What each zone can do, who is lost and who is back, and the tiers' shares from that."""
@@ -226,7 +226,7 @@
                 and invocation.workload.effect == "harmless"
                 and (zone.tier <= self.nearest or self.may_spill(zone))
             ):  # the stated limit holds for looks
-                zone.probe_at = now + int((PROBE << min(zone.looks, SELDOM)) * (0.75 + 0.5 * self.chance.share()))
+                zone.probe_at = now + int((PROBE << min(zone.looks, SELDOM)) * (0.75 + 0.5 * self.random.share()))
                 zone.looks += 1
                 if self.next.forward(invocation, zone.rows[side]):
                     self.counts["probes"] += 1
@@ -236,7 +236,7 @@
 
     def drawn(self, invocation: Invocation) -> int:
         """The tier that it falls to by the shares; beyond the last: none may take it."""
-        luck = self.chance.share()
+        luck = self.random.share()
         for tier, part in enumerate(self.keep):
             luck -= part
             if luck < 0:
@@ -258,9 +258,15 @@
             return here
         if invocation.tier not in here:  # no earlier unit there: the next one that has some
             return [tier for tier in here if tier > invocation.tier] + [tier for tier in here if tier < invocation.tier]
-        owed = self.relay.trial.owed  # far shots of the build on trial want a baseline as far away
+        baseline_deficit = (
+            self.relay.trial.baseline_deficit
+        )  # far shots of the build on trial want a baseline as far away
         on_trial = bool(self.relay.rows[1])
-        far = [tier for tier in here if tier > self.nearest and owed[tier - self.nearest] >= 1] if on_trial else []
+        far = (
+            [tier for tier in here if tier > self.nearest and baseline_deficit[tier - self.nearest] >= 1]
+            if on_trial
+            else []
+        )
         if far and invocation.tier == self.nearest:
             self.counts["matched"] += 1
             return [far[0], self.nearest]
@@ -273,7 +279,7 @@
             parts = [self.room.get(zone.place, 0.0) * self.gives[zone.place].level for zone in fit]
             if not any(parts):
                 parts = [zone.able for zone in fit]
-            luck, first = self.chance.share() * sum(parts), fit[-1]
+            luck, first = self.random.share() * sum(parts), fit[-1]
             for zone, part in zip(fit, parts):
                 luck -= part
                 if luck < 0:
@@ -317,7 +323,7 @@
                 self.missed(zone)
             if (zone.tier > self.nearest or zone.back.state != UP or zone.unreached) and outcome != "cancelled":
                 self.learn(zone, outcome, late)
-            if shot.unit.rest_until > now:  # it goes to the end of its row, as in the rows of all zones
+            if shot.unit.ejected_until > now:  # it goes to the end of its row, as in the rows of all zones
                 for row in zone.rows:
                     row.sort(key=lambda other: other is shot.unit)
         self.before.backward(shot, outcome, latency)
@@ -329,10 +335,10 @@
             zone.unreached = zone.alone = True
             zone.back.lost(self.relay.now)
             self.weigh()
-            self.tell()
+            self.send_note()
         elif zone.row_of_misses == DOUBTFUL and zone.place == self.own and zone.back.state == UP:
             self.weigh()  # until it is out of reach for sure what failed there needs room elsewhere
-            self.tell()
+            self.send_note()
 
     def learn(self, zone: Zone, outcome: str, late: bool) -> None:
         if zone.tier > self.nearest:
@@ -341,5 +347,5 @@
             zone.back.saw(not late)
         if zone.unreached and outcome in ANSWERED:
             zone.unreached = False
-            zone.missed = Ring(self.zoning.span, BUCKETS)  # what was missed before says nothing now
+            zone.missed = SlidingSum(self.zoning.span, BUCKETS)  # what was missed before says nothing now
             zone.back.there(self.relay.now)
--- a/tealsail/command/serve.py
+++ b/tealsail/command/serve.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
-from ..choices.endings import AGAIN
+from ..choices.connection_lifetimes import REREAD_DELAYS_S
 from ..net.connections import cancel
 from ..net.counters import Counters
 from ..net.relay import Relay
@@ -66,9 +66,9 @@
         try:
             self.relay.reconfigure(reread(os.environ))
         except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, ConfigurationError) as problem:
-            if isinstance(problem, UnreadableConfiguration) and tries < len(AGAIN):
-                self.timer = self.reactor.callLater(AGAIN[tries], self.read, tries + 1)
-                again = f" (read again in {AGAIN[tries]} s)"
+            if isinstance(problem, UnreadableConfiguration) and tries < len(REREAD_DELAYS_S):
+                self.timer = self.reactor.callLater(REREAD_DELAYS_S[tries], self.read, tries + 1)
+                again = f" (read again in {REREAD_DELAYS_S[tries]} s)"
             self.relay.counters.add("configuration.refused")
             logger.error("configuration not taken: {}{}", " ".join(str(problem).split()), again)
 
@@ -81,7 +81,7 @@
 
     try:
         found = document.read(path)
-        found.seats(facts)  # whether it fits what the platform told
+        found.extra_stages(facts)  # whether it fits what the platform told
         return found
     except document.BadDocument as problem:
         raise ConfigurationError(f"{path}: {problem}" if path not in str(problem) else str(problem)) from None
--- a/tealsail/facade.py
+++ b/tealsail/facade.py
@@ -18,7 +18,7 @@
 PHASES = ("on trial", "going back", "released", "withdrawn")
 
 
-class Shoot(NamedTuple):
+class SendShot(NamedTuple):
     """Send it to this unit as its shot number `place`, and stop waiting after `wait`."""
 
     unit: int
@@ -36,7 +36,7 @@
     """Final answer: failed, nothing is promised."""
 
 
-Step = Shoot | Reject | Forfeit | None
+Step = SendShot | Reject | Forfeit | None
 
 
 class Outcome(NamedTuple):
@@ -48,13 +48,13 @@
     load: dict[str, float] | None = None
 
 
-class Departed(NamedTuple):
+class ClientLeft(NamedTuple):
     """The client waits no longer."""
 
     number: int
 
 
-class Listed(NamedTuple):
+class UnitEntry(NamedTuple):
     """One entry of the list of units; `state` is open, draining or gone; `started` 0 for long ago."""
 
     unit: int
@@ -70,10 +70,10 @@
     """The list of units: `kind` is changes, whole or old copy."""
 
     kind: str
-    entries: list[Listed]
+    entries: list[UnitEntry]
 
 
-class Standing(NamedTuple):
+class RolloutState(NamedTuple):
     """Where the newest build stands, and for how long already."""
 
     build: int
@@ -83,20 +83,20 @@
     age: int
 
 
-class Counted(NamedTuple):
+class VoteAnswered(NamedTuple):
     """What came of the last vote: ok, moot, full, error or timeout."""
 
     answer: str
 
 
-class Heard(NamedTuple):
+class NoteReceived(NamedTuple):
     """A note from another relay."""
 
     relay: int
     data: bytes
 
 
-class Flagged(NamedTuple):
+class WrongAnswer(NamedTuple):
     """A client found an answer of this unit wrong."""
 
     unit: int
@@ -104,7 +104,7 @@
     age: int
 
 
-News = Outcome | Departed | Units | Standing | Counted | Heard | Flagged
+News = Outcome | ClientLeft | Units | RolloutState | VoteAnswered | NoteReceived | WrongAnswer
 
 
 class Vote(NamedTuple):
@@ -120,18 +120,18 @@
     data: bytes
 
 
-class CallOff(NamedTuple):
+class CancelShot(NamedTuple):
     number: int
     place: int
 
 
-class Wants(NamedTuple):
+class Actions(NamedTuple):
     """`steps`: what to do next with invocations that `pick` or `report` returned no step for (another relay was
     asked)."""
 
     votes: list[Vote]
     notes: list[Note]
-    calls_off: list[CallOff]
+    cancellations: list[CancelShot]
     lines: list[str]
     steps: list[tuple[int, Step]]
 
@@ -142,18 +142,22 @@
     invocation at hand its answer."""
 
     def __init__(
-        self, facts: dict[str, Any], seed: int, clock: Callable[[], int], seats: Iterable[Callable[[Relay], Any]] = ()
+        self,
+        facts: dict[str, Any],
+        seed: int,
+        clock: Callable[[], int],
+        extra_stages: Iterable[Callable[[Relay], Any]] = (),
     ) -> None:
         self.clock = clock
         self.step: Step = None
         self.at = 0  # the invocation that the call at hand is about
-        self.wants = Wants([], [], [], [], [])
-        self.wakes: list[tuple[int, int, int]] = []  # when, in what order, token
+        self.actions = Actions([], [], [], [], [])
+        self.wake_ups: list[tuple[int, int, int]] = []  # when, in what order, token
         self.count = self.waking = self.faults = 0
         self.workloads = {each["name"]: place for place, each in enumerate(facts.get("workloads", []))}
         self.customers = {each["name"]: place for place, each in enumerate(facts.get("customers", []))}
         self.relay = Relay(self, facts, seed, clock())
-        for seat in seats:  # stages of other choices (tealsail/choices/)
+        for seat in extra_stages:  # stages of other choices (tealsail/choices/)
             self.relay.seat(seat(self.relay))
 
     def pick(
@@ -189,38 +193,38 @@
                 return self.guarded(
                     Forfeit(), relay.on_outcome, number, place, outcome, outcome == "served", latency, load
                 )
-            case Departed(number):
+            case ClientLeft(number):
                 return self.guarded(None, relay.on_abandoned, number)
             case Units(kind, entries):
                 return self.guarded(None, relay.on_list, kind, entries)
-            case Standing(build, stage, phase, cap, age):
+            case RolloutState(build, stage, phase, cap, age):
                 return self.guarded(None, relay.on_stage, build, stage, PHASES.index(phase), cap, age)
-            case Counted(answer):
+            case VoteAnswered(answer):
                 return self.guarded(None, relay.on_vote_answer, answer)
-            case Heard(sender, data):
-                return self.guarded(None, relay.on_told, sender, data)
-            case Flagged(unit, workload, age):
-                return self.guarded(None, relay.on_flag, unit, workload, age)
+            case NoteReceived(sender, data):
+                return self.guarded(None, relay.on_note, sender, data)
+            case WrongAnswer(unit, workload, age):
+                return self.guarded(None, relay.on_wrong_answer, unit, workload, age)
 
-    def tick(self) -> Wants:
+    def tick(self) -> Actions:
         """What the module wants by itself; call it once `due` has come."""
         now = self.clock()
-        while self.wakes and self.wakes[0][0] <= now:
-            self.guarded(None, self.relay.on_wake, heapq.heappop(self.wakes)[2])
-        wants, self.wants = self.wants, Wants([], [], [], [], [])
-        return wants
+        while self.wake_ups and self.wake_ups[0][0] <= now:
+            self.guarded(None, self.relay.on_wake, heapq.heappop(self.wake_ups)[2])
+        actions, self.actions = self.actions, Actions([], [], [], [], [])
+        return actions
 
     @property
     def due(self) -> int:
         """When to tick next: at once if something waits to be fetched."""
-        return self.clock() if any(self.wants) else self.wakes[0][0] if self.wakes else 1 << 62
+        return self.clock() if any(self.actions) else self.wake_ups[0][0] if self.wake_ups else 1 << 62
 
-    def stands(self, number: int, place: int) -> bool:
+    def may_still_send(self, number: int, place: int) -> bool:
         """Whether a shot that has not been written yet may still go out as picked."""
         return bool(self.guarded(None, self.asked, number, place))
 
     def asked(self, number: int, place: int) -> None:
-        self.step = Shoot(0, place, 0) if self.relay.stands(number, place) else None
+        self.step = SendShot(0, place, 0) if self.relay.may_still_send(number, place) else None
 
     def guarded(self, failed: Step, call: Callable[..., None], *what: Any) -> Step:
         self.step, self.relay.now = None, self.clock()
@@ -244,14 +248,14 @@
         if invocation == self.at:
             self.step = step
         else:
-            self.wants.steps.append((invocation, step))
+            self.actions.steps.append((invocation, step))
 
     # what the module asks of its host
     def send(self, invocation: int, unit: int, wait: int) -> None:
-        self.next(invocation, Shoot(unit, len(self.relay.known[invocation].shots) - 1, wait))
+        self.next(invocation, SendShot(unit, len(self.relay.known[invocation].shots) - 1, wait))
 
     def cancel(self, invocation: int, shot: int) -> None:
-        self.wants.calls_off.append(CallOff(invocation, shot))
+        self.actions.cancellations.append(CancelShot(invocation, shot))
 
     def reject(self, invocation: int, come_back: int) -> None:
         self.next(invocation, Reject(come_back))
@@ -260,14 +264,14 @@
         self.next(invocation, Forfeit())
 
     def vote(self, build: int, stage: int, verdict: int) -> None:
-        self.wants.votes.append(Vote(build, stage, VERDICTS[verdict]))
+        self.actions.votes.append(Vote(build, stage, VERDICTS[verdict]))
 
-    def tell(self, relay: int, data: bytes) -> None:
-        self.wants.notes.append(Note(relay, data))
+    def send_note(self, relay: int, data: bytes) -> None:
+        self.actions.notes.append(Note(relay, data))
 
     def wake(self, at: int, token: int) -> None:
         self.waking += 1
-        heapq.heappush(self.wakes, (at, self.waking, token))
+        heapq.heappush(self.wake_ups, (at, self.waking, token))
 
     def log(self, text: str) -> None:
-        self.wants.lines.append(text)
+        self.actions.lines.append(text)
--- a/tealsail/host.py
+++ b/tealsail/host.py
@@ -24,7 +24,7 @@
     def vote(self, build: int, stage: int, verdict: int) -> None:
         """Cast this relay's one vote: 1 on, 2 hold, 3 back, 0 none."""
 
-    def tell(self, relay: int, data: bytes) -> None:
+    def send_note(self, relay: int, data: bytes) -> None:
         """Send at most 256 bytes to another relay; they may be lost."""
 
     def wake(self, at: int, token: int) -> None:
--- a/tealsail/lab/baselines.py
+++ b/tealsail/lab/baselines.py
@@ -14,11 +14,11 @@
 
 import numpy
 
-from ..parts import Chance, mix
-from ..record.lines import Done, Head, Ran
+from ..parts import RandomGenerator, stable_hash
+from ..record.lines import Head, ShotAnswered, ShotStarted
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
-from ..world.unit import NEVER, Asked, Unit
+from ..world.unit import NEVER, IncomingShot, Unit
 from .bars import Bar, bars
 from .fits import drawn
 from .runs import day_seed, play
@@ -34,7 +34,7 @@
     """Each by its name; what a relay knows by itself is what it has out at each unit (`own`)."""
 
     def __init__(self, units: Sequence[Unit], relays: int, seed: int) -> None:
-        self.units, self.chance = units, Chance(mix(seed, 17))
+        self.units, self.chance = units, RandomGenerator(stable_hash(seed, 17))
         self.own = [Counter() for _ in range(relays)]
         self.turn = [int(self.chance.share() * len(units)) for _ in range(relays)]
         self.subsets = [self.some(FEW) for _ in range(relays)]
@@ -90,15 +90,15 @@
             arrival, now = clients.next(), due
             unit = choose(arrival.relay)
             choosers.own[arrival.relay][unit.name] += 1
-            unit.take(now, Asked(arrival, arrival.first, arrival.workload))
+            unit.take(now, IncomingShot(arrival, arrival.first, arrival.workload))
         else:
             break
         for asked, work in unit.taken:
-            evenness(Ran(now, asked.relay, asked.number, 0, unit.name, work))
+            evenness(ShotStarted(now, asked.relay, asked.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for asked, outcome in said:
-            evenness(Done(now, asked.relay, asked.number, 0, unit.name, outcome))
+        outcomes, unit.outcomes = unit.outcomes, []
+        for asked, outcome in outcomes:
+            evenness(ShotAnswered(now, asked.relay, asked.number, 0, unit.name, outcome))
             choosers.own[asked.relay][unit.name] -= 1
             if outcome == "served":
                 served.append(now - asked.at + 2 * way)
--- a/tealsail/lab/capacity/alone.py
+++ b/tealsail/lab/capacity/alone.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from ... import notes
-from ...choices.switch import Switch
-from ...facade import Facade, Heard, Listed, Outcome, Reject, Shoot, Standing, Units
-from ...parts import mix
-from ...settings import facts, nested
+from ...choices.live_settings import LiveSettings
+from ...facade import Facade, NoteReceived, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
+from ...parts import stable_hash
+from ...settings import facts, nested_leaves
 from .events import BUILD, EARLIER, PAGE, Setup, judges, of_request, plain, settings, told, trackers
 from .points import Axis, Column, Cost, Found, Name, Point, Side
 
@@ -32,10 +32,10 @@
         return int(file.read().split()[1]) * PAGE / 1e6
 
 
-def listed(units: int) -> list[Listed]:
+def listed(units: int) -> list[UnitEntry]:
     """The same list as on sockets, as the facade has it."""
     builds = (EARLIER if place % 10 else BUILD for place in range(units))
-    return [Listed(mix(place) >> 8, build, "open", 0, 0, 1.0, 0) for place, build in enumerate(builds)]
+    return [UnitEntry(stable_hash(place) >> 8, build, "open", 0, 0, 1.0, 0) for place, build in enumerate(builds)]
 
 
 class Alone:
@@ -43,10 +43,10 @@
 
     def __init__(self, setup: Setup) -> None:
         self.setup, self.now = setup, 100 * SECOND
-        self.known = facts(nested(settings(setup)))
+        self.known = facts(nested_leaves(settings(setup)))
         self.facade = Facade(self.known, 7, lambda: self.now)
-        self.switch = Switch(self.facade.relay, self.known)
-        self.facade.report(Standing(BUILD, 0, "on trial", 0.5, 60 * SECOND))
+        self.switch = LiveSettings(self.facade.relay, self.known)
+        self.facade.report(RolloutState(BUILD, 0, "on trial", 0.5, 60 * SECOND))
         self.list = listed(setup.units)
         self.facade.report(Units("whole", self.list))
         self.sent = 0
@@ -60,7 +60,7 @@
         self.facade.report(Units("whole", self.list))
 
     def reload(self, number: int = 0) -> None:
-        self.switch.change(facts(nested(settings(self.setup, 110 + number % 2))))
+        self.switch.change(facts(nested_leaves(settings(self.setup, 110 + number % 2))))
 
     def beat(self, number: int = 0) -> None:
         self.now += BEAT
@@ -73,17 +73,19 @@
         name = f"t{self.sent * 7919 % self.setup.tenants}"
         number, step = self.facade.pick(f"w{self.sent % self.setup.classes}", name, "k", self.now + WAITS)
         if step is None:
-            self.facade.report(Heard(self.facade.relay.guide.keeper(), notes.answer_note(number, 0)))
+            self.facade.report(
+                NoteReceived(self.facade.relay.load_tracking.tracker_index(), notes.answer_note(number, 0))
+            )
             steps = [each for at, each in self.facade.tick().steps if at == number]
             step = steps[0] if steps else None
-        if isinstance(step, Reject) or not isinstance(step, Shoot):
+        if isinstance(step, Reject) or not isinstance(step, SendShot):
             raise ValueError(f"a request got {step}")
         self.now += ROUND_TRIP
         self.facade.report(Outcome(number, step.place, "served"))
         self.facade.tick()
 
     def hear(self, sender: int, data: bytes) -> None:
-        self.facade.report(Heard(sender, data))
+        self.facade.report(NoteReceived(sender, data))
 
 
 def took(act: Callable[[int], Any], many: int) -> list[float]:
--- a/tealsail/lab/capacity/events.py
+++ b/tealsail/lab/capacity/events.py
@@ -6,7 +6,7 @@
 
 from ... import notes
 from ...facade import Facade
-from ...settings import facts, nested
+from ...settings import facts, nested_leaves
 from .points import Axis
 
 PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
@@ -83,7 +83,7 @@
 
 def order(relays: int) -> Any:
     """The decisions of some relay of that fleet, for who judges and who tracks load."""
-    relay = Facade(facts(nested(settings(Setup(relays=relays)))), 0, lambda: 0).relay
+    relay = Facade(facts(nested_leaves(settings(Setup(relays=relays)))), 0, lambda: 0).relay
     relay.on_stage(BUILD, 0, 0, 0.5, 0)
     return relay
 
@@ -93,13 +93,13 @@
 
 
 def trackers(relays: int) -> list[int]:
-    return order(relays).guide.order
+    return order(relays).load_tracking.order
 
 
 def plain(relays: int) -> int:
     """The last in the judges' order that is no tracker."""
     relay = order(relays)
-    return next(number for number in reversed(relay.judge.order) if number not in relay.guide.order)
+    return next(number for number in reversed(relay.judge.order) if number not in relay.load_tracking.order)
 
 
 def told(sender: int, count: int, classes: int) -> list[bytes]:
@@ -114,4 +114,4 @@
     unit = units[request * 7919 % len(units)]
     if place == 1:
         return notes.ask_note(request, [units[(request * 7919 + 13 * each) % len(units)] for each in range(8)])
-    return notes.state_note(number, unit, int(place == 0), 16 * (place == 2))
+    return notes.load_note(number, unit, int(place == 0), 16 * (place == 2))
--- a/tealsail/lab/capacity/incidents.py
+++ b/tealsail/lab/capacity/incidents.py
@@ -2,15 +2,15 @@
 
 from typing import NamedTuple
 
-from ...policy import ABSENT, FRESH, SECOND, Choice
+from ...policy import DEFAULTS, JUDGE_TIMEOUT, SECOND, UnitChoice
 from .points import Axis, Cost, Name, Side
 from .roles import Extent, extent
 from .sizing import DAY, MINUTE, Plan
 from .slopes import Slopes
 
-WARM_UP = ABSENT["warm_up"] / SECOND  # seconds, where the platform's settings say nothing
-REST = Choice.LONGEST_REST / SECOND  # seconds until a unit that failed is tried again, at the most
-SILENT = FRESH / SECOND  # seconds until a silent judge's next in line takes over
+WARM_UP = DEFAULTS["warm_up"] / SECOND  # seconds, where the platform's settings say nothing
+REST = UnitChoice.MAX_EJECTION_TIME / SECOND  # seconds until a unit that failed is tried again, at the most
+SILENT = JUDGE_TIMEOUT / SECOND  # seconds until a silent judge's next in line takes over
 HOUR = 3600  # seconds
 
 
--- a/tealsail/lab/capacity/rig.py
+++ b/tealsail/lab/capacity/rig.py
@@ -96,7 +96,9 @@
     async def begin(self) -> None:
         """The relay serves, has its list and its connections."""
         decisions = order(self.setup.relays)
-        listening = [*decisions.guide.order, *decisions.judge.order[:LISTENING_JUDGES]] if self.setup.may_tell else []
+        listening = (
+            [*decisions.load_tracking.order, *decisions.judge.order[:LISTENING_JUDGES]] if self.setup.may_tell else []
+        )
         for number in listening:
             if number != self.setup.index:
                 self.peers.open(number)
--- a/tealsail/lab/capacity/roles.py
+++ b/tealsail/lab/capacity/roles.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ...policy import CROWD, THINNEST
+from ...policy import MAX_EXTRA_TURNS, RELAYS_PER_TURN
 from .points import Axis, Column, Cost, Name, Side
 from .slopes import Slope, Slopes
 
@@ -205,7 +205,7 @@
 
 def tellings(relays: int) -> float:
     """Messages of counts that a judge is sent in a second: all cells of each relay, in turns (Judge.tell)."""
-    turns = 1 + min(THINNEST, relays // CROWD)
+    turns = 1 + min(MAX_EXTRA_TURNS, relays // RELAYS_PER_TURN)
     return MESSAGES_OF_COUNTS * (relays - 1) / turns
 
 
--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ...choices.flood import SHOTS
-from ...notes import LOW
+from ...choices.rate_limits import SHOT_MESSAGE_LIMITS
+from ...notes import UINT16_MAX
 from .causes import Place
 from .points import Axis, Cost, Name, Side
 from .roles import MESSAGES_OF_A_REQUEST, Extent, FleetSize, Role, RoleCost, extent, foretell, more, tellings
@@ -124,7 +124,7 @@
 
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.switch", "Switch.change")
+SWITCH = Place("choices.live_settings", "Switch.change")
 ASKING = Place("policy", "Guide.keeps")
 TELLING = Place("policy", "Guide.tell")
 HEARING = Place("policy", "Guide.hear")
@@ -135,7 +135,7 @@
 NEWS = Place("net.platform", "Platform.on_message")
 WATCHING = Place("net.discovery", "Discovery.on_reply")
 RELOADS = Place("command.serve", "Reloads.read")
-SHEDDING = Place("choices.flood", "Flood.allows")
+SHEDDING = Place("choices.rate_limits", "Flood.allows")
 ARRANGING = Place("policy", "Relay.arrange")
 JUDGES_TOLD = Place("policy", "Judge.tell")
 STARTING = Place("net.relay", "Relay.start")
@@ -279,8 +279,10 @@
     """What one load tracker cannot do, whatever its processor."""
     fleet = plan.fleet
     messages = MESSAGES_OF_A_REQUEST * fleet.requests_per_second
-    yield Need(Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOTS.all), "three a request", SHEDDING)
-    marks = LOW + 1
+    yield Need(
+        Role.TRACKER, "messages taken", messages, 0.0, "/s", float(SHOT_MESSAGE_LIMITS.all), "three a request", SHEDDING
+    )
+    marks = UINT16_MAX + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
     where = Place("notes", "state_note")
--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -7,7 +7,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from ..facade import Facade, Listed, Outcome, Reject, Shoot, Standing, Units
+from ..facade import Facade, Outcome, Reject, RolloutState, SendShot, UnitEntry, Units
 from .scenario import Scenario, convert
 from .virtual import Model
 
@@ -73,18 +73,18 @@
     """Microseconds of CPU for a pick and its outcome, of one relay of the scenario, all served after BESIDE more."""
     now = 100_000
     facts = one.facts(0)
-    facade = Facade(facts, 1, lambda: now, one.operators().seats(facts))
-    facade.report(Standing(one.build, 0, "released", 1.0, 1_000_000))
+    facade = Facade(facts, 1, lambda: now, one.operators().extra_stages(facts))
+    facade.report(RolloutState(one.build, 0, "released", 1.0, 1_000_000))
     zones = len(one.fleet.zones)
     facade.report(
-        Units("whole", [Listed(unit, one.build, "open", unit % zones, 0, 1.0, 0) for unit in range(one.fleet.units)])
+        Units("whole", [UnitEntry(unit, one.build, "open", unit % zones, 0, 1.0, 0) for unit in range(one.fleet.units)])
     )
     waiting: deque[Outcome] = deque()
     before = time.process_time()
     for place in range(picks):
         now += 5
         number, step = facade.pick(one.workload[0].name, "", f"key-{place % 500}", now + 20_000)
-        if type(step) is Shoot:
+        if type(step) is SendShot:
             waiting.append(Outcome(number, step.place, "served"))
         elif type(step) is Reject:
             raise ValueError(f"{one.name}: rejected, which is no usual decision")
--- a/tealsail/lab/digest_days.py
+++ b/tealsail/lab/digest_days.py
@@ -15,11 +15,11 @@
 import numpy
 
 from ..choices.load_digests import LoadDigests
-from ..parts import Chance, mix
-from ..record.lines import Done, Head, Ran
+from ..parts import RandomGenerator, stable_hash
+from ..record.lines import Head, ShotAnswered, ShotStarted
 from ..world.evenness import Evenness
 from ..world.fleet import Fleet
-from ..world.unit import NEVER, Asked, Unit
+from ..world.unit import NEVER, IncomingShot, Unit
 from .bars import Bar, Difference, bars, differences
 from .runs import day_seed
 from .scenario import Scenario
@@ -74,12 +74,18 @@
     """One relay: its own order of units, what it knows, and its digest machine if it has one."""
 
     def __init__(self, number: int, units: Sequence[Unit], seed: int, relays: int, has_digests: bool) -> None:
-        self.number, self.chance = number, Chance(mix(seed, number, 23))
-        self.order = sorted(units, key=lambda unit: mix(number, unit.mark)) if len(units) < 1_000 else self.some(units)
+        self.number, self.chance = number, RandomGenerator(stable_hash(seed, number, 23))
+        self.order = (
+            sorted(units, key=lambda unit: stable_hash(number, unit.identity))
+            if len(units) < 1_000
+            else self.some(units)
+        )
         self.known: dict[str, Known] = {}
         self.few = float(FEW)
         self.usual = 0.0  # ms that an answer takes
-        self.digests = LoadDigests(number, relays, 0, Chance(mix(seed, number, 29))) if has_digests else None
+        self.digests = (
+            LoadDigests(number, relays, 0, RandomGenerator(stable_hash(seed, number, 29))) if has_digests else None
+        )
         self.bytes = 0
 
     def some(self, units: Sequence[Unit]) -> list[Unit]:
@@ -115,7 +121,7 @@
     def sent(self, unit: Unit, now: int) -> None:
         self.of(unit).out += 1
         if self.digests:
-            self.digests.sent(unit.mark, now)
+            self.digests.sent(unit.identity, now)
 
     def ended(self, unit: Unit, now: int, latency: int) -> None:
         known = self.of(unit)
@@ -123,7 +129,7 @@
         self.usual += 0.05 * (latency - self.usual) if self.usual else latency
         known.pace += 0.1 * (min(8.0, latency / self.usual) - known.pace)
         if self.digests:
-            self.digests.ended(unit.mark, now)
+            self.digests.ended(unit.identity, now)
 
 
 class Tracker:
@@ -132,7 +138,7 @@
     def __init__(self) -> None:
         self.out: Counter[str] = Counter()
 
-    def least(self, units: Sequence[Unit], chance: Chance) -> Unit:
+    def least(self, units: Sequence[Unit], chance: RandomGenerator) -> Unit:
         lowest = min(self.out[unit.name] for unit in units)
         return chance.pick([unit for unit in units if self.out[unit.name] == lowest])
 
@@ -145,7 +151,7 @@
         self.scenario, self.name, self.trouble = scenario, name, trouble
         self.fleet = Fleet(parts.layout, parts.kind, parts.builds, parts.works, parts.base, seed)
         self.units = list(self.fleet.units.values())
-        self.way, self.chance = parts.paths.near, Chance(mix(seed, 31))
+        self.way, self.chance = parts.paths.near, RandomGenerator(stable_hash(seed, 31))
         least, most = scenario.network.notes_ms
         self.note_least, self.note_span = int(least * 10), int((most - least) * 10)
         count = scenario.fleet.relays
@@ -180,7 +186,7 @@
 
     def cost(self, relay: RelayStandIn, unit: Unit) -> float:
         known = relay.of(unit)
-        return (known.out + relay.digests.others(unit.mark, self.now) + self.chance.share()) * known.pace
+        return (known.out + relay.digests.others(unit.identity, self.now) + self.chance.share()) * known.pace
 
     # time
     def later(self, at: int, call: Callable[..., None], *what: Any) -> None:
@@ -236,7 +242,7 @@
 
     def attempt(self, relay: RelayStandIn, arrival: Any, unit: Unit) -> None:
         relay.sent(unit, self.now)
-        unit.take(self.now, Asked((arrival, self.now), arrival.first, arrival.workload))
+        unit.take(self.now, IncomingShot((arrival, self.now), arrival.first, arrival.workload))
         self.after(unit)
 
     def wake(self, unit: Unit, at: int) -> None:
@@ -247,11 +253,11 @@
 
     def after(self, unit: Unit) -> None:
         for (arrival, _), work in unit.taken:
-            self.evenness(Ran(self.now, arrival.relay, arrival.number, 0, unit.name, work))
+            self.evenness(ShotStarted(self.now, arrival.relay, arrival.number, 0, unit.name, work))
         unit.taken.clear()
-        said, unit.said = unit.said, []
-        for (arrival, sent), outcome in said:
-            self.evenness(Done(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
+        outcomes, unit.outcomes = unit.outcomes, []
+        for (arrival, sent), outcome in outcomes:
+            self.evenness(ShotAnswered(self.now, arrival.relay, arrival.number, 0, unit.name, outcome))
             relay = self.relays[arrival.relay]
             relay.ended(unit, self.now, self.now - sent)
             began = self.began.pop((arrival.relay, arrival.number))
--- a/tealsail/lab/figures.py
+++ b/tealsail/lab/figures.py
@@ -5,7 +5,21 @@
 import msgspec
 import numpy
 
-from ..record.lines import Any_Line, Came, End, Fault, Head, Line, Log, Ran, Shot, Stage, Take, Unit, Vote
+from ..record.lines import (
+    AnyLine,
+    Fault,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    StageChanged,
+    Unit,
+    Vote,
+)
 
 SECOND = 10_000
 FORGET = 12 * SECOND  # after its abandon time a first try is counted as it stands
@@ -38,7 +52,7 @@
 
     __slots__ = ("take", "touched", "answer")
 
-    def __init__(self, take: Take) -> None:
+    def __init__(self, take: InvocationTaken) -> None:
         self.take, self.touched, self.answer = take, False, ""
 
 
@@ -119,21 +133,21 @@
     def __call__(self, line: Line) -> None:
         kind = type(line)
         self.last = line.at
-        if kind is Take:
+        if kind is InvocationTaken:
             self.take(line)
-        elif kind is Shot:
+        elif kind is ShotSent:
             self.shot(line)
-        elif kind is End:
+        elif kind is InvocationEnded:
             self.end(line)
-        elif kind is Ran:
+        elif kind is ShotStarted:
             pass
         elif kind is Unit:
             self.zone_of[line.unit] = line.zone
-        elif kind is Came:
+        elif kind is ShotEnded:
             row = self.at_unit.pop((line.relay, line.number, line.place), None)
             if row:
                 row[2 if line.outcome == "served" else 3 if line.outcome == "error" else 4] += 1
-        elif kind is Stage:
+        elif kind is StageChanged:
             self.stage(line)
         elif kind is Head:
             self.begin(line)
@@ -150,7 +164,7 @@
         self.pairs: dict[tuple[str, str], array] = {}  # shots by second, from a zone to a zone
         self.zone_of: dict[str, str] = {}
 
-    def take(self, line: Take) -> None:
+    def take(self, line: InvocationTaken) -> None:
         number = line.first if line.first >= 0 else line.number  # a relay does not know whose repeat it took
         if number not in self.open:
             self.open[number] = First(line)
@@ -158,7 +172,7 @@
         if line.at > self.swept + FORGET:
             self.sweep(line.at)
 
-    def shot(self, line: Shot) -> None:
+    def shot(self, line: ShotSent) -> None:
         self.shots += 1
         row = self.sent.get(line.unit)
         if row is None or row[0] != line.build:  # a name may come back with another build: its last one is told
@@ -175,7 +189,7 @@
             if first:
                 first.touched = True
 
-    def end(self, line: End) -> None:
+    def end(self, line: InvocationEnded) -> None:
         number = self.tries.pop((line.relay, line.number), None)
         first = self.open.get(number) if number is not None else None
         if first is None:
@@ -222,7 +236,7 @@
         if first.touched and not kept:
             self.harmed += payoff
 
-    def stage(self, line: Stage) -> None:
+    def stage(self, line: StageChanged) -> None:
         self.note(line)
         if line.phase == "on trial":
             self.on_trial = line.build
@@ -233,10 +247,10 @@
         elif line.phase == "going back":
             self.back.setdefault(line.build, line.at)
 
-    def note(self, line: Any_Line) -> None:
+    def note(self, line: AnyLine) -> None:
         if len(self.notes) < 200:
             match line:
-                case Stage(at, build, stage, phase, cap):
+                case StageChanged(at, build, stage, phase, cap):
                     self.notes.append(f"{at / SECOND:7.2f}s build {build} stage {stage} {phase}, cap {cap:.0%}")
                 case Vote(at, relay, build, stage, verdict, _):
                     self.notes.append(
--- a/tealsail/lab/fits.py
+++ b/tealsail/lab/fits.py
@@ -20,8 +20,18 @@
 import numpy
 
 from ..record.files import read
-from ..record.lines import Came, Done, End, Head, Ran, Shot, Take, Told, Unit
-from ..world.draws import POINTS
+from ..record.lines import (
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    Unit,
+)
+from ..world.random_draws import QUANTILE_STEPS
 from .scenario import BadScenario, Scenario, convert, over
 
 FEW, ENOUGH = 200, 400  # shots: fewer are said to be few; from so many quantiles count
@@ -99,26 +109,26 @@
             case Unit(at, unit, build, _, "runs"):
                 self.warm_from[unit], self.builds[unit] = (at + self.warm_up if at else 0), build
                 self.at_unit[unit] = 0
-            case Told(_, _, unit, build, "open", started) if not self.own:
+            case EntryReceived(_, _, unit, build, "open", started) if not self.own:
                 self.warm_from[unit], self.builds[unit] = (started + self.warm_up if started else 0), build
-            case Take(at, relay, number, intended, workload, first=first):
+            case InvocationTaken(at, relay, number, intended, workload, first=first):
                 self.workload[relay, number] = workload, intended if first == number else at
-            case Shot(at, relay, number, place, unit, build) if not self.own:
+            case ShotSent(at, relay, number, place, unit, build) if not self.own:
                 self.began((relay, number, place), at, unit, build)
-            case Ran(at, relay, number, place, unit):
+            case ShotStarted(at, relay, number, place, unit):
                 if not self.own:  # what relays sent before does not count in the units' own lines
                     self.own, self.out, self.at_unit = True, {}, {}
                 self.began((relay, number, place), at, unit, self.builds.get(unit, 0))
                 taken = self.workload.get((relay, number))
                 if taken and place == 0:
                     self.there.append(at - taken[1])
-            case Done(at, relay, number, place, _, outcome):
+            case ShotAnswered(at, relay, number, place, _, outcome):
                 self.ended((relay, number, place), at, outcome)
                 self.given[relay, number] = at
-            case Came(at, relay, number, place, outcome):
+            case ShotEnded(at, relay, number, place, outcome):
                 if not self.own or (relay, number, place) in self.out:
                     self.ended((relay, number, place), at, outcome)
-            case End(at, relay, number, answer):
+            case InvocationEnded(at, relay, number, answer):
                 self.workload.pop((relay, number), None)
                 given = self.given.pop((relay, number), None)
                 if given is not None and answer in ("served", "wrong"):
@@ -168,7 +178,7 @@
     from statistics import NormalDist
 
     normal = NormalDist(centre, max(spread, 1e-6))
-    edge = 0.25 / POINTS
+    edge = 0.25 / QUANTILE_STEPS
     return [round(exp(normal.inv_cdf(min(max(float(part), edge), 1 - edge))) / 10, 4) for part in parts]
 
 
--- a/tealsail/lab/hunt.py
+++ b/tealsail/lab/hunt.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from .runs import play
 from .scenario import Scenario, convert
 
@@ -30,7 +30,7 @@
     before: int  # lines that it had at first
 
 
-def relays(chance: Chance, day: Scenario) -> str:
+def relays(chance: RandomGenerator, day: Scenario) -> str:
     """Some of them, in the script's words."""
     zones = day.fleet.zones
     scope = f" of zone {pick(chance, zones)}" if len(zones) > 1 and chance.share() < 0.4 else ""
@@ -45,15 +45,15 @@
     )()
 
 
-def pick(chance: Chance, items: Sequence[Any]) -> Any:
+def pick(chance: RandomGenerator, items: Sequence[Any]) -> Any:
     return items[int(chance.share() * len(items))]
 
 
-def percent(chance: Chance, least: int, most: int) -> str:
+def percent(chance: RandomGenerator, least: int, most: int) -> str:
     return f"{least + int(chance.share() * (most - least))}%"
 
 
-def line(chance: Chance, day: Scenario) -> str:
+def line(chance: RandomGenerator, day: Scenario) -> str:
     """One sentence."""
     at = round(0.5 + chance.share() * (LAST * day.seconds - 0.5), 1)
     span = round(0.5 + chance.share() * min(8.0, 0.3 * day.seconds), 1)
@@ -84,7 +84,7 @@
 
 
 def schedule(day: Scenario, seed: int) -> list[str]:
-    chance = Chance(mix(day.seed, seed, 13))
+    chance = RandomGenerator(stable_hash(day.seed, seed, 13))
     return [line(chance, day) for _ in range(FEWEST + int(chance.share() * (MOST - FEWEST + 1)))]
 
 
--- a/tealsail/lab/imports.py
+++ b/tealsail/lab/imports.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..record.files import Writer
-from ..record.lines import VERSION, Head, Take
+from ..record.lines import VERSION, Head, InvocationTaken
 
 COLUMNS = ("at_ms", "workload", "customer", "key")
 MOST_NAMES = 10_000  # different workloads or customers
@@ -105,7 +105,9 @@
         gap, at, last = max(gap, passed), at + max(0, passed), row.at
         count += 1
         writer(
-            Take(at, 0, count, at, workloads[row.workload], customers[row.customer], row.key, at + 3 * SECOND, count)
+            InvocationTaken(
+                at, 0, count, at, workloads[row.workload], customers[row.customer], row.key, at + 3 * SECOND, count
+            )
         )
     writer.close()
     return Imported(count, at, problems.count, problems[0] if problems else "", steps_back, gap)
--- a/tealsail/lab/judging.py
+++ b/tealsail/lab/judging.py
@@ -10,11 +10,11 @@
 
 import numpy
 
-from ..choices.flood import Flood, limits
-from ..facade import Facade, Heard, Listed, Standing, Units
+from ..choices.rate_limits import RateLimiter, count_message_limits
+from ..facade import Facade, NoteReceived, RolloutState, UnitEntry, Units
 from ..notes import count_notes
-from ..parts import mix
-from ..policy import CROWD, GROUPS, JUDGES, ROW, THINNEST
+from ..parts import stable_hash
+from ..policy import CELLS_PER_WORKLOAD, GROUPS, JUDGES, MAX_EXTRA_TURNS, RELAYS_PER_TURN
 from .costs import scenario
 
 FLEETS = (50, 500, 1_000, 2_500, 10_000)
@@ -43,7 +43,7 @@
     def __init__(self, relays: int, rate: float, errors: float, seed: int) -> None:
         self.chance = numpy.random.default_rng(seed)
         self.rate, self.errors = rate, errors
-        self.counts = numpy.zeros((relays, len(GROUPS) * ROW), dtype=numpy.int64)
+        self.counts = numpy.zeros((relays, len(GROUPS) * CELLS_PER_WORKLOAD), dtype=numpy.int64)
         self.told = numpy.zeros_like(self.counts)
 
     def work(self, seconds: float) -> None:
@@ -51,7 +51,7 @@
         for group, errors in ((0, self.errors), (1, 0.003)):
             many = self.chance.poisson(self.rate * seconds, len(self.counts))
             failed = self.chance.binomial(many, errors)
-            first = group * ROW
+            first = group * CELLS_PER_WORKLOAD
             self.counts[:, first + SERVED] += many - failed
             self.counts[:, first + FAILED] += failed
             self.counts[:, first + BUCKET] += many - failed
@@ -60,11 +60,19 @@
         """What a relay tells at that beat, as the module has it (tealsail/policy.py, Judge.tell).  Not `matched`: as
         it was, when only failures of the canary were told each half second; not `rows`: as it was, cell by cell."""
         counts, told = self.counts[relay], self.told[relay]
-        pressing = counts[FAILED] > told[FAILED] or matched and counts[ROW + FAILED] > told[ROW + FAILED]
+        pressing = (
+            counts[FAILED] > told[FAILED]
+            or matched
+            and counts[CELLS_PER_WORKLOAD + FAILED] > told[CELLS_PER_WORKLOAD + FAILED]
+        )
         if not ((beat // 2 + relay) % thin == 0 and (beat % 2 or pressing)):
             return []
         whole = (beat // 2 + relay) % 4 == 0
-        changed = numpy.repeat((counts != told).reshape(-1, ROW).any(axis=1), ROW) if rows else counts != told
+        changed = (
+            numpy.repeat((counts != told).reshape(-1, CELLS_PER_WORKLOAD).any(axis=1), CELLS_PER_WORKLOAD)
+            if rows
+            else counts != told
+        )
         cells = [(int(cell), int(counts[cell])) for cell in numpy.flatnonzero(counts * (changed | whole))]
         self.told[relay] = counts
         return count_notes(2, START, cells, len(counts)) if cells else []
@@ -72,7 +80,7 @@
 
 def judge_of(relays: int) -> int:
     """The first in the order that is drawn for build 2."""
-    return max(range(relays), key=lambda at: mix(2, at))
+    return max(range(relays), key=lambda at: stable_hash(2, at))
 
 
 def heard(
@@ -106,12 +114,12 @@
     def started() -> Facade:
         """As a relay starts: from the list and where the build stands."""
         facade = Facade(facts, seed, lambda: now)
-        facade.report(Standing(2, 0, "released" if lasting else "on trial", 1.0 if lasting else 0.2, now - START))
+        facade.report(RolloutState(2, 0, "released" if lasting else "on trial", 1.0 if lasting else 0.2, now - START))
         facade.report(
             Units(
                 "whole",
                 [
-                    Listed(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * TENTHS)
+                    UnitEntry(unit, 2 if unit < ON_TRIAL_UNITS else 1, "open", 0, 0, 1.0, START - 20 * TENTHS)
                     for unit in range(UNITS)
                 ],
             )
@@ -119,8 +127,11 @@
         return facade
 
     facade, anew = started(), False
-    fleet, flood = Fleet(relays, rate, errors, seed), Flood(limits(len(facade.relay.judge.pooled.sums)))
-    thin = 1 + min(THINNEST, relays // CROWD) if thinned else 1
+    fleet, flood = (
+        Fleet(relays, rate, errors, seed),
+        RateLimiter(count_message_limits(len(facade.relay.judge.pooled.sums))),
+    )
+    thin = 1 + min(MAX_EXTRA_TURNS, relays // RELAYS_PER_TURN) if thinned else 1
     senders = [relay for relay in range(relays) if relay != index]
     liars = senders[:mad]
     come = taken = sent = 0
@@ -135,7 +146,7 @@
             for relay in senders[mad:]
             for data in fleet.notes(
                 relay,
-                beat + (0 if together else mix(relay, 5) % 2),
+                beat + (0 if together else stable_hash(relay, 5) % 2),
                 thin,
                 matched and relay >= earlier * relays,
                 relay >= earlier * relays,
@@ -147,7 +158,7 @@
                 (relay, data)
                 for lie in range(lies // 2)
                 for data in count_notes(
-                    2, mix(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
+                    2, stable_hash(seed, beat, lie, relay) & 0xFFFFFFFF, [(FAILED, 40)], fleet.counts.shape[1]
                 )
             ]
         if not anew and now - START >= restart * TENTHS:
@@ -160,11 +171,11 @@
             relay, data = mail[place]
             if not guarded or flood.allows(relay, now):
                 taken += 1
-                facade.report(Heard(relay, data))
+                facade.report(NoteReceived(relay, data))
         spent += time.process_time() - before
         come += len(mail)
         for unit in facade.relay.units.values() if lasting else ():
-            unit.failing = max(unit.failing, 0.01)
+            unit.error_rate = max(unit.error_rate, 0.01)
         votes = [each for each in facade.tick().votes if not lasting or each.verdict == "back"]
         if votes:
             vote, vote_s = votes[0].verdict, (now - START) / TENTHS
--- a/tealsail/lab/loopback/backends.py
+++ b/tealsail/lab/loopback/backends.py
@@ -7,10 +7,10 @@
 from twisted.python.failure import Failure
 
 from ...net import messages, statements
-from ...record.lines import Came, Done, Met, Ran, Shot
-from ...world.clients import TRY
+from ...record.lines import ConnectionOpened, ShotAnswered, ShotEnded, ShotSent, ShotStarted
+from ...world.clients import NUMBERS_PER_TRY
 from ...world.network import Network
-from ...world.unit import NEVER, Asked, Unit
+from ...world.unit import NEVER, IncomingShot, Unit
 from .addresses import BACKENDS, calling_relay
 from .process_messages import BackendCrashed, BackendState, DayBegin, FinalReport, Message, NetworkState
 from .trial_setup import TrialSetup
@@ -58,7 +58,7 @@
             return self.transport.abortConnection()
         self.transport.setTcpNoDelay(True)
         self.listener.connections[self] = None
-        self.listener.record_line(Met(self.listener.now(), self.relay, self.listener.backend.name))
+        self.listener.record_line(ConnectionOpened(self.listener.now(), self.relay, self.listener.backend.name))
         if not self.is_reachable():
             self.cut_off()
 
@@ -106,8 +106,10 @@
         self.query = PendingQuery(self, number, attempt)
         backend = listener.backend
         wait = int(statement.wait * 10)  # tenths of a ms
-        listener.record_line(Shot(now, self.relay, number, attempt, backend.name, backend.build.number, wait))
-        backend.take(now, Asked(self.query, number % TRY, pool.setup.class_numbers[statement.workload]))
+        listener.record_line(ShotSent(now, self.relay, number, attempt, backend.name, backend.build.number, wait))
+        backend.take(
+            now, IncomingShot(self.query, number % NUMBERS_PER_TRY, pool.setup.class_numbers[statement.workload])
+        )
         pool.follow_up(listener)
 
     def answer(self, outcome: str, load: dict[str, float] | None) -> None:
@@ -132,7 +134,7 @@
         if query and not query.is_over:
             query.is_over = True
             listener = self.listener
-            listener.record_line(Came(listener.now(), self.relay, query.number, query.attempt, "cancelled"))
+            listener.record_line(ShotEnded(listener.now(), self.relay, query.number, query.attempt, "cancelled"))
             listener.backend.stop(listener.now(), query)
             listener.pool.follow_up(listener)
 
@@ -194,7 +196,7 @@
             case BackendState():
                 self.update(message)
             case NetworkState(plain):
-                self.network.take_over(plain)
+                self.network.restore(plain)
                 self.reset_cut_off()
                 for relay_until in sorted({until for each in (*plain[0], *plain[3]) for until in each[-1:]}):
                     if self.setup.now() < relay_until < NEVER:
@@ -203,30 +205,30 @@
     def update(self, state: BackendState) -> None:
         """Start, end or change a backend as the coordinator says."""
         listener, now = self.listeners.get(state.name), self.setup.now()
-        if listener and (state.dead or not self.is_same(listener.backend, state)):
+        if listener and (state.is_dead or not self.is_same(listener.backend, state)):
             self.remove(listener)
             listener = None
-        if state.dead:
+        if state.is_dead:
             return
         listener = listener or self.add(state)
         backend = listener.backend
-        if backend.hung != state.hung:
-            backend.hang(now, state.hung)
-        if backend.slow != state.slow:
-            backend.slow_down(now, state.slow)
+        if backend.is_hung != state.is_hung:
+            backend.hang(now, state.is_hung)
+        if backend.slowdown != state.slowdown:
+            backend.set_slowdown(now, state.slowdown)
         backend.errors = state.errors
-        if state.draining and not backend.draining:
+        if state.is_draining and not backend.is_draining:
             backend.drain(now)
         self.follow_up(listener)
 
     def is_same(self, backend: Unit, state: BackendState) -> bool:
         """Whether it is still the same process."""
-        return (backend.mark, backend.started) == (state.mark, state.started)
+        return (backend.identity, backend.started) == (state.identity, state.started)
 
     def add(self, state: BackendState) -> BackendListener:
         backend = Unit(
             state.name,
-            state.mark,
+            state.identity,
             self.builds[state.build],
             self.kind,
             state.speed,
@@ -260,27 +262,27 @@
         now = setup.now()
         taken, backend.taken = backend.taken, []
         for query, work in taken:
-            setup.record_line(Ran(now, query.connection.relay, query.number, query.attempt, backend.name, work))
-        said, backend.said = backend.said, []
-        for query, outcome in said:
+            setup.record_line(ShotStarted(now, query.connection.relay, query.number, query.attempt, backend.name, work))
+        outcomes, backend.outcomes = backend.outcomes, []
+        for query, outcome in outcomes:
             if not query.is_over:
                 self.answer(now, backend, query, outcome)
-        if backend.fell and not backend.told_fallen:
-            backend.told_fallen = True
+        if backend.crashed and not backend.crash_reported:
+            backend.crash_reported = True
             setup.send(BackendCrashed(backend.name))
         self.schedule(listener)
 
     def answer(self, now: int, backend: Unit, query: PendingQuery, outcome: str) -> None:
         query.is_over = True
         relay, seen = query.connection.relay, "served" if outcome == "wrong" else outcome
-        self.setup.record_line(Done(now, relay, query.number, query.attempt, backend.name, outcome))
-        self.setup.record_line(Came(now, relay, query.number, query.attempt, seen))
+        self.setup.record_line(ShotAnswered(now, relay, query.number, query.attempt, backend.name, outcome))
+        self.setup.record_line(ShotEnded(now, relay, query.number, query.attempt, seen))
         query.connection.answer(outcome, backend.load(now) if backend.kind.report_every else None)
 
     def schedule(self, listener: BackendListener) -> None:
         """Set the timer of the backend's next wake-up."""
         setup, due, timer = self.setup, listener.backend.due, listener.timer
-        if due < NEVER and not listener.backend.dead:
+        if due < NEVER and not listener.backend.is_dead:
             if timer and timer.active():
                 timer.reset(setup.seconds_until(due))
             else:
--- a/tealsail/lab/loopback/clients.py
+++ b/tealsail/lab/loopback/clients.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages
-from ...record.lines import End, Take
+from ...record.lines import InvocationEnded, InvocationTaken
 from ...world.clients import Arrival
 from ...world.day import Day
 from ..traffic import clients_of
@@ -46,9 +46,9 @@
     return 0
 
 
-def take_line(now: int, relay: int, arrival: Arrival) -> Take:
+def take_line(now: int, relay: int, arrival: Arrival) -> InvocationTaken:
     """The record's line of a request that is sent to a relay."""
-    return Take(
+    return InvocationTaken(
         now,
         relay,
         arrival.number,
@@ -240,7 +240,7 @@
         connection.arrival = None
         if connection.timer and connection.timer.active():
             connection.timer.cancel()
-        setup.record_line(End(setup.now(), connection.relay, arrival.number, "lost"))
+        setup.record_line(InvocationEnded(setup.now(), connection.relay, arrival.number, "lost"))
         self.resent.append((connection.relay, arrival.number))
         self.open_requests -= 1
         self.dispatch(arrival, (connection.relay - arrival.relay) % setup.relays + 1)  # not by the one that ends
@@ -250,7 +250,7 @@
 
     def record_answer(self, relay: int, arrival: Arrival, answer: str, retry_after: int) -> None:
         setup = self.setup
-        setup.record_line(End(setup.now(), relay, arrival.number, answer))
+        setup.record_line(InvocationEnded(setup.now(), relay, arrival.number, answer))
         if answer == "lost" and relay in self.ready_relays:
             self.lost_while_up.append((relay, setup.now()))
         self.open_requests -= 1
--- a/tealsail/lab/loopback/control_plane.py
+++ b/tealsail/lab/loopback/control_plane.py
@@ -12,10 +12,10 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from ...record.lines import News, Told
+from ...record.lines import EntryReceived, News
 from ...world.day import Day
-from ...world.desk import State
-from ...world.roster import Entry
+from ...world.platform import RolloutState
+from ...world.unit_list import Entry
 from .addresses import calling_relay
 from .trial_setup import TrialSetup
 
@@ -55,7 +55,7 @@
     }
 
 
-def rollout_state(setup: TrialSetup, state: State) -> dict[str, Any]:
+def rollout_state(setup: TrialSetup, state: RolloutState) -> dict[str, Any]:
     """The rollout state in JSON, as the platform sends it."""
     return {
         "Revision": state.build,
@@ -86,7 +86,9 @@
 
     def is_reachable(self) -> bool:
         """Whether the relay is not cut off from this service; once it is, the connection stays so."""
-        if not self.is_cut_off and not self.owner.day.network.has(self.owner.setup.now(), self.relay, self.service):
+        if not self.is_cut_off and not self.owner.day.network.reaches_service(
+            self.owner.setup.now(), self.relay, self.service
+        ):
             self.is_cut_off = True
             self.transport.pauseProducing()
         return not self.is_cut_off
@@ -113,7 +115,8 @@
         for connection in [
             connection
             for connection in self.connections
-            if connection.is_cut_off and self.day.network.has(self.setup.now(), connection.relay, connection.service)
+            if connection.is_cut_off
+            and self.day.network.reaches_service(self.setup.now(), connection.relay, connection.service)
         ]:
             connection.transport.abortConnection()
 
@@ -166,7 +169,7 @@
     def answer(self, version: int, whole: bool, entries: list[Entry]) -> None:
         setup, owner, relay = self.owner.setup, self.owner, self.relay
         for entry in entries:
-            setup.record_line(Told(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
+            setup.record_line(EntryReceived(setup.now(), relay, entry.name, entry.build, entry.state, entry.started))
         body = json.dumps(endpoint_list(setup, owner.port_number, relay, version, whole, entries)).encode()
         self.transport.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body) + body
@@ -194,9 +197,9 @@
     def publish(self, relay: int, version: int) -> None:
         """Let a relay know the list up to that version from now on, and answer its watch if anything has changed."""
         now, roster = self.setup.now(), self.day.roster
-        if roster.stands(now, relay) or not self.day.network.has(now, relay, "list"):
+        if roster.is_frozen(now, relay) or not self.day.network.reaches_service(now, relay, "list"):
             return  # it learns of the changes once its list moves again, or the cut is over
-        _, entries = roster.news(relay, version)
+        _, entries = roster.take_changes(relay, version)
         if entries:
             for connection in [
                 connection for connection in self.connections if connection.relay == relay and connection.watch_timer
@@ -226,7 +229,7 @@
 
     def handle_call(self, number: int, method: str, params: dict[str, Any]) -> None:
         setup, day = self.owner.setup, self.owner.day
-        if setup.now() < day.desk.silent_until:
+        if setup.now() < day.platform.silent_until:
             return
         if method == "subscribe":
             self.is_subscribed = True
@@ -236,14 +239,14 @@
             return self.send({"id": number, "error": {"code": -32602, "message": "SYNTAX"}})
         answer = self.owner.vote(self.relay, int(params["Revision"]), int(params["Wave"]), VERDICTS[params["Decision"]])
         if answer == "ok":
-            self.send({"id": number, "result": rollout_state(setup, day.desk.state)})
+            self.send({"id": number, "result": rollout_state(setup, day.platform.state)})
         elif answer != "nothing":
             self.send({"id": number, "error": {"code": -32602, "message": ERRORS[answer]}})
 
     def send_state(self) -> None:
         if not self.is_reachable():
             return
-        setup, state = self.owner.setup, self.owner.day.desk.state
+        setup, state = self.owner.setup, self.owner.day.platform.state
         setup.record_line(News(setup.now(), self.relay, state.build, state.stage, state.phase, state.cap))
         self.send({"method": "stage", "params": rollout_state(setup, state)})
 
@@ -262,7 +265,7 @@
         self.vote = vote
 
     def subscribers(self) -> list[PlatformConnection]:
-        is_silent = self.setup.now() < self.day.desk.silent_until
+        is_silent = self.setup.now() < self.day.platform.silent_until
         return [] if is_silent else [connection for connection in self.connections if connection.is_subscribed]
 
     def publish(self) -> None:
--- a/tealsail/lab/loopback/process_fleet.py
+++ b/tealsail/lab/loopback/process_fleet.py
@@ -17,8 +17,8 @@
 from twisted.python.failure import Failure
 
 from ...net import messages
-from ...record.lines import Life, Log, News, Told
-from ...world.day import Day, Order
+from ...record.lines import EntryReceived, Log, News, RelayEvent
+from ...world.day import Day, RelayCommand
 from .addresses import LIST, PLATFORM
 from .clock_offset import CLOCK_FILE
 from .control_plane import endpoint_list, rollout_state
@@ -197,11 +197,11 @@
 
     def configuration(self, relay: int) -> dict[str, Any]:
         setup, addresses = self.setup, self.setup.addresses
-        roster, state = self.day.roster, self.day.desk.state
+        roster, state = self.day.roster, self.day.platform.state
         entries = roster.whole(roster.told[relay])
         now = setup.now()
         for entry in entries:
-            setup.record_line(Told(now, relay, entry.name, entry.build, entry.state, entry.started))
+            setup.record_line(EntryReceived(now, relay, entry.name, entry.build, entry.state, entry.started))
         setup.record_line(News(now, relay, state.build, state.stage, state.phase, state.cap))
         own = addresses.relay(relay)
         return {
@@ -233,11 +233,11 @@
         """It answers; ignored if it was killed while its first answer was on the way."""
         if self.running.get(running.relay, (None,))[0] is running and running.is_wanted:
             running.is_ready = running.has_been_up = True
-            self.setup.record_line(Life(self.setup.now(), running.relay, "up"))
+            self.setup.record_line(RelayEvent(self.setup.now(), running.relay, "up"))
             self.on_change()
 
     # what the script does
-    def execute(self, order: Order) -> None:
+    def execute(self, order: RelayCommand) -> None:
         running, process = self.running.get(order.relay, (None, None))
         match order.what:
             case "down" if running:
@@ -252,7 +252,9 @@
             case "stop" | "on" if running and running.is_stopped != (order.what == "stop"):
                 running.is_stopped = order.what == "stop"
                 os.kill(process.pid, signal.SIGSTOP if running.is_stopped else signal.SIGCONT)
-                self.setup.record_line(Life(self.setup.now(), order.relay, "stopped" if running.is_stopped else "on"))
+                self.setup.record_line(
+                    RelayEvent(self.setup.now(), order.relay, "stopped" if running.is_stopped else "on")
+                )
             case "rate":
                 self.set_clock(order.relay, rate=order.amount)
             case "step":
@@ -279,7 +281,7 @@
     def record_down(self, running: RelayProcess) -> None:
         """Record that a relay is down, unless it had not come up yet."""
         if running.has_been_up:
-            self.setup.record_line(Life(self.setup.now(), running.relay, "down"))
+            self.setup.record_line(RelayEvent(self.setup.now(), running.relay, "down"))
 
     def restart(self, running: RelayProcess, process: Any) -> None:
         """A planned restart: tell the relay to end, and start it anew once it has."""
--- a/tealsail/lab/loopback/process_messages.py
+++ b/tealsail/lab/loopback/process_messages.py
@@ -36,17 +36,17 @@
 
     name: str
     number: int  # of its port
-    mark: int
+    identity: int
     build: int
     speed: float
     zone: str
     cell: int
     started: int
-    hung: bool
-    slow: float
+    is_hung: bool
+    slowdown: float
     errors: float
-    draining: bool
-    dead: bool
+    is_draining: bool
+    is_dead: bool
 
 
 class NetworkState(Message, tag="net"):
--- a/tealsail/lab/loopback/relay_messages.py
+++ b/tealsail/lab/loopback/relay_messages.py
@@ -56,7 +56,7 @@
             case DayBegin(start):
                 self.setup.begin(start)
             case NetworkState(plain):
-                self.network.take_over(plain)
+                self.network.restore(plain)
 
     # for the reactor
     def fileno(self) -> int:
--- a/tealsail/lab/loopback/trial.py
+++ b/tealsail/lab/loopback/trial.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...record.files import Writer, read
-from ...record.lines import VERSION, Close as Closed, Head, Line, Shot
+from ...record.lines import VERSION, Close as Closed, Head, Line, ShotSent
 from ...world.day import Day
 from ...world.rules import Slack
 from ..figures import Result
@@ -166,9 +166,9 @@
                     self.finish()
             case BackendCrashed(name):
                 unit = self.day.fleet.units.get(name)
-                if unit and not unit.dead:
-                    unit.fell = unit.told_fallen = True
-                    self.day.fallen(self.setup.now(), unit)
+                if unit and not unit.is_dead:
+                    unit.crashed = unit.crash_reported = True
+                    self.day.record_crash(self.setup.now(), unit)
                     self.apply_changes()
             case Violation(text):
                 self.report_violation(text)
@@ -218,25 +218,25 @@
         return BackendState(
             name,
             self.port_number(name),
-            unit.mark,
+            unit.identity,
             unit.build.number,
             unit.speed,
             unit.zone,
             unit.cell,
             unit.started,
-            unit.hung,
-            unit.slow,
+            unit.is_hung,
+            unit.slowdown,
             unit.errors,
-            unit.draining,
-            unit.dead,
+            unit.is_draining,
+            unit.is_dead,
         )
 
     def send_states(self) -> None:
         """Send the states of backends and of the network that have changed since they were last sent."""
         units = self.day.fleet.units
         for name, before in list(self.backend_states.items()):
-            if name not in units and not before.dead:
-                self.send_backend_state(msgspec.structs.replace(before, dead=True))
+            if name not in units and not before.is_dead:
+                self.send_backend_state(msgspec.structs.replace(before, is_dead=True))
         for name, unit in units.items():
             now = self.backend_state(name, unit)
             if self.backend_states.get(name) != now:
@@ -262,11 +262,11 @@
         self.send_states()
         for service in (self.discovery, self.platform):
             service.reset_cut_off()
-        for version in left.rounds:
+        for version in left.list_versions:
             for relay, lag in enumerate(day.roster.lag):
                 self.reactor.callLater(lag / TENTHS_PER_SECOND, self.discovery.publish, relay, version)
-        if day.moved and setup.now() >= day.desk.silent_until:
-            day.moved = False
+        if day.rollout_changed and setup.now() >= day.platform.silent_until:
+            day.rollout_changed = False
             self.platform.publish()
         for order in left.relays:
             self.processes.execute(order)
@@ -313,7 +313,7 @@
     resent, taken = {tuple(each) for report in trial.final_reports for each in report.resent}, set()
     for line in trial.record():
         judged(line)
-        if isinstance(line, Shot) and (line.relay, line.number) in resent:
+        if isinstance(line, ShotSent) and (line.relay, line.number) in resent:
             taken.add((line.relay, line.number))  # the relay had read the request after all, and never answered
         if writer:
             writer(line)
--- a/tealsail/lab/runs.py
+++ b/tealsail/lab/runs.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ..parts import mix
+from ..parts import stable_hash
 from ..record.files import Writer, read
-from ..record.lines import Any_Line, Close
+from ..record.lines import AnyLine, Close
 from ..setup.document import convert
 from ..world.evenness import Evenness
-from ..world.rules import MOST_TOLD, Breach, Rules, Slack
-from ..world.spill import Spill
+from ..world.rules import MOST_BREACHES_KEPT, Breach, RuleChecker, Slack
+from ..world.spill import SpillChecker
 from .bars import Bar, Difference, bars, differences
 from .figures import Figures, Result
 from .scenario import Scenario
@@ -23,17 +23,17 @@
 
 def day_seed(scenario: Scenario, replica: int) -> int:
     """The seed of one replica; two options with one scenario seed share it."""
-    return mix(scenario.seed, replica, 11) >> 2
+    return stable_hash(scenario.seed, replica, 11) >> 2
 
 
 class Judged:
     """What is made of a record, line by line: figures, rules, the stated limit on spill, and how even the load was."""
 
     def __init__(self, day: dict[str, Any], slack: Slack = Slack()) -> None:
-        self.figures, self.rules, self.spill, self.evenness = Figures(), Rules(slack), spill_of(day), Evenness()
+        self.figures, self.rules, self.spill, self.evenness = Figures(), RuleChecker(slack), spill_of(day), Evenness()
         self.listeners = [each for each in (self.figures, self.rules, self.spill, self.evenness) if each]
 
-    def __call__(self, line: Any_Line) -> None:
+    def __call__(self, line: AnyLine) -> None:
         for listener in self.listeners:
             listener(line)
 
@@ -89,12 +89,12 @@
     return judged.result(late), judged.breaches
 
 
-def spill_of(day: dict[str, Any]) -> Spill | None:
+def spill_of(day: dict[str, Any]) -> SpillChecker | None:
     """The checker of the stated limit, where a day has zones; without tiers nothing is stated and nothing breaks it."""
     if len(day.get("fleet", {}).get("zones", [])) < 2:
         return None
     zones = convert(day.get("document", {})).zones
-    return Spill(zones.spill_over if zones else float("inf"))
+    return SpillChecker(zones.spill_over if zones else float("inf"))
 
 
 class Option(NamedTuple):
@@ -108,7 +108,7 @@
 
 def one_day(scenario: Scenario, seed: int) -> tuple[Result, list[Breach]]:
     result, breaches = play(scenario, seed)
-    return result, breaches[: MOST_TOLD // 5]
+    return result, breaches[: MOST_BREACHES_KEPT // 5]
 
 
 def days(options: list[list[Scenario]], jobs: int = 0, progress: Progress | None = None) -> list[Option]:
@@ -130,7 +130,10 @@
         known = bars([each.figures for each in results]) if len(mine) > 1 else {}
         found.append(
             Option(
-                replicas[0].name, results, known, [breach for _, breaches in mine for breach in breaches][:MOST_TOLD]
+                replicas[0].name,
+                results,
+                known,
+                [breach for _, breaches in mine for breach in breaches][:MOST_BREACHES_KEPT],
             )
         )
     return found
--- a/tealsail/lab/scale/backends.py
+++ b/tealsail/lab/scale/backends.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ...record.lines import Came, Done, Ran, Shot
-from ...world.clients import TRY
-from ...world.unit import NEVER, Asked, Unit
+from ...record.lines import ShotAnswered, ShotEnded, ShotSent, ShotStarted
+from ...world.clients import NUMBERS_PER_TRY
+from ...world.unit import NEVER, IncomingShot, Unit
 from ..loopback.trial_setup import TrialSetup
 from .director_messages import BackendState
 
@@ -53,7 +53,7 @@
     def running(self, name: str) -> Unit | None:
         """The machine of that backend, None if it does not run."""
         machine = self.machines.get(name)
-        return machine if machine and not machine.dead else None
+        return machine if machine and not machine.is_dead else None
 
     def take(self, attempt: Attempt, request_class: int, wait: int) -> bool:
         """Hand an attempt to its backend; False if that does not run.  `wait`: the relay's, in tenths of a ms."""
@@ -63,16 +63,16 @@
         now = self.setup.now()
         self.on_attempt(attempt.relay, attempt.backend)
         self.setup.record_line(
-            Shot(now, attempt.relay, attempt.number, attempt.index, attempt.backend, machine.build.number, wait)
+            ShotSent(now, attempt.relay, attempt.number, attempt.index, attempt.backend, machine.build.number, wait)
         )
-        machine.take(now, Asked(attempt, attempt.number % TRY, request_class))
+        machine.take(now, IncomingShot(attempt, attempt.number % NUMBERS_PER_TRY, request_class))
         self.follow_up(machine)
         return True
 
     def cancel(self, attempt: Attempt) -> None:
         """Stop work on an attempt whose relay waits no longer."""
         now = self.setup.now()
-        self.setup.record_line(Came(now, attempt.relay, attempt.number, attempt.index, "cancelled"))
+        self.setup.record_line(ShotEnded(now, attempt.relay, attempt.number, attempt.index, "cancelled"))
         machine = self.running(attempt.backend)
         if machine:
             machine.stop(now, attempt)
@@ -81,18 +81,18 @@
     def update(self, state: BackendState) -> None:
         """Start, end or change a backend as the director says."""
         machine, now = self.machines.get(state.name), self.setup.now()
-        if machine and (state.dead or (machine.mark, machine.started) != (state.mark, state.started)):
+        if machine and (state.is_dead or (machine.identity, machine.started) != (state.identity, state.started)):
             del self.machines[state.name]
             machine.die(now)
             self.follow_up(machine)
             machine = None
-        if state.dead:
+        if state.is_dead:
             return
         if machine is None:
             build = self.builds[state.build]
             machine = Unit(
                 state.name,
-                state.mark,
+                state.identity,
                 build,
                 self.kind,
                 state.speed,
@@ -103,12 +103,12 @@
                 self.setup.seed,
             )
             self.machines[state.name] = machine
-        if machine.hung != state.hung:
-            machine.hang(now, state.hung)
-        if machine.slow != state.slow:
-            machine.slow_down(now, state.slow)
+        if machine.is_hung != state.is_hung:
+            machine.hang(now, state.is_hung)
+        if machine.slowdown != state.slowdown:
+            machine.set_slowdown(now, state.slowdown)
         machine.errors = state.errors
-        if state.draining and not machine.draining:
+        if state.is_draining and not machine.is_draining:
             machine.drain(now)
         self.follow_up(machine)
 
@@ -117,22 +117,22 @@
         now, record_line = self.setup.now(), self.setup.record_line
         taken, machine.taken = machine.taken, []
         for attempt, work in taken:
-            record_line(Ran(now, attempt.relay, attempt.number, attempt.index, machine.name, work))
-        said, machine.said = machine.said, []
-        for attempt, outcome in said:
-            record_line(Done(now, attempt.relay, attempt.number, attempt.index, machine.name, outcome))
+            record_line(ShotStarted(now, attempt.relay, attempt.number, attempt.index, machine.name, work))
+        outcomes, machine.outcomes = machine.outcomes, []
+        for attempt, outcome in outcomes:
+            record_line(ShotAnswered(now, attempt.relay, attempt.number, attempt.index, machine.name, outcome))
             seen_outcome = "served" if outcome == "wrong" else outcome  # a relay can't tell a wrong answer
-            record_line(Came(now, attempt.relay, attempt.number, attempt.index, seen_outcome))
+            record_line(ShotEnded(now, attempt.relay, attempt.number, attempt.index, seen_outcome))
             attempt.on_answer(outcome, machine.load(now) if machine.kind.report_every else None)
-        if machine.fell and not machine.told_fallen:
-            machine.told_fallen = True
+        if machine.crashed and not machine.crash_reported:
+            machine.crash_reported = True
             self.on_crash(machine.name)
         self.schedule(machine)
 
     def schedule(self, machine: Unit) -> None:
         """Set the timer of the machine's next wake-up."""
         timer, due = self.timers.get(machine.name), machine.due
-        if due < NEVER and not machine.dead:
+        if due < NEVER and not machine.is_dead:
             if timer and timer.active():
                 timer.reset(self.setup.seconds_until(due))
             else:
--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -17,10 +17,10 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from ...facade import Facade, Standing
+from ...facade import Facade, RolloutState
 from ...record.files import read
-from ...record.lines import VERSION, Close, Head, Life, Line, Take, Unit as UnitLine
-from ...world.day import Day, Order
+from ...record.lines import VERSION, Close, Head, InvocationTaken, Line, RelayEvent, Unit as UnitLine
+from ...world.day import Day, RelayCommand
 from ...world.unit import Unit
 from ..loopback import process_messages as client_messages
 from ..loopback.addresses import BACKENDS, LIST, PLATFORM, PortBlock
@@ -90,9 +90,9 @@
 
     They come from a facade that is built from the scenario's settings, so they are those that relays themselves see."""
     facade = Facade(scenario.facts(0), 1, lambda: 0)
-    owners = dict.fromkeys(facade.relay.guide.order)
+    owners = dict.fromkeys(facade.relay.load_tracking.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
-        facade.report(Standing(build, 0, "on trial", scenario.platform.caps[0], 0))
+        facade.report(RolloutState(build, 0, "on trial", scenario.platform.caps[0], 0))
         owners |= dict.fromkeys(facade.relay.judge.order[:POSSIBLE_JUDGES])
     return [relay for relay in owners if relay < scenario.fleet.relays]
 
@@ -217,7 +217,7 @@
         return self.backend_names[number] if 0 <= number < len(self.backend_names) else ""
 
     def record_line(self, line: Line) -> None:
-        if isinstance(line, Take):
+        if isinstance(line, InvocationTaken):
             self.serving_relays[line.number] = line.relay
         self.lines.append(line)
 
@@ -268,7 +268,7 @@
             return
         start = self.reactor.seconds() + START_DELAY_S
         for relay in self.group_of:
-            self.record_line(Life(0, relay, "up"))
+            self.record_line(RelayEvent(0, relay, "up"))
         self.setup.begin(start)
         self.clients.receive(client_messages.DayBegin(start))
         for group in self.groups:
@@ -422,9 +422,9 @@
 
     def on_backend_crash(self, name: str) -> None:
         unit = self.day.fleet.units.get(name)
-        if unit and not unit.dead:
-            unit.fell = unit.told_fallen = True
-            self.day.fallen(self.setup.now(), unit)
+        if unit and not unit.is_dead:
+            unit.crashed = unit.crash_reported = True
+            self.day.record_crash(self.setup.now(), unit)
             self.apply_changes()
 
     def apply_changes(self) -> None:
@@ -433,11 +433,11 @@
         for line in left.lines:
             self.record_line(line)
         changed = dict.fromkeys(line.unit for line in left.lines if isinstance(line, UnitLine) and line.at)
-        self.send_states(changed | dict.fromkeys(unit.name for unit in left.touched))
-        if left.rounds and not self.list_timer:
+        self.send_states(changed | dict.fromkeys(unit.name for unit in left.changed_units))
+        if left.list_versions and not self.list_timer:
             self.list_timer = self.reactor.callLater(self.plan.list_interval, self.publish_list)
-        if self.day.moved and self.setup.now() >= self.day.desk.silent_until:
-            self.day.moved = False
+        if self.day.rollout_changed and self.setup.now() >= self.day.platform.silent_until:
+            self.day.rollout_changed = False
             self.publish_rollout()
         for order in left.relays:
             self.execute(order)
@@ -454,7 +454,7 @@
             before, self.backend_states[name] = self.backend_states.get(name), state
             self.backend_number(name)
             self.backends.update(state)
-            if state.dead or before and (before.mark, before.started) != (state.mark, state.started):
+            if state.is_dead or before and (before.identity, before.started) != (state.identity, state.started):
                 self.listener.reset_connections(name)
             for group in self.groups:
                 group.send(state)
@@ -470,12 +470,12 @@
             self.reactor.callLater(roster.lag[relay] / TENTHS_PER_SECOND, self.discovery.publish, relay, roster.version)
 
     def publish_rollout(self) -> None:
-        state = self.day.desk.state
+        state = self.day.platform.state
         self.platform.publish()
         for group in self.groups:
             group.send(director_messages.RolloutUpdate(state.build, state.stage, state.phase, state.cap, state.since))
 
-    def execute(self, order: Order) -> None:
+    def execute(self, order: RelayCommand) -> None:
         """Do to a relay what the script says.
 
         Hollow relays can only be killed and come up again: they have no process of their own that could be stopped."""
@@ -484,10 +484,10 @@
             return self.relays.execute(order)
         match order.what:
             case "down":
-                self.record_line(Life(self.setup.now(), order.relay, "down"))
+                self.record_line(RelayEvent(self.setup.now(), order.relay, "down"))
                 group.send(director_messages.KillRelay(order.relay))
             case "up":
-                self.record_line(Life(self.setup.now(), order.relay, "up"))
+                self.record_line(RelayEvent(self.setup.now(), order.relay, "up"))
                 group.send(director_messages.StartRelay(order.relay))
             case _:
                 self.report_violation(f"relay {order.relay} is hollow: '{order.what}' needs a real relay")
@@ -566,17 +566,17 @@
         return director_messages.BackendState(name, 0, 0, 1.0, "", 0, 0, False, 1.0, 0.0, False, True)
     return director_messages.BackendState(
         name,
-        unit.mark,
+        unit.identity,
         unit.build.number,
         unit.speed,
         unit.zone,
         unit.cell,
         unit.started,
-        unit.hung,
-        unit.slow,
+        unit.is_hung,
+        unit.slowdown,
         unit.errors,
-        unit.draining,
-        unit.dead,
+        unit.is_draining,
+        unit.is_dead,
     )
 
 
--- a/tealsail/lab/scale/director_messages.py
+++ b/tealsail/lab/scale/director_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ...world.roster import Entry
+from ...world.unit_list import Entry
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, tag=True):
@@ -34,17 +34,17 @@
     """A backend as the director has it: a new one, or one that has changed.  `started` is in tenths of a ms."""
 
     name: str
-    mark: int
+    identity: int
     build: int
     speed: float
     zone: str
     cell: int
     started: int
-    hung: bool
-    slow: float
+    is_hung: bool
+    slowdown: float
     errors: float
-    draining: bool
-    dead: bool
+    is_draining: bool
+    is_dead: bool
 
 
 class ListUpdate(Message, tag="listed"):
--- a/tealsail/lab/scale/hollow_process.py
+++ b/tealsail/lab/scale/hollow_process.py
@@ -17,16 +17,16 @@
 from ...net import statements
 from ...net.clients import Rejected
 from ...net.discovery import Entry as RelayEntry, News
-from ...net.platform import RolloutState
+from ...net.platform import PlatformState
 from ...net.relay import unit_number
 from ...net.relay_configuration import RelayConfiguration
 from ...net.units import Value
-from ...parts import mix
+from ...parts import stable_hash
 from ...record.files import Writer
-from ...record.lines import VERSION, End, Head, News as NewsLine, Told
+from ...record.lines import VERSION, EntryReceived, Head, InvocationEnded, News as NewsLine
 from ...world.clients import Arrival
 from ...world.day import Day
-from ...world.roster import Entry
+from ...world.unit_list import Entry
 from ..loopback.clients import CLIENT_GRACE, statement_text, take_line
 from ..loopback.control_plane import LIFECYCLES
 from ..loopback.process_group import raise_descriptor_limit
@@ -122,7 +122,7 @@
         self.clients, self.list_lags = day.clients, day.roster.lag
         self.endpoint_list = EndpointList(self.setup, day)
         self.backends = Backends(self.setup, day.fleet.units, lambda name: send(director_messages.BackendCrashed(name)))
-        state = day.desk.state
+        state = day.platform.state
         self.rollout = director_messages.RolloutUpdate(state.build, state.stage, state.phase, state.cap, 0)
         self.peers = [str(self.setup.addresses.relay(relay)) for relay in range(self.scenario.fleet.relays)]
         self.services = ProcessServices(
@@ -185,8 +185,8 @@
     def configuration(self, relay: int) -> RelayConfiguration:
         own, rollout = self.peers[relay], self.rollout
         age_ms = max(0, self.setup.now() - rollout.since) / 10
-        state = RolloutState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age_ms)
-        seed = mix(self.assignment.seed, relay, self.setup.now(), 17)
+        state = PlatformState(rollout.build, rollout.stage, rollout.phase, rollout.cap, age_ms)
+        seed = stable_hash(self.assignment.seed, relay, self.setup.now(), 17)
         facts = self.scenario.facts(relay)
         known = self.endpoint_list.whole()
         broadcast = str(self.setup.addresses.broadcast(relay))
@@ -241,7 +241,7 @@
         at = next((at for received, at in self.list_versions[relay] if received >= version), None)
         if at is not None:
             self.recorded_ends.add((relay, name))
-            self.setup.record_line(Told(at, relay, name, entry.build, entry.state, entry.started))
+            self.setup.record_line(EntryReceived(at, relay, name, entry.build, entry.state, entry.started))
 
     def count_sent(self, address: tuple[str, int], size: int) -> None:
         counts = self.peer_traffic.setdefault(self.relay_numbers.get(address, -1), [0, 0, 0, 0])
@@ -304,7 +304,7 @@
         for relay, hollow in list(self.relays.items()):
             self.record_rollout(relay)
             age_ms = max(0, self.setup.now() - update.since) / 10
-            hollow.on_rollout_state(RolloutState(update.build, update.stage, update.phase, update.cap, age_ms))
+            hollow.on_rollout_state(PlatformState(update.build, update.stage, update.phase, update.cap, age_ms))
 
     def count_traffic(self, second: int) -> None:
         """Report the datagrams of that second of the day; call again a second later."""
@@ -382,7 +382,7 @@
         if request.timer.active():
             request.timer.cancel()
         self.pending.pop(arrival.number, None)
-        self.setup.record_line(End(self.setup.now(), request.relay.index, arrival.number, answer))
+        self.setup.record_line(InvocationEnded(self.setup.now(), request.relay.index, arrival.number, answer))
         repeated = self.clients.answered(self.setup.now(), arrival, answer, retry_after)
         if repeated:
             self.pending_repeats += 1
--- a/tealsail/lab/scale/hollow_relay.py
+++ b/tealsail/lab/scale/hollow_relay.py
@@ -13,7 +13,7 @@
 
 from ...net import messages, statements
 from ...net.discovery import News
-from ...net.platform import RolloutState
+from ...net.platform import PlatformState
 from ...net.relay import Relay
 from ...net.relay_configuration import RelayConfiguration
 from ...net.units import ShotResult
@@ -220,7 +220,7 @@
         if not self.is_dead:
             self.meter.run("list", super().listed, news, kind)
 
-    def on_rollout_state(self, state: RolloutState) -> None:
+    def on_rollout_state(self, state: PlatformState) -> None:
         if not self.is_dead:
             self.meter.run("rollout", super().on_rollout_state, state)
 
--- a/tealsail/lab/scale/real_relays.py
+++ b/tealsail/lab/scale/real_relays.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from ...net import messages, statements
-from ...record.lines import Met, News
+from ...record.lines import ConnectionOpened, News
 from ..loopback.backends import ANSWERS
 from ..loopback.clients import ClientPool
 from ..loopback.process_fleet import ProcessFleet
@@ -130,7 +130,7 @@
             return self.transport.abortConnection()
         self.listener.connections.setdefault(self.backend, {})[self] = None
         setup = self.listener.backends.setup
-        setup.record_line(Met(setup.now(), -1, self.backend))
+        setup.record_line(ConnectionOpened(setup.now(), -1, self.backend))
 
     def dataReceived(self, data: bytes) -> None:
         self.splitter.feed(data)
--- a/tealsail/lab/scale/results.py
+++ b/tealsail/lab/scale/results.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy
 
-from ...record.lines import End, Fault, Line, Log, Take, Unit
+from ...record.lines import Fault, InvocationEnded, InvocationTaken, Line, Log, Unit
 from ...world.rules import Slack
 from ..runs import Judged
 from ..scenario import Scenario
@@ -128,16 +128,16 @@
         self.requests, self.in_time = [0] * seconds, [0] * seconds  # in time: served within the latency target
         # of served requests: second, latency in tenths of a ms, whether at a real relay
         self.latencies: list[tuple[int, int, bool]] = []
-        self.open: dict[tuple[int, int], Take] = {}  # by relay and number of a request without an answer
+        self.open: dict[tuple[int, int], InvocationTaken] = {}  # by relay and number of a request without an answer
         self.second, self.totals = 0, (0, 0)  # attempts and wasted ones until the second began
 
     def __call__(self, line: Line) -> None:
         while line.at // TENTHS_PER_SECOND > self.second and self.second < len(self.attempts):
             self.end_second()
         self.judged(line)
-        if isinstance(line, Take):
+        if isinstance(line, InvocationTaken):
             self.open[line.relay, line.number] = line
-        elif isinstance(line, End):
+        elif isinstance(line, InvocationEnded):
             self.end_request(line)
 
     def end_second(self) -> None:
@@ -148,7 +148,7 @@
         self.totals = attempts, wasted
         self.second += 1
 
-    def end_request(self, line: End) -> None:
+    def end_request(self, line: InvocationEnded) -> None:
         take = self.open.pop((line.relay, line.number), None)
         if take is None:
             return
@@ -173,7 +173,7 @@
     judged = Judged(scenario.plain(), SLACK)
     # the checker allows for the times in which a relay's process did not run
     for relays, stalls in zip(measured.hollow, measured.stalls):
-        judged.rules.halts |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
+        judged.rules.stops |= {relay: deque(map(list, stalls), maxlen=len(stalls) + 1) for relay in relays}
     seconds = SecondFigures(judged, measured.real, int(scenario.seconds))
     duties: Counter[str] = Counter()
     faults: list[Fault] = []
--- a/tealsail/lab/scenario.py
+++ b/tealsail/lab/scenario.py
@@ -12,17 +12,17 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..settings import facts, nested
-from ..setup.document import BadDocument, Document, convert as read_document
+from ..settings import facts, nested_leaves
+from ..setup.document import Document, InvalidDocument, convert as read_document
 from ..world.builds import Build
-from ..world.clients import STREAM, Habits, Workload, weights
-from ..world.day import Parts
-from ..world.desk import Plan
-from ..world.draws import Table, lognormal
+from ..world.clients import NUMBERS_PER_STREAM, ClientBehaviour, Workload, relay_weights
+from ..world.day import DayParts
 from ..world.faults import Fault
-from ..world.fleet import Layout
-from ..world.network import Paths
-from ..world.unit import Kind
+from ..world.fleet import FleetLayout
+from ..world.network import NetworkPaths
+from ..world.platform import RolloutPlan
+from ..world.random_draws import QuantileTable, lognormal
+from ..world.unit import UnitKind
 from .script import Unclear, read_script
 
 TENTHS, DEEPEST = 10, 8  # in a millisecond; files that lie over each other
@@ -51,9 +51,9 @@
     cv: Annotated[float, Meta(ge=0, le=10)] = 0.5
     quantiles_ms: list[Positive] = []
 
-    def table(self) -> Table:
+    def table(self) -> QuantileTable:
         if self.quantiles_ms:
-            return Table(tuple(max(1, round(each * TENTHS)) for each in sorted(self.quantiles_ms)))
+            return QuantileTable(tuple(max(1, round(each * TENTHS)) for each in sorted(self.quantiles_ms)))
         return lognormal(self.mean_ms * TENTHS, self.cv)
 
 
@@ -192,9 +192,9 @@
         """The day's length in tenths of a ms."""
         return int(self.seconds * 10_000)
 
-    def layout(self) -> Layout:
+    def layout(self) -> FleetLayout:
         table = self.fleet
-        return Layout(
+        return FleetLayout(
             table.units,
             tuple(table.zones),
             table.cells,
@@ -205,9 +205,9 @@
             table.beside,
         )
 
-    def kind(self) -> Kind:
+    def kind(self) -> UnitKind:
         table = self.unit
-        return Kind(
+        return UnitKind(
             table.cores,
             table.slots,
             table.room,
@@ -224,7 +224,7 @@
             table.connections,
         )
 
-    def works(self) -> list[Table]:
+    def works(self) -> list[QuantileTable]:
         return [each.work.table() for each in self.workload]
 
     def workloads(self) -> list[Workload]:
@@ -233,15 +233,15 @@
             for each in self.workload
         ]
 
-    def habits(self) -> Habits:
+    def habits(self) -> ClientBehaviour:
         table = self.clients
-        return Habits(
+        return ClientBehaviour(
             table.rate, table.skew, table.keys, table.repeats, tenths(table.repeat_after_ms), table.marks, table.hot
         )
 
-    def plan(self) -> Plan:
+    def plan(self) -> RolloutPlan:
         table = self.platform
-        return Plan(
+        return RolloutPlan(
             tuple(table.caps),
             tuple(table.shares),
             tenths(table.bake_ms),
@@ -253,11 +253,11 @@
             tenths(table.by_clock_ms),
         )
 
-    def paths(self) -> Paths:
+    def paths(self) -> NetworkPaths:
         table = self.network
         least, most = tenths_pair(table.notes_ms)
         distances = {tuple(pair.split()): tenths(far) for pair, far in table.distances_ms.items()}
-        return Paths(
+        return NetworkPaths(
             tenths(table.near_ms),
             tenths(table.far_ms),
             tenths(table.handshake_ms),
@@ -289,10 +289,10 @@
     def faults(self) -> list[Fault]:
         return read_script(self.script)
 
-    def parts(self) -> Parts:
+    def parts(self) -> DayParts:
         """All that the world is made of."""
         late = tenths_pair(self.roster.late_ms)
-        return Parts(
+        return DayParts(
             self.layout(),
             self.kind(),
             self.builds_by_number(),
@@ -382,7 +382,7 @@
 
     def facts(self, relay: int) -> dict[str, Any]:
         """The same under the module's names."""
-        return facts(nested(self.relay_settings(relay)))
+        return facts(nested_leaves(self.relay_settings(relay)))
 
 
 def tenths(milliseconds: float) -> int:
@@ -480,9 +480,9 @@
         least, most = getattr(getattr(scenario, table.replace("list", "roster")), name)
         if least > most:
             wrong(field, "the first is more than the second")
-    parts = weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
-    if scenario.clients.rate * scenario.seconds * max(parts) / sum(parts) > 0.9 * STREAM:
-        wrong("clients.rate", f"more than {STREAM} first tries at one relay in {scenario.seconds:.0f} s")
+    parts = relay_weights(scenario.fleet.relays, scenario.clients.skew, scenario.clients.hot)
+    if scenario.clients.rate * scenario.seconds * max(parts) / sum(parts) > 0.9 * NUMBERS_PER_STREAM:
+        wrong("clients.rate", f"more than {NUMBERS_PER_STREAM} first tries at one relay in {scenario.seconds:.0f} s")
     if len(scenario.platform.caps) < len(scenario.platform.shares):
         wrong("platform.caps", "fewer than platform.shares")
     for pair in scenario.network.distances_ms:
@@ -490,8 +490,8 @@
             wrong(f"network.distances_ms.{pair}", "not two of fleet.zones")
     try:
         for relay in range(min(scenario.fleet.relays, len(scenario.fleet.zones))):
-            scenario.operators().seats(scenario.facts(relay))
-    except BadDocument as problem:
+            scenario.operators().extra_stages(scenario.facts(relay))
+    except InvalidDocument as problem:
         wrong("document", str(problem))
     if scenario.operators().recording:
         wrong("document.recording", "a model or trial writes its own record")
--- a/tealsail/lab/traffic.py
+++ b/tealsail/lab/traffic.py
@@ -2,18 +2,18 @@
 
 from collections.abc import Iterator
 
-from ..record.files import Notes, read
-from ..record.lines import Head, Take, Unreadable
-from ..world.clients import STREAM, Arrival, Clients, Habits, Workload
+from ..record.files import ReadReport, read
+from ..record.lines import Head, InvalidRecord, InvocationTaken
+from ..world.clients import NUMBERS_PER_STREAM, Arrival, ClientBehaviour, Clients, Workload
 from .scenario import BadScenario, Scenario
 
-MOST = STREAM - 1  # first tries of a trace
+MOST = NUMBERS_PER_STREAM - 1  # first tries of a trace
 
 
 class Trace(Clients):
     """In place of drawn arrivals.  Repeats are the clients' own, as drawn.  Reads on as the day goes on."""
 
-    def __init__(self, scenario: Scenario, habits: Habits, workloads: list[Workload], seed: int) -> None:
+    def __init__(self, scenario: Scenario, habits: ClientBehaviour, workloads: list[Workload], seed: int) -> None:
         super().__init__(
             habits._replace(rate=0.0),
             workloads,
@@ -22,7 +22,7 @@
             scenario.span,
             seed,
         )
-        self.relays, self.notes, self.path = scenario.fleet.relays, Notes(), scenario.clients.trace
+        self.relays, self.notes, self.path = scenario.fleet.relays, ReadReport(), scenario.clients.trace
         self.lines = self.arrivals(scenario)
         self.coming = next(self.lines, None)
 
@@ -31,7 +31,7 @@
         try:
             lines = read(self.path, self.notes)
             head = next(lines, None)
-        except (Unreadable, OSError) as problem:
+        except (InvalidRecord, OSError) as problem:
             raise BadScenario(f"clients.trace: {problem}") from None
         if not isinstance(head, Head):
             raise BadScenario(f"clients.trace: {self.path}: empty")
@@ -44,7 +44,7 @@
         whose = [customers.get(each.get("name"), 0) for each in head.facts.get("customers", [])] or [0]
         at = last = count = 0
         for line in lines:
-            if not isinstance(line, Take) or line.number != line.first:
+            if not isinstance(line, InvocationTaken) or line.number != line.first:
                 continue
             at, last = at + max(0, line.intended - last), line.intended
             count += 1
--- a/tealsail/lab/virtual.py
+++ b/tealsail/lab/virtual.py
@@ -8,15 +8,43 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..choices.clock import GAP, TENTHS, disregard
-from ..facade import CallOff, Counted, Facade, Forfeit, Heard, Listed, Outcome, Reject, Shoot, Standing, Step, Units
+from ..choices.clock import MIN_GAP_S, TENTHS_PER_SECOND, discard_evidence
+from ..facade import (
+    CancelShot,
+    Facade,
+    Forfeit,
+    NoteReceived,
+    Outcome,
+    Reject,
+    RolloutState,
+    SendShot,
+    Step,
+    UnitEntry,
+    Units,
+    VoteAnswered,
+)
 from ..net.relay import unit_number
-from ..parts import mix
-from ..record.lines import VERSION, Came, Done, End, Head, Life, Line, Log, Met, News, Ran, Shot as ShotLine, Take, Told
+from ..parts import stable_hash
+from ..record.lines import (
+    VERSION,
+    ConnectionOpened,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    News,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent as ShotLine,
+    ShotStarted,
+)
 from ..world.clients import Arrival
-from ..world.day import Day, Order
-from ..world.roster import Entry
-from ..world.unit import NEVER, Asked, Unit
+from ..world.day import Day, RelayCommand
+from ..world.unit import NEVER, IncomingShot, Unit
+from ..world.unit_list import Entry
 from .scenario import Scenario
 from .traffic import clients_of
 
@@ -57,7 +85,9 @@
         self.stopped, self.notes = -1, 0  # since when its process does not run; notes that wait for it
         self.backlog: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.duties = ""  # who acts for the fleet, as it last logged
-        self.facade = Facade(facts, mix(model.seed, index, start, 7), self.clock, model.document.seats(facts))
+        self.facade = Facade(
+            facts, stable_hash(model.seed, index, start, 7), self.clock, model.document.extra_stages(facts)
+        )
         self.serving: dict[int, Serving] = {}
         self.kept: dict[str, list[int]] = {}  # unit -> idle connections, and when one was last used
         self.timer = NEVER
@@ -89,7 +119,7 @@
     def stop(self) -> None:
         if self.stopped < 0:
             self.stopped, self.notes = self.model.now, 0
-            self.model.tell(Life(self.model.now, self.index, "stopped"))
+            self.model.tell(RelayEvent(self.model.now, self.index, "stopped"))
 
     def go_on(self) -> None:
         """It runs again: what waited comes at once, and after a gap it trusts nothing older, as the daemon does."""
@@ -97,9 +127,9 @@
             return
         model, gap, backlog = self.model, self.model.now - self.stopped, self.backlog
         self.stopped, self.backlog = -1, []
-        model.tell(Life(model.now, self.index, "on"))
-        if gap > GAP * TENTHS:
-            disregard(self.facade.relay, self.clock())
+        model.tell(RelayEvent(model.now, self.index, "on"))
+        if gap > MIN_GAP_S * TENTHS_PER_SECOND:
+            discard_evidence(self.facade.relay, self.clock())
             for name, (idle, _) in self.kept.items():
                 if name in model.day.fleet.units:
                     model.day.fleet.units[name].disconnect(idle)
@@ -112,7 +142,7 @@
     def take(self, arrival: Arrival) -> None:
         model = self.model
         model.tell(
-            Take(
+            InvocationTaken(
                 model.now,
                 self.index,
                 arrival.number,
@@ -130,7 +160,7 @@
     def taken(self, arrival: Arrival) -> None:
         model, facade = self.model, self.facade
         workload, customer = model.names[arrival.workload], model.whose[arrival.customer]
-        repeat = arrival.repeat and model.parts.habits.marks
+        repeat = arrival.repeat and model.parts.behaviour.marks
         number, step = facade.pick(
             workload, customer, arrival.key, self.clock() + arrival.give_up - model.now, repeat=repeat
         )
@@ -139,9 +169,9 @@
         self.schedule()
 
     def follow(self, serving: Serving, step: Step) -> None:
-        if type(step) is Shoot and serving.over:
+        if type(step) is SendShot and serving.over:
             self.facade.report(Outcome(serving.number, step.place, "moot"))
-        elif type(step) is Shoot:
+        elif type(step) is SendShot:
             self.shoot(serving, step)
         elif type(step) is Reject:
             self.end(serving, "rejected", step.come_back)
@@ -159,7 +189,7 @@
         else:
             model.answered(self.index, serving.arrival, answer, come_back)
 
-    def shoot(self, serving: Serving, step: Shoot) -> None:
+    def shoot(self, serving: Serving, step: SendShot) -> None:
         model, now = self.model, self.model.now
         name = model.unit_names[step.unit]
         believed = self.facade.relay.units[step.unit].build
@@ -168,10 +198,10 @@
         model.later(now + (step.wait if self.rate == 1.0 else int(step.wait / self.rate)), self.overdue, out)
         unit = model.day.fleet.units.get(name)
         zone = unit.zone if unit else ""
-        way = model.day.network.way(self.index, zone)
-        if unit is None or unit.dead:  # refused at once
+        delay = model.day.network.delay(self.index, zone)
+        if unit is None or unit.is_dead:  # refused at once
             self.kept.pop(name, None)
-            model.later(now + 2 * way, self.came, out, "unreachable")
+            model.later(now + 2 * delay, self.came, out, "unreachable")
         elif not model.day.network.reaches(now, self.index, name, zone):
             unit.disconnect(self.kept.pop(name, (0, 0))[0])
             model.later(now + model.connect_wait, self.came, out, "unreachable")
@@ -179,12 +209,12 @@
             kept = self.kept.get(name)
             if kept and kept[0] and now - kept[1] < model.idle_time:
                 kept[0] -= 1
-                out.holds, wait = unit, 3 * way  # it proves itself by an empty query first
+                out.holds, wait = unit, 3 * delay  # it proves itself by an empty query first
             elif unit.connect():
-                out.holds, out.new, wait = unit, True, 3 * way + model.parts.paths.handshake
-                model.tell(Met(now, self.index, name))
+                out.holds, out.new, wait = unit, True, 3 * delay + model.parts.paths.handshake
+                model.tell(ConnectionOpened(now, self.index, name))
             else:
-                return model.later(now + 2 * way, self.came, out, "full")
+                return model.later(now + 2 * delay, self.came, out, "full")
             model.later(now + wait + model.there, model.reach, self, out, unit)
 
     def expire(self, unit: Unit, used: int) -> None:
@@ -212,7 +242,7 @@
             out.holds.disconnect()
         if outcome in ("served", "error", "full"):
             load = out.unit.load(model.now) if out.unit and out.unit.kind.report_every else None
-        model.tell(Came(model.now, self.index, serving.arrival.number, out.place, outcome))
+        model.tell(ShotEnded(model.now, self.index, serving.arrival.number, out.place, outcome))
         step = self.facade.report(Outcome(serving.number, out.place, outcome, load))
         if outcome == "served":
             self.end(serving, "wrong" if serving.wrong else "served")
@@ -226,7 +256,7 @@
     def give_up(self, out: Out, outcome: str) -> None:
         if out.unit:
             self.model.later(
-                self.model.now + self.model.day.network.way(self.index, out.unit.zone), self.model.stop, out
+                self.model.now + self.model.day.network.delay(self.index, out.unit.zone), self.model.stop, out
             )
         self.came(out, outcome if out.unit else "moot")  # nothing was written yet
 
@@ -235,10 +265,10 @@
         facade = self.facade
         if self.stopped >= 0:
             return  # it looks when it runs again
-        wants = facade.wants
-        if wants.votes or wants.notes or wants.calls_off or wants.lines or wants.steps:
+        actions = facade.actions
+        if actions.votes or actions.notes or actions.cancellations or actions.lines or actions.steps:
             return self.ticked()
-        due = facade.wakes[0][0] if facade.wakes else NEVER
+        due = facade.wake_ups[0][0] if facade.wake_ups else NEVER
         if due < self.timer:
             self.timer = due
             self.model.later(max(self.later(due), self.model.now), self.wake, due)
@@ -249,30 +279,30 @@
             self.ticked()
 
     def ticked(self) -> None:
-        model, wants = self.model, self.facade.tick()
-        guide, judges = self.facade.relay.guide, self.facade.relay.judge.order[:3]
-        duties = f"duties keeper={guide.keeper()} judges={','.join(str(each) for each in judges)}"
+        model, actions = self.model, self.facade.tick()
+        load_tracking, judges = self.facade.relay.load_tracking, self.facade.relay.judge.order[:3]
+        duties = f"duties keeper={load_tracking.tracker_index()} judges={','.join(str(each) for each in judges)}"
         if duties != self.duties:
             self.duties = duties
             model.tell(Log(model.now, self.index, duties))
-        for text in wants.lines:
+        for text in actions.lines:
             model.tell(Log(model.now, self.index, text))
-        for number, step in wants.steps:
+        for number, step in actions.steps:
             if number in self.serving:
                 self.follow(self.serving[number], step)
-            elif type(step) is Shoot:
+            elif type(step) is SendShot:
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for to, data in wants.notes:
+        for to, data in actions.notes:
             for other in range(len(model.doors)) if to < 0 else (to,):
                 for wait in model.day.network.note(model.now, self.index, other) if other != self.index else ():
                     model.later(model.now + wait, model.note, other, self.index, data)
-        for vote in wants.votes:
+        for vote in actions.votes:
             model.later(model.now + model.news_wait, model.vote, self, *vote)
-        for what in wants.calls_off:
+        for what in actions.cancellations:
             self.call_off(what)
         self.schedule()
 
-    def call_off(self, what: CallOff) -> None:
+    def call_off(self, what: CancelShot) -> None:
         serving = self.serving.get(what.number)
         if serving and what.place in serving.outs:
             self.give_up(serving.outs[what.place], "cancelled")
@@ -282,7 +312,7 @@
         if self.waits(1, self.listed, entries, kind):
             return
         for entry in entries:
-            model.tell(Told(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
+            model.tell(EntryReceived(model.now, self.index, entry.name, entry.build, entry.state, entry.started))
         ahead = self.clock() - model.now  # units' starts are told in the time of all others' clocks
         told = [model.listed(entry) for entry in entries]
         self.facade.report(
@@ -296,11 +326,11 @@
         self.schedule()
 
     def stood(self) -> None:
-        model, state = self.model, self.model.day.desk.state
+        model, state = self.model, self.model.day.platform.state
         if self.waits(1, self.stood):
             return
         model.tell(News(model.now, self.index, state.build, state.stage, state.phase, state.cap))
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, model.now - state.since))
+        self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, model.now - state.since))
         self.schedule()
 
 
@@ -363,7 +393,7 @@
         """From what is known at that place: the list as its agent has it, and the platform's state."""
         self.starts[relay] += 1
         door = self.doors[relay] = Door(self, relay, self.starts[relay])
-        self.tell(Life(self.now, relay, "up"))
+        self.tell(RelayEvent(self.now, relay, "up"))
         roster = self.day.roster
         door.stood()
         door.listed(roster.whole(roster.told[relay]), "old copy")
@@ -373,7 +403,7 @@
         door, self.doors[relay] = self.doors[relay], None
         if door is None:
             return
-        self.tell(Life(self.now, relay, "down"))
+        self.tell(RelayEvent(self.now, relay, "down"))
         self.faults += door.facade.faults
         for name, (idle, _) in door.kept.items():
             if name in self.day.fleet.units:
@@ -381,7 +411,7 @@
         for _, call, what in door.backlog:  # what it had not even read
             if call == door.taken:
                 self.open -= 1
-                self.tell(End(self.now, relay, what[0].number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, what[0].number, "lost"))
         for serving in door.serving.values():
             for out in serving.outs.values():
                 out.over = True
@@ -392,7 +422,7 @@
             if not serving.over:
                 serving.over = True
                 self.open -= 1
-                self.tell(End(self.now, relay, serving.arrival.number, "lost"))
+                self.tell(InvocationEnded(self.now, relay, serving.arrival.number, "lost"))
 
     def acting(self, name: str) -> list[int]:
         """Who acts for the fleet as that, by the word of most relays."""
@@ -401,7 +431,9 @@
             if door:
                 relay = door.facade.relay
                 for each in (
-                    [relay.guide.keeper()] if name == "keeper" else relay.judge.order[: 3 if name == "judges" else 1]
+                    [relay.load_tracking.tracker_index()]
+                    if name == "keeper"
+                    else relay.judge.order[: 3 if name == "judges" else 1]
                 ):
                     words[each] = words.get(each, 0) + 1
         best = sorted((each for each in words if each >= 0), key=lambda each: (-words[each], each))
@@ -410,12 +442,12 @@
     def anew(self, relay: int) -> None:
         """One that did not run for a while asks for what others keep."""
         door, roster = self.doors[relay], self.day.roster
-        if door and self.day.network.has(self.now, relay, "list"):
+        if door and self.day.network.reaches_service(self.now, relay, "list"):
             door.listed(roster.whole(roster.told[relay]), "whole")
         if door:
             self.tell_state(relay)
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: RelayCommand) -> None:
         """What the script does to a relay's process.  A step of its wall clock moves nothing: its time is even
         (tealsail/choices/clock.py).  A relay from another checkout is only restarted: the model has one program."""
         door = self.doors[order.relay]
@@ -458,11 +490,11 @@
             if door.notes <= BUFFER:
                 door.waits(1, self.note, to, sender, data)
         elif door:
-            door.facade.report(Heard(sender, data))
+            door.facade.report(NoteReceived(sender, data))
             door.schedule()
 
     def vote(self, door: Door, build: int, stage: int, verdict: str) -> None:
-        if not self.day.network.has(self.now, door.index, "platform"):
+        if not self.day.network.reaches_service(self.now, door.index, "platform"):
             answer = "nothing"  # it never came
         else:
             answer = self.day.vote(self.now, door.index, build, stage, verdict)
@@ -472,7 +504,7 @@
 
     def counted(self, door: Door, answer: str) -> None:
         if self.doors[door.index] is door and not door.waits(1, self.counted, door, answer):
-            door.facade.report(Counted(answer))
+            door.facade.report(VoteAnswered(answer))
             door.schedule()
 
     # clients
@@ -492,7 +524,7 @@
     def answered(self, relay: int, arrival: Arrival, answer: str, come_back: int) -> None:
         """An answer has come to its client."""
         self.open -= 1
-        self.tell(End(self.now, relay, arrival.number, answer))
+        self.tell(InvocationEnded(self.now, relay, arrival.number, answer))
         again = self.day.clients.answered(self.now, arrival, answer, come_back)
         if again:
             self.waiting += 1
@@ -512,11 +544,11 @@
         """The last byte of a shot has come to its unit."""
         if out.over:
             return
-        if unit.dead:
+        if unit.is_dead:
             return door.came(out, "unreachable")
         out.unit = unit
         arrival = out.serving.arrival
-        unit.take(self.now, Asked((door, out), arrival.first, arrival.workload), out.new)
+        unit.take(self.now, IncomingShot((door, out), arrival.first, arrival.workload), out.new)
         self.touch(unit)
 
     def stop(self, out: Out) -> None:
@@ -527,18 +559,18 @@
     def touch(self, unit: Unit) -> None:
         """Takes up what a unit said, and when it wants to be woken."""
         for (door, out), work in unit.taken:
-            self.tell(Ran(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
+            self.tell(ShotStarted(self.now, door.index, out.serving.arrival.number, out.place, unit.name, work))
         unit.taken.clear()
-        if unit.said:
-            said, unit.said = unit.said, []
+        if unit.outcomes:
+            outcomes, unit.outcomes = unit.outcomes, []
             network, now = self.day.network, self.now
-            for (door, out), outcome in said:
-                self.tell(Done(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
+            for (door, out), outcome in outcomes:
+                self.tell(ShotAnswered(now, door.index, out.serving.arrival.number, out.place, unit.name, outcome))
                 if not out.over and network.reaches(now, door.index, unit.name, unit.zone):
-                    self.later(now + network.way(door.index, unit.zone), door.came, out, outcome)
-        if unit.fell and unit.name in self.day.fleet.units and not unit.told_fallen:
-            unit.told_fallen = True
-            self.day.fallen(self.now, unit)
+                    self.later(now + network.delay(door.index, unit.zone), door.came, out, outcome)
+        if unit.crashed and unit.name in self.day.fleet.units and not unit.crash_reported:
+            unit.crash_reported = True
+            self.day.record_crash(self.now, unit)
             self.took_up()
         due = unit.due
         if due < unit.wake_at:
@@ -564,13 +596,13 @@
         left = day.left()
         for line in left.lines:
             self.tell(line)
-        for unit in left.touched:
+        for unit in left.changed_units:
             self.touch(unit)
-        for version in left.rounds:
+        for version in left.list_versions:
             for relay, lag in enumerate(day.roster.lag):
                 self.later(self.now + lag, self.tell_list, relay, version)
-        if day.moved and self.now >= day.desk.silent_until:
-            day.moved = False
+        if day.rollout_changed and self.now >= day.platform.silent_until:
+            day.rollout_changed = False
             for relay in range(len(self.doors)):
                 self.later(self.now + self.news_wait, self.tell_state, relay)
         for order in left.relays:
@@ -581,23 +613,23 @@
             self.later(max(due, self.now + 1), self.wake_day, due)
 
     def tell_list(self, relay: int, version: int) -> None:
-        if self.day.roster.stands(self.now, relay) or not self.day.network.has(self.now, relay, "list"):
+        if self.day.roster.is_frozen(self.now, relay) or not self.day.network.reaches_service(self.now, relay, "list"):
             return  # told once it moves again, or is reached
-        _, entries = self.day.roster.news(relay, version)
+        _, entries = self.day.roster.take_changes(relay, version)
         if entries and self.doors[relay]:
             self.doors[relay].listed(entries, "changes")
 
     def tell_state(self, relay: int) -> None:
         if (
             self.doors[relay]
-            and self.now >= self.day.desk.silent_until
-            and self.day.network.has(self.now, relay, "platform")
+            and self.now >= self.day.platform.silent_until
+            and self.day.network.reaches_service(self.now, relay, "platform")
         ):
             self.doors[relay].stood()
 
-    def listed(self, entry: Entry) -> Listed:
+    def listed(self, entry: Entry) -> UnitEntry:
         number = unit_number(entry.name)
         self.unit_names[number] = entry.name
-        return Listed(
+        return UnitEntry(
             number, entry.build, entry.state, self.zones.get(entry.zone, 0), entry.cell, entry.weight, entry.started
         )
--- a/tealsail/net/clients.py
+++ b/tealsail/net/clients.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from ..choices.endings import UNUSED, leaves_off
+from ..choices.connection_lifetimes import IDLE_GRACE, may_close_idle
 from ..choices.pipelining import may_begin
 from . import messages, statements
 from .connections import cancel
@@ -255,7 +255,7 @@
         now = self.clients.clock()
         is_mute = self.is_mute(now)
         if self.can_be_closed() and (
-            is_mute or leaves_off(not self.has_queried, now - self.idle_since, bool(self.partial_since))
+            is_mute or may_close_idle(not self.has_queried, now - self.idle_since, bool(self.partial_since))
         ):
             self.end("mute" if is_mute else "closing")
 
@@ -430,7 +430,10 @@
             if client.is_mute(now) and client.can_be_closed():
                 client.end("mute")
             elif (
-                is_crowded and not client.partial_since and now - client.idle_since > UNUSED and client.can_be_closed()
+                is_crowded
+                and not client.partial_since
+                and now - client.idle_since > IDLE_GRACE
+                and client.can_be_closed()
             ):
                 client.end("crowded")
         self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
--- a/tealsail/net/connections.py
+++ b/tealsail/net/connections.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from ..choices.pauses import Pauses
+from ..choices.backoff import Backoff
 from .counters import Counters
 
 CONNECT_TIMEOUT_S = 1.0
@@ -39,7 +39,7 @@
     connection stays in use until the one to the new address is up.
     """
 
-    def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Pauses) -> None:
+    def __init__(self, reactor: Any, address: str, counters: Counters, pauses: Backoff) -> None:
         self.reactor, self.address, self.counters, self.pauses = reactor, address, counters, pauses
         self.connection: Any = None  # the one in use, once it is up
         self.silence_timer: Any = None  # ends the connection if nothing comes over it
--- a/tealsail/net/discovery.py
+++ b/tealsail/net/discovery.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.pauses import Pauses
+from ..choices.backoff import Backoff
 from .connections import OutgoingConnection, PersistentConnection
 from .counters import Counters
 
@@ -288,8 +288,8 @@
         path: str,
         counters: Counters,
         on_news: Callable[[News], None],
-        pauses: Pauses,
-        refusal_pauses: Pauses,
+        pauses: Backoff,
+        refusal_pauses: Backoff,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
         self.path, self.on_news, self.refusal_pauses = path, on_news, refusal_pauses
--- a/tealsail/net/peers.py
+++ b/tealsail/net/peers.py
@@ -4,8 +4,8 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from ..choices.flood import SHOTS, Flood
-from ..notes import of_shots
+from ..choices.rate_limits import SHOT_MESSAGE_LIMITS, RateLimiter
+from ..notes import is_tracker_note
 from .counters import Counters
 
 MAX_DATAGRAM_BYTES = 256
@@ -31,7 +31,7 @@
         broadcast_address: str,
         counters: Counters,
         on_note: Callable[[int, bytes], None],
-        count_limit: Flood,
+        count_limit: RateLimiter,
         clock: Callable[[], int],
     ) -> None:
         """`on_note` gets a relay's number and its note.
@@ -43,13 +43,13 @@
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         self.broadcast_address = parse_address(broadcast_address) if broadcast_address else None
         self.counters, self.on_note = counters, on_note
-        self.count_limit, self.shot_limit, self.clock = count_limit, Flood(SHOTS), clock
+        self.count_limit, self.shot_limit, self.clock = count_limit, RateLimiter(SHOT_MESSAGE_LIMITS), clock
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
         number = self.numbers.get(address)
         if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self.counters.add("peers.dropped")
-        elif not (self.shot_limit if of_shots(data) else self.count_limit).allows(number, self.clock()):
+        elif not (self.shot_limit if is_tracker_note(data) else self.count_limit).allows(number, self.clock()):
             self.counters.add("peers.shed")
         else:
             self.counters.add("peers.heard")
--- a/tealsail/net/platform.py
+++ b/tealsail/net/platform.py
@@ -8,7 +8,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.pauses import Pauses
+from ..choices.backoff import Backoff
 from .connections import OutgoingConnection, PersistentConnection, cancel
 from .counters import Counters
 
@@ -29,7 +29,7 @@
     """A line that is not an object of the protocol."""
 
 
-class RolloutState(NamedTuple):
+class PlatformState(NamedTuple):
     """Where the rollout of the newest build stands, and since when."""
 
     build: int
@@ -43,20 +43,20 @@
     """The response to a call; `state` is None if the call failed or its result holds none."""
 
     call: int
-    state: RolloutState | None
+    state: PlatformState | None
     error: str
 
 
 class Notification(NamedTuple):
     """A notification; `state` is None for a heartbeat or any method other than `stage`."""
 
-    state: RolloutState | None
+    state: PlatformState | None
 
 
-def read_state(tree: Any) -> RolloutState:
+def read_state(tree: Any) -> PlatformState:
     """From decoded JSON; raises Unreadable."""
     try:
-        state = RolloutState(
+        state = PlatformState(
             int(tree["Revision"]),
             int(tree["Wave"]),
             PHASES[tree["State"]],
@@ -139,9 +139,9 @@
         address: str,
         vote_wait: float,
         counters: Counters,
-        on_state: Callable[[RolloutState], None],
+        on_state: Callable[[PlatformState], None],
         on_vote_answer: Callable[[str], None],
-        pauses: Pauses,
+        pauses: Backoff,
     ) -> None:
         super().__init__(reactor, address, counters, pauses)
         self.vote_wait, self.on_state, self.on_vote_answer = vote_wait, on_state, on_vote_answer  # wait in seconds
--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from .. import __version__, settings
-from ..record.lines import VERSION, Came, End, Head, News, Shot, Take, Told
+from ..record.lines import VERSION, EntryReceived, Head, InvocationEnded, InvocationTaken, News, ShotEnded, ShotSent
 from ..record.recorder import Recorder
 from .clients import Answer, Forfeited, Rejected
 from .discovery import Entry, unit_number
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from ..facade import Facade
     from .counters import Counters
-    from .platform import RolloutState
+    from .platform import PlatformState
     from .relay_configuration import RelayConfiguration
     from .statements import Statement
 
@@ -65,7 +65,7 @@
         customer = facade.place(statement.customer)
         at -= self.zero
         self.recorder.note(
-            Take(
+            InvocationTaken(
                 self.now(),
                 self.index,
                 number,
@@ -81,10 +81,10 @@
     def shot_sent(self, number: int, shot_number: int, unit: int, wait: int) -> None:
         """`wait`: the shot's time-out in tenths of a millisecond."""
         name, build = self.units.get(unit, ("", 0))
-        self.recorder.note(Shot(self.now(), self.index, number, shot_number, name, build, wait))
+        self.recorder.note(ShotSent(self.now(), self.index, number, shot_number, name, build, wait))
 
     def shot_ended(self, number: int, shot_number: int, outcome: str) -> None:
-        self.recorder.note(Came(self.now(), self.index, number, shot_number, outcome))
+        self.recorder.note(ShotEnded(self.now(), self.index, number, shot_number, outcome))
 
     def invocation_ended(self, number: int, answer: Answer | None) -> None:
         """`answer` None: the client left before it was answered."""
@@ -97,7 +97,7 @@
             if isinstance(answer, Forfeited)
             else "served"
         )
-        self.recorder.note(End(self.now(), self.index, number, word))
+        self.recorder.note(InvocationEnded(self.now(), self.index, number, word))
 
     def units_listed(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -108,7 +108,7 @@
                 self.units[number] = entry.id, entry.build
             started = max(0, settings.tenths(entry.started_ms) - self.zero) if entry.started_ms else 0
             self.recorder.note(
-                Told(
+                EntryReceived(
                     self.now(),
                     self.index,
                     entry.id,
--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -8,26 +8,26 @@
 from twisted.python.failure import Failure
 
 from .. import settings
-from ..choices.clock import Clock, Stamps, disregard
-from ..choices.endings import LastLooks, door_held
-from ..choices.flood import Flood, limits
-from ..choices.pauses import WITHIN, Pauses, by_fleet, first_question
-from ..choices.switch import Fixed, Switch
+from ..choices.backoff import DEFAULT_ASK_WITHIN_S, Backoff, fleet_backoff, initial_request_delay
+from ..choices.clock import Clock, StartTimes, discard_evidence
+from ..choices.connection_lifetimes import ShutdownWatch, accept_delay
+from ..choices.live_settings import LiveSettings, RestartNeeded
+from ..choices.rate_limits import RateLimiter, count_message_limits
 from ..facade import (
-    Counted,
-    Departed,
+    ClientLeft,
     Facade,
     Forfeit,
-    Heard,
-    Listed,
+    NoteReceived,
     Outcome,
     Reject,
-    Shoot,
-    Standing,
+    RolloutState,
+    SendShot,
     Step,
+    UnitEntry,
     Units as Listing,
+    VoteAnswered,
 )
-from ..parts import Chance, mix
+from ..parts import RandomGenerator, stable_hash
 from ..policy import JUDGES
 from .clients import Answer, Clients, Forfeited, Rejected
 from .connections import cancel
@@ -35,7 +35,7 @@
 from .discovery import Discovery, Entry, News, unit_number
 from .kernel import accept_pending, set_accepting_paused
 from .peers import Peers, parse_address
-from .platform import Platform, RolloutState
+from .platform import Platform, PlatformState
 from .relay_configuration import RelayConfiguration
 from .statements import Statement, StatementError, text_for_unit
 from .units import Shot, ShotResult, Units
@@ -85,9 +85,9 @@
 
     def execute(self, step: Step) -> None:
         match step:
-            case Shoot(_, shot_number, _) if self.is_over:
+            case SendShot(_, shot_number, _) if self.is_over:
                 self.relay.facade.report(Outcome(self.number, shot_number, "moot"))
-            case Shoot(unit, shot_number, wait):
+            case SendShot(unit, shot_number, wait):
                 self.shoot(unit, shot_number, wait)
             case Reject(come_back):
                 self.finish(Rejected(come_back))
@@ -103,7 +103,7 @@
             unit,
             lambda: text_for_unit(self.statement, max(1, -(-(until - relay.clock()) // 10))),
             wait / TENTHS_PER_SECOND,
-            lambda: relay.facade.stands(self.number, shot_number),
+            lambda: relay.facade.may_still_send(self.number, shot_number),
         )
         if shot is None:
             self.on_outcome(ShotResult("moot"), shot_number)
@@ -144,7 +144,7 @@
         self.is_over = True
         if self.relay.record:
             self.relay.record.invocation_ended(self.number, None)
-        self.relay.facade.report(Departed(self.number))
+        self.relay.facade.report(ClientLeft(self.number))
         self.relay.on_tick()
         self.remove_if_done()
 
@@ -173,10 +173,10 @@
     ) -> None:
         self.reactor, self.configuration, self.counters = reactor, configuration, counters or Counters()
         self.clock, self.tick_at = Clock(reactor.seconds, wall or reactor.seconds, self.on_gap), 0
-        self.stamps = Stamps(self.clock)
+        self.stamps = StartTimes(self.clock)
         facts = configuration.facts
-        self.facade = Facade(facts, configuration.seed, self.clock, document.seats(facts) if document else ())
-        self.switch = Switch(self.facade.relay, facts)
+        self.facade = Facade(facts, configuration.seed, self.clock, document.extra_stages(facts) if document else ())
+        self.switch = LiveSettings(self.facade.relay, facts)
         max_connections = (
             max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
         )  # to clients, and as many to units
@@ -188,11 +188,11 @@
             max_connections,
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, max_connections)
-        jitter = Chance(mix(configuration.seed, facts.get("index", 0)))
+        jitter = RandomGenerator(stable_hash(configuration.seed, facts.get("index", 0)))
         # the number of relays, and the seconds within which each asks for the list
         self.fleet_pacing = (
             facts.get("relays", 1),
-            facts.get("ask_within", WITHIN * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
+            facts.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
         )
         self.jitter = jitter  # spreads what all relays do at once; not the decision module's own generator
         self.discovery = Discovery(
@@ -201,8 +201,8 @@
             LIST_PATH,
             self.counters,
             self.listed,
-            Pauses(jitter),
-            by_fleet(jitter, *self.fleet_pacing),
+            Backoff(jitter),
+            fleet_backoff(jitter, *self.fleet_pacing),
         )
         self.platform = Platform(
             reactor,
@@ -211,14 +211,14 @@
             self.counters,
             self.on_rollout_state,
             self.on_vote_answer,
-            Pauses(jitter),
+            Backoff(jitter),
         )
         self.peers = Peers(
             configuration.peers,
             configuration.broadcast,
             self.counters,
             self.on_peer_message,
-            Flood(limits(len(self.facade.relay.judge.pooled.sums))),
+            RateLimiter(count_message_limits(len(self.facade.relay.judge.pooled.sums))),
             self.clock,
         )
         self.load_fields = facts.get("load_fields", [])
@@ -228,7 +228,7 @@
         self.client_listener: Any = None
         self.hold_timer: Any = None  # of a client listener that is held until the list has come
         self.peer_listener: Any = None
-        self.drain_check: LastLooks | None = None  # whether clients remain, once the relay drains
+        self.drain_check: ShutdownWatch | None = None  # whether clients remain, once the relay drains
         self.timer: Any = None  # of the next tick
         self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
         self.clock_check_timer: Any = None
@@ -264,13 +264,13 @@
     def start_discovery(self) -> None:
         """Ask for the list now or soon; clients may wait in the kernel until it has come (`door_held`)."""
         known = self.configuration.known
-        delay = first_question(
+        delay = initial_request_delay(
             self.jitter,
             *self.fleet_pacing,
             self.configuration.facts.get("list_mode") == "on_request",
             bool(known.entries),
         )
-        hold_time = door_held(delay)
+        hold_time = accept_delay(delay)
         if hold_time is not None:
             self.hold_timer = self.reactor.callLater(hold_time, self.accept_clients)
             set_accepting_paused(self.client_listener, True)
@@ -298,7 +298,7 @@
     def log_duties(self) -> None:
         """Log which relays act for the fleet, as far as this one knows, if that has changed."""
         relay = self.facade.relay
-        duties = relay.guide.keeper(), *relay.judge.order[:JUDGES]
+        duties = relay.load_tracking.tracker_index(), *relay.judge.order[:JUDGES]
         if duties != self.duties:
             self.duties = duties
             logger.info("duties keeper={} judges={}", duties[0], ",".join(str(each) for each in duties[1:]))
@@ -310,7 +310,7 @@
         logger.warning(
             "clock: the process did not run for {:.1f} s; asking discovery and the platform for their state again", gap
         )
-        disregard(self.facade.relay, self.clock.last)
+        discard_evidence(self.facade.relay, self.clock.last)
         self.reactor.callLater(0, self.refresh)
 
     def refresh(self) -> None:
@@ -335,8 +335,8 @@
             self.load_fields = configuration.facts.get("load_fields", [])
             self.platform.vote_wait = configuration.facts.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
             self.counters.add("configuration.taken")
-        except Fixed as needs:  # the addresses still count, since those of before stop answering
-            if needs.foreign:
+        except RestartNeeded as needs:  # the addresses still count, since those of before stop answering
+            if needs.is_foreign:
                 raise
             settings_now = f"kept ({needs})"
             self.counters.add("configuration.kept")
@@ -373,7 +373,7 @@
                 self.units.unlisted(unit_number(entry.id))
         if kind != "changes":
             numbers = {unit_number(entry.id) for entry in entries}
-            self.stamps.keep(numbers)
+            self.stamps.retain(numbers)
             for number in self.units.numbers():
                 if number not in numbers:
                     self.units.unlisted(number)
@@ -384,32 +384,32 @@
             self.accept_clients()
         self.schedule_tick()
 
-    def listed_unit(self, entry: Entry) -> Listed:
+    def listed_unit(self, entry: Entry) -> UnitEntry:
         """The entry as the facade takes it."""
         number = unit_number(entry.id)
-        return Listed(
+        return UnitEntry(
             number,
             entry.build,
             FACADE_STATES.get(entry.state, entry.state),
             self.zone_indexes.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.of(number, settings.tenths(entry.started_ms)),
+            self.stamps.start_time(number, settings.tenths(entry.started_ms)),
         )
 
-    def on_rollout_state(self, state: RolloutState) -> None:
+    def on_rollout_state(self, state: PlatformState) -> None:
         if self.record:
             self.record.rollout_changed(state)
-        self.facade.report(Standing(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
+        self.facade.report(RolloutState(state.build, state.stage, state.phase, state.cap, settings.tenths(state.age)))
         self.schedule_tick()
 
     def on_vote_answer(self, answer: str) -> None:
-        self.facade.report(Counted(answer))
+        self.facade.report(VoteAnswered(answer))
         self.schedule_tick()
 
     def on_peer_message(self, number: int, data: bytes) -> None:
         """`number`: the index of the relay that sent it."""
-        self.facade.report(Heard(number, data))
+        self.facade.report(NoteReceived(number, data))
         self.schedule_tick()
 
     def schedule_tick(self) -> None:
@@ -426,21 +426,21 @@
 
     def on_tick(self) -> None:
         """Carry out what the facade wants by itself."""
-        wants = self.facade.tick()
-        self.switch.settle()
-        for line in wants.lines:
+        actions = self.facade.tick()
+        self.switch.end_transition()
+        for line in actions.lines:
             logger.info("module: {}", line)
-        for number, step in wants.steps:
+        for number, step in actions.steps:
             if number in self.serving:
                 self.serving[number].execute_safely(step)
-            elif isinstance(step, Shoot):  # its client has left since
+            elif isinstance(step, SendShot):  # its client has left since
                 self.facade.report(Outcome(number, step.place, "moot"))
-        for number, data in wants.notes:
+        for number, data in actions.notes:
             self.peers.send(number, data)
-        for vote in wants.votes:
+        for vote in actions.votes:
             logger.info("vote build={} stage={} verdict={}", *vote)
             self.platform.vote(*vote)
-        for number, shot_number in wants.calls_off:
+        for number, shot_number in actions.cancellations:
             if number in self.serving:
                 self.serving[number].cancel_shot(shot_number)
         self.schedule_tick()
@@ -452,7 +452,7 @@
 
     def collect_choice_counts(self) -> None:
         """Copy the counts of the stages of other choices (tealsail/choices/) into the counters."""
-        for seat in self.facade.relay.seats:
+        for seat in self.facade.relay.extra_stages:
             for name, count in seat.counts.items():
                 self.counters.counts[f"zones.{name}"] = count
 
@@ -474,7 +474,7 @@
         self.accept_clients()
         self.clients.stop_sweeping()
         deadlines = [each.get("abandon", 0) for each in self.switch.facts["workloads"]]
-        self.drain_check = LastLooks(self.clock(), deadlines)
+        self.drain_check = ShutdownWatch(self.clock(), deadlines)
         self.check_drain()
 
     def check_drain(self) -> None:
--- a/tealsail/net/relay_configuration.py
+++ b/tealsail/net/relay_configuration.py
@@ -5,9 +5,9 @@
 from typing import Any, NamedTuple
 
 from .. import settings
-from ..setup.facts import BadFacts, check
+from ..setup.validation import InvalidSettings, check_settings
 from .discovery import News, Unreadable, checked_address, read_news
-from .platform import RolloutState, Unreadable as UnreadableState, read_state
+from .platform import PlatformState, Unreadable as UnreadableState, read_state
 
 
 class ConfigurationError(Exception):
@@ -26,7 +26,7 @@
     peers: list[str]  # addresses of all relays, by the relay's index
     broadcast: str  # the address that reaches all relays
     platform: str
-    state: RolloutState | None  # of the newest build at the start
+    state: PlatformState | None  # of the newest build at the start
     known: News  # the list of units as known at the start
     facts: dict[str, Any]  # the platform's settings under the decision module's names (tealsail/settings.py)
     identity: tuple[str, ...] = ()  # name, listen and peer_listen as the file has them
@@ -79,12 +79,12 @@
         seed = int(typed_field(tree, "seed", str), 16)
         state = read_state(rollouts["news"]) if rollouts.get("news") else None
         known = read_news(typed_field(tree, "known", dict, {"generation": 0, "instances": []}))
-        facts = settings.facts(settings.nested(typed_field(tree, "settings", dict)))
+        facts = settings.facts(settings.nested_leaves(typed_field(tree, "settings", dict)))
     except (Unreadable, UnreadableState, ValueError, TypeError, AttributeError) as problem:
         raise ConfigurationError(f"{path}: {problem}") from None
     try:
-        check(facts)
-    except BadFacts as problem:
+        check_settings(facts)
+    except InvalidSettings as problem:
         raise ConfigurationError(f"{path}: settings: {problem}") from None
     return RelayConfiguration(
         environment.get("EDGE_NAME") or typed_field(tree, "name", str),
--- a/tealsail/net/units.py
+++ b/tealsail/net/units.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ..choices.endings import rested, unused
+from ..choices.connection_lifetimes import choose_idle_connection, unused
 from . import messages
 from .connections import OutgoingConnection
 from .counters import Counters
@@ -269,7 +269,7 @@
 
     def take_idle(self) -> Connection | None:
         """Remove and return the idle connection used last, of those that have rested since their last answer."""
-        place = rested([each.answered_at for each in self.idle], self.reactor.seconds())
+        place = choose_idle_connection([each.answered_at for each in self.idle], self.reactor.seconds())
         return None if place is None else self.idle.pop(place)
 
     def open(self) -> Deferred[Connection]:
--- a/tealsail/notes.py
+++ b/tealsail/notes.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 MOST = 60  # figures of a message: 10 + 4 * 60 bytes
-LOW = 0xFFFF  # the most that one figure holds
+UINT16_MAX = 0xFFFF  # the most that one figure holds
 STARTS, PAST = 2, 8  # of one sender that are kept apart, and that are known to be over
 
 
@@ -19,14 +19,18 @@
     the cell with the rest.  Guards against counts that run full: served stood still at 65,535 while failures
     went on, and every good build of a busy place was sent back.  Relays of before pass the first of the two over.
     """
-    most = MOST if all(count <= LOW for _, count in cells) else MOST // 2
+    most = MOST if all(count <= UINT16_MAX for _, count in cells) else MOST // 2
     parts = [cells[first : first + most] for first in range(0, len(cells), most)] or [[]]
     head = build, born & 0xFFFFFFFF, 0, 0  # relays of before held traffic against that before the trial
     rows = [
         [
             figure
             for cell, count in part
-            for figure in ((size + cell, min(LOW, count >> 16), cell, count & LOW) if count > LOW else (cell, count))
+            for figure in (
+                (size + cell, min(UINT16_MAX, count >> 16), cell, count & UINT16_MAX)
+                if count > UINT16_MAX
+                else (cell, count)
+            )
         ]
         for part in parts
     ]
@@ -45,27 +49,27 @@
     ]
 
 
-def state_note(count: int, unit: int, out: int, came: int) -> bytes:
+def load_note(count: int, unit: int, open_shots: int, came: int) -> bytes:
     """Shots of this relay that are at a unit, and what came of the last: 0 nothing yet, 255 an error, else how long
     it took, in sixteenths of the usual.  `count` puts them in order; of a unit's number 16 bits tell enough."""
-    return struct.pack("<HHBB", count & LOW, unit & LOW, min(255, out), came)
+    return struct.pack("<HHBB", count & UINT16_MAX, unit & UINT16_MAX, min(255, open_shots), came)
 
 
 def ask_note(number: int, units: list[int]) -> bytes:
     """Which of these units has the least at hand."""
-    return struct.pack(f"<IB{len(units)}H", number & 0xFFFFFFFF, len(units), *(unit & LOW for unit in units))
+    return struct.pack(f"<IB{len(units)}H", number & 0xFFFFFFFF, len(units), *(unit & UINT16_MAX for unit in units))
 
 
 def answer_note(number: int, place: int) -> bytes:
     return struct.pack("<IB", number, place)
 
 
-def of_shots(data: bytes) -> bool:
+def is_tracker_note(data: bytes) -> bool:
     """Whether it is one of the three above."""
     return len(data) % 2 == 1 or len(data) == 6
 
 
-def read_shots(data: bytes) -> tuple[int, ...]:
+def read_tracker_note(data: bytes) -> tuple[int, ...]:
     """Of the three above their figures, an answer's as it was packed; or none."""
     if len(data) in (5, 6):
         return struct.unpack("<HHBB" if len(data) == 6 else "<IB", data)
--- a/tealsail/parts.py
+++ b/tealsail/parts.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-def mix(*parts: int) -> int:
+def stable_hash(*parts: int) -> int:
     """A hash that is the same in every instance."""
     state = 0x9E3779B97F4A7C15
     for part in parts:
@@ -17,11 +17,11 @@
     return state
 
 
-class Chance:
+class RandomGenerator:
     """A linear congruential generator; its high bits are used."""
 
     def __init__(self, seed: int) -> None:
-        self.state = mix(seed)
+        self.state = stable_hash(seed)
 
     def share(self) -> float:
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
@@ -31,7 +31,7 @@
         return items[int(self.share() * len(items))]
 
 
-class Ring:
+class SlidingSum:
     """What is measured over time: sums in fixed buckets that are used again."""
 
     def __init__(self, span: int, buckets: int) -> None:
@@ -57,7 +57,7 @@
         return self.running
 
 
-class Tries(Ring):
+class Tries(SlidingSum):
     """Shots that invocations allow.  A window may begin anywhere inside its oldest bucket, so for each bucket
     it is kept how far the shots of its later part, wherever that begins, exceed what was allowed there."""
 
@@ -207,14 +207,14 @@
         self.number, self.build, self.started, self.order = number, build, started, order  # its place in a row
         self.credit, self.even = 1.0, even  # what it may get while cold, and up to when that is summed
         self.weight, self.open, self.zone, self.cell = 1.0, True, 0, 0
-        self.out, self.waiting = 0, 0  # our shots out there, and since when with no answer at all
+        self.open_shots, self.silent_since = 0, 0  # our shots out there, and since when with no answer at all
         self.met = -1 << 60  # when it last answered us
-        self.pace, self.failing = 1.0, 0.0  # its latencies over the workload's, errors among its answers
+        self.pace, self.error_rate = 1.0, 0.0  # its latencies over the workload's, errors among its answers
         self.util, self.queue, self.load_at = 0.0, 0.0, 0
-        self.rest_until, self.rest = 0, 0
+        self.ejected_until, self.rest = 0, 0
         # shots that broke off or found no connection since it last answered: one alone may be a connection's
         # fault (all units rested where connections broke everywhere); one that took long counts twice
-        self.missed = 0
+        self.connection_failures = 0
 
 
 def in_rows(ordered: list[Unit], on_trial: Callable[[int], bool]) -> tuple[list[Unit], list[Unit]]:
@@ -233,27 +233,27 @@
 
     def __init__(self) -> None:
         self.by: dict[int, tuple[int, int, int]] = {}
-        self.out = 0  # shots there
+        self.open_shots = 0  # shots there
         self.given: list[tuple[int, int]] = []  # to whom it was named (-1: and told of that shot), and when
-        self.pace, self.failing = 1.0, 0.0  # as of a unit
+        self.pace, self.error_rate = 1.0, 0.0  # as of a unit
 
-    def tell(self, sender: int, count: int, out: int, came: int, now: int) -> None:
+    def tell(self, sender: int, count: int, open_shots: int, came: int, now: int) -> None:
         """The newer of two by their count, 16 bits that begin anew; notes may overtake each other.  What came of a
         shot is as in its note (tealsail/notes.py)."""
         before = self.by.get(sender)
         if before is None or (count - before[0]) & 0xFFFF < 0x8000:
-            self.out += out - (before[1] if before else 0)
-            self.by[sender] = count, out, now
+            self.open_shots += open_shots - (before[1] if before else 0)
+            self.by[sender] = count, open_shots, now
             if not came:  # sent: it is among those told now, and not to be counted twice
                 self.given = [(-1, each[1]) if each[0] == sender else each for each in self.given]
         if came:
-            self.failing += 0.15 * ((came == 255) - self.failing)
+            self.error_rate += 0.15 * ((came == 255) - self.error_rate)
             self.pace += 0.1 * (min(8.0, came / 16) - self.pace) * (came < 255)
 
     def at_hand(self, since: int, told: float) -> float:
         """Shots there, and those that it was named for since then: of such as were told of, this part."""
         self.given = [each for each in self.given if each[1] > since]
-        return self.out + sum(told if sender < 0 else 1 for sender, _ in self.given)
+        return self.open_shots + sum(told if sender < 0 else 1 for sender, _ in self.given)
 
 
 def forget(loads: dict[int, Load], before: int) -> defaultdict[int, Load]:
@@ -261,7 +261,7 @@
     kept = defaultdict(Load)
     for unit, load in loads.items():
         load.by = {sender: each for sender, each in load.by.items() if each[2] > before}
-        load.out = sum(out for _, out, _ in load.by.values())
+        load.open_shots = sum(open_shots for _, open_shots, _ in load.by.values())
         if load.by:
             kept[unit] = load
     return kept
@@ -286,13 +286,13 @@
         self.number, self.workload, self.customer, self.key = number, workload, customer, key
         self.give_up, self.size, self.repeat = give_up, size, repeat
         self.shots: list[Shot] = []
-        self.over, self.luck = False, 1.0  # the luck that decides whether a cold unit may get it
+        self.is_over, self.luck = False, 1.0  # the luck that decides whether a cold unit may get it
         self.tier: int | None = None  # drawn, where there are tiers of zones
         self.asked, self.near, self.best = 0, [], None  # for which shot, of which units, and the answer
         self.blamed = False  # failed by a unit of a build that is alone: counts if another serves it
         self.drawn: bool | None = None  # drawn for the build on trial, or not; None: a further shot
 
-    def out(self) -> int:
+    def open_shots(self) -> int:
         return sum(not shot.ended for shot in self.shots)
 
     def may_have_run(self) -> "Shot | None":
@@ -306,7 +306,7 @@
         self.ended = self.never_ran = False
 
 
-class Stage:
+class ChainStage:
     """A link of the chain: `forward` tells whether the invocation was sent or ended, `backward` hands on
     what came of a shot, the other way."""
 
@@ -320,6 +320,6 @@
         self.before.backward(shot, outcome, latency)
 
 
-def link(*chain: Stage) -> None:
+def link(*chain: ChainStage) -> None:
     for before, after in zip(chain, chain[1:]):
         before.next, after.before = after, before
