--- a/tealsail/policy.py
+++ b/tealsail/policy.py
@@ -9,12 +9,12 @@
 from . import notes
 from .host import Host
 from .parts import (
-    Chance,
+    ChainStage,
     Invocation,
     Load,
-    Ring,
+    RandomGenerator,
     Shot,
-    Stage,
+    SlidingSum,
     Tries,
     Unit,
     Windows,
@@ -24,15 +24,15 @@
     link,
     lone,
     median,
-    mix,
     part,
     slower,
+    stable_hash,
     surplus,
     unexplained,
 )
 
 SECOND = 10_000
-ABSENT: dict[str, Any] = dict(
+DEFAULTS: dict[str, Any] = dict(
     index=0,
     zone=0,
     relays=1,
@@ -70,10 +70,10 @@
 NEVER_RAN, NO_ROOM = {"full", "unreachable", "moot"}, 255  # outcomes that prove it; a keeper's answer
 GROUPS, EDGES = ("canary", "baseline", "before"), (0.06, 0.1, 0.16, 0.26, 0.42, 0.67, 1.07)
 TOLD = [(0, (1,)), (0, (0, 1)), (1, (1,)), (1, (0, 1))]  # canary and baseline: failures, outcomes
-ROW, BUCKETS = 2 + len(EDGES) + 1, 20  # served, failed, times in parts of the promise; of each ring
+CELLS_PER_WORKLOAD, BUCKETS = 2 + len(EDGES) + 1, 20  # served, failed, times in parts of the promise; of each ring
 TRIAL_PART, BEAR = 0.9, 1.3  # of the allowance; over an even share, for a while
-CROWD, THINNEST, FULL = 1000, 7, 1 << 31  # relays; turns of telling, less one; counts told
-JUDGES, FRESH, SPARE = 3, 3 * SECOND, 1.25  # silent for so long: dead; voters over the need
+RELAYS_PER_TURN, MAX_EXTRA_TURNS, FULL = 1000, 7, 1 << 31  # relays; turns of telling, less one; counts told
+JUDGES, JUDGE_TIMEOUT, SPARE = 3, 3 * SECOND, 1.25  # silent for so long: dead; voters over the need
 EARLY_MARGIN, EARLY_EXCESS, CHANCE = 0.015, 4.0, 3.0  # over what the baseline explains, and its deviations
 BRIEF, WIDE = 4, 3  # beats, if so many units of a build fail of late; where
 BROAD, BEYOND, STEADY = 4, 2.8, 5 * SECOND  # one in so many does: deviations beyond chance, more
@@ -84,7 +84,7 @@
 SKIP, LISTED, LAUNCH, NAMED = 2 * SECOND, 0.7, 8 * SECOND, 0.3  # new unit's; stage's; by then all; of late
 
 
-class Intake(Stage):
+class Intake(ChainStage):
     """Takes invocations and gives each its one final answer, at once where nothing can be sent."""
 
     FURTHER, purse = 0.2, 1.0  # doubtful further shots an invocation; no storm of repeats
@@ -96,7 +96,7 @@
 
     def end(self, invocation: Invocation) -> None:
         """What is given up gets its answer at once: a rejection if trying again is known to do no harm."""
-        invocation.over = True
+        invocation.is_over = True
         if self.relay.gate.may_reject(invocation):
             advice = min(SECOND // 2, self.facts["longest_advice"]) if self.facts["may_advise"] else 0
             self.relay.host.reject(invocation.number, advice)
@@ -106,22 +106,22 @@
     def overdue(self, invocation: Invocation) -> None:
         """Called off if the unit is silent to others too: hung.  One alone may only be heavy work."""
         shot = invocation.shots[-1]
-        if not shot.ended and not invocation.over:
-            if shot.unit.waiting <= shot.sent and shot.unit.out > 1 and self.purse >= 1:
+        if not shot.ended and not invocation.is_over:
+            if shot.unit.silent_since <= shot.sent and shot.unit.open_shots > 1 and self.purse >= 1:
                 return self.relay.host.cancel(invocation.number, len(invocation.shots) - 1)
             again = self.relay.now + self.relay.admission.patience(invocation.workload) // 2
             self.relay.host.wake(again, self.relay.WAKE_LATE + invocation.number)
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         invocation = shot.invocation
-        invocation.over |= outcome == "served"
-        if not invocation.over:
+        invocation.is_over |= outcome == "served"
+        if not invocation.is_over:
             self.purse = max(-1.0, self.purse - (not shot.never_ran))
             again = self.purse >= 0 and self.relay.gate.may_repeat(invocation)
             (self.forward if again else self.end)(invocation)
 
 
-class Admission(Stage):
+class Admission(ChainStage):
     """Keeps queues short: a limit on this relay's shots out there falls with late answers, rises with those
     in time; less for what pays little or is of a customer beyond its share.  Guards against any overload."""
 
@@ -130,10 +130,10 @@
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.limit, self.peak, self.cut, self.cut_at = 40.0, 1.0, 0, 0
+        self.limit, self.peak, self.cut, self.limit_cut_at = 40.0, 1.0, 0, 0
         self.shots = self.stuck = 0  # out there, and those with units that are hung
-        self.taken = Ring(4 * SECOND, BUCKETS)
-        self.by_customer = [Ring(4 * SECOND, BUCKETS) for _ in self.facts["customers"] or [{}]]
+        self.taken = SlidingSum(4 * SECOND, BUCKETS)
+        self.by_customer = [SlidingSum(4 * SECOND, BUCKETS) for _ in self.facts["customers"] or [{}]]
         for workload in relay.workloads:  # latencies, until some are seen
             workload.mean, workload.deviation = workload.promised / 5, workload.promised / 10
 
@@ -146,9 +146,9 @@
         if not invocation.shots:
             self.taken.add(self.relay.now, not invocation.repeat)
             self.by_customer[invocation.customer].add(self.relay.now)
-            part, out, luck = self.part(invocation), self.shots - self.stuck + 1, self.relay.chance.share()
-            self.peak = max(out, 0.98 * self.peak)
-            if out > part * max(self.FEW, self.limit) or luck > part * self.limit / self.FEW:
+            part, open_shots, luck = self.part(invocation), self.shots - self.stuck + 1, self.relay.random.share()
+            self.peak = max(open_shots, 0.98 * self.peak)
+            if open_shots > part * max(self.FEW, self.limit) or luck > part * self.limit / self.FEW:
                 return False
         return self.next.forward(invocation)
 
@@ -161,14 +161,14 @@
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         workload, latency_for_size = shot.invocation.workload, latency / max(1.0, shot.invocation.size)
-        late = latency_for_size > self.LATE * workload.promised and shot.unit.waiting >= shot.sent
-        out = self.shots - self.stuck + 1
-        if late and shot.sent >= self.cut_at:  # of what is in use; a cut by a third is given time to show
-            used, self.cut = min(self.limit, 2 * max(out, self.peak)), self.cut + 1
+        late = latency_for_size > self.LATE * workload.promised and shot.unit.silent_since >= shot.sent
+        open_shots = self.shots - self.stuck + 1
+        if late and shot.sent >= self.limit_cut_at:  # of what is in use; a cut by a third is given time to show
+            used, self.cut = min(self.limit, 2 * max(open_shots, self.peak)), self.cut + 1
             self.limit = max(self.FEW * self.LEAST, used - min(1.0, self.CUT * used))
             if self.cut > self.limit / 2:
-                self.cut, self.cut_at = 0, self.relay.now
-        elif outcome == "served" and not late and (out > 0.5 * self.limit or self.limit < self.FEW):
+                self.cut, self.limit_cut_at = 0, self.relay.now
+        elif outcome == "served" and not late and (open_shots > 0.5 * self.limit or self.limit < self.FEW):
             easy = max(0.0, 1 - latency_for_size / (self.EASY * workload.promised))
             self.limit += self.RISE if self.limit > self.FEW else self.FEW * self.RISE * easy
         if outcome in ("served", "timeout", "cancelled"):
@@ -177,17 +177,17 @@
         super().backward(shot, outcome, latency)
 
 
-class Trial(Stage):
+class Trial(ChainStage):
     """Which build: the one on trial gets its units' share, an equal random slice of the rest is baseline."""
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.lately = [0.0] * ROW * len(relay.workloads)
+        self.lately = [0.0] * CELLS_PER_WORKLOAD * len(relay.workloads)
         self.new_build(-1)
 
     def new_build(self, build: int) -> None:
         self.build = build
-        self.owed = defaultdict(float)  # how far the canary group is ahead of the baseline, by tier
+        self.baseline_deficit = defaultdict(float)  # how far the canary group is ahead of the baseline, by tier
         self.groups = {name: [int(count) * (name == "before") for count in self.lately] for name in GROUPS}
 
     def weigh(self) -> None:
@@ -219,7 +219,7 @@
             relay.gate.even += invocation.size / relay.room
         if invocation.asked <= len(invocation.shots):  # else drawn already
             invocation.drawn = (
-                None if invocation.shots else bool(new) and (not old or relay.chance.share() < self.share)
+                None if invocation.shots else bool(new) and (not old or relay.random.share() < self.share)
             )
         wanted = invocation.drawn and new and old and (relay.gate.allowance(invocation, new[0].build, TRIAL_PART) >= 1)
         # Departure: what earlier units cannot take (none left, cold ones full) may use the whole allowance.
@@ -228,11 +228,15 @@
     def group_of(self, unit: Unit) -> list[int] | None:
         """Groups are matched in distance too: else a far zone would read as a slow build."""
         name, tier = "canary" if unit.build == self.build else "baseline", self.relay.tier(unit)
-        if unit.build > self.build or name == "baseline" and self.owed[tier] <= 2 * self.relay.chance.share():
+        if (
+            unit.build > self.build
+            or name == "baseline"
+            and self.baseline_deficit[tier] <= 2 * self.relay.random.share()
+        ):
             return None
-        if name == "canary" and tier and self.owed[tier] >= MATCHED:
+        if name == "canary" and tier and self.baseline_deficit[tier] >= MATCHED:
             return None  # no earlier unit as far away to hold it against
-        self.owed[tier] = min(50.0, self.owed[tier] + (1 if name == "canary" else -1))
+        self.baseline_deficit[tier] = min(50.0, self.baseline_deficit[tier] + (1 if name == "canary" else -1))
         return self.groups[name]
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
@@ -254,16 +258,20 @@
         super().backward(shot, outcome, latency)
 
 
-class Choice(Stage):
+class UnitChoice(ChainStage):
     """Which unit: two random choices in the build among few units, in an order drawn by this relay's number,
     one more whenever those are all busy: with little traffic it opens few connections and knows its units."""
 
-    REST, LONGEST_REST, FEW, NEW = SECOND // 2, 4 * SECOND, 4, 8  # NEW: what a new connection costs,
+    REST, MAX_EJECTION_TIME, FEW, NEW = SECOND // 2, 4 * SECOND, 4, 8  # NEW: what a new connection costs,
     few, cut_off = FEW, 0.0  # where shots of late found none (dear or few connections)
 
     def forward(self, invocation: Invocation, row: list[Unit]) -> bool:
-        used, pick, guide = [shot.unit for shot in invocation.shots], self.relay.chance.pick, self.relay.guide
-        few = max(int(self.few), guide.FEW * guide.on)
+        used, pick, load_tracking = (
+            [shot.unit for shot in invocation.shots],
+            self.relay.random.pick,
+            self.relay.load_tracking,
+        )
+        few = max(int(self.few), load_tracking.FEW * load_tracking.on)
         side = bool(row) and self.relay.on_trial(row[0].build)
         if self.relay.gate.lucky(invocation, side):
             cold = [unit for unit in row if self.relay.warmth(unit) < 1]
@@ -271,11 +279,11 @@
                 row, few = cold + row, min(few, len(cold))
         fit = (unit for unit in row if self.fit(unit) and unit not in used)
         near = list(islice(fit, few))
-        if near and all(unit.out for unit in near):
+        if near and all(unit.open_shots for unit in near):
             self.few += 1
             near += islice(fit, 1)
         best, invocation.best = invocation.best, None
-        if best in near and self.next.forward(invocation, best) or guide.keeps(invocation, near):
+        if best in near and self.next.forward(invocation, best) or load_tracking.keeps(invocation, near):
             return True
         while near:
             one = pick(near)
@@ -288,15 +296,15 @@
 
     def cost(self, unit: Unit) -> float:
         relay, new = self.relay, self.NEW * self.cut_off * (unit.met < self.relay.now - 10 * SECOND)
-        cost = (unit.out + new + relay.chance.share()) * unit.pace / (unit.weight * relay.warmth(unit))
+        cost = (unit.open_shots + new + relay.random.share()) * unit.pace / (unit.weight * relay.warmth(unit))
         if relay.now - unit.load_at < 2 * SECOND:
             cost *= 1 + 2 * unit.util * unit.util + unit.queue / 4
         return cost
 
     def fit(self, unit: Unit) -> bool:
         """Not resting, one shot at a time after a rest, and not silent for longer than answers take."""
-        return self.relay.now >= unit.rest_until and not (
-            unit.out and (unit.rest or self.relay.now - unit.waiting > self.relay.patience)
+        return self.relay.now >= unit.ejected_until and not (
+            unit.open_shots and (unit.rest or self.relay.now - unit.silent_since > self.relay.patience)
         )
 
     def stands_out(self, unit: Unit) -> bool:
@@ -308,41 +316,41 @@
             if other is not unit and other.met > self.relay.now - 10 * SECOND
         ]
         others, elsewhere = (
-            [other.failing for other in seen if (other.build == unit.build) == here] for here in (True, False)
+            [other.error_rate for other in seen if (other.build == unit.build) == here] for here in (True, False)
         )
         few = max(elsewhere) > 0.1 if elsewhere else 3 * sum(each > 0.05 for each in others) < len(others)
-        return len(others) > 1 and few and unit.failing > max(OWN, 3 * sum(others) / len(others))
+        return len(others) > 1 and few and unit.error_rate > max(OWN, 3 * sum(others) / len(others))
 
     def backward(self, shot: Shot, outcome: str, latency: int) -> None:
         unit, now, workload = shot.unit, self.relay.now, shot.invocation.workload
-        unit.out -= 1
-        self.relay.guide.tell(unit, outcome, latency / max(1.0, shot.invocation.size) / workload.mean)
+        unit.open_shots -= 1
+        self.relay.load_tracking.send_note(unit, outcome, latency / max(1.0, shot.invocation.size) / workload.mean)
         self.relay.admission.shots -= 1
         self.cut_off += 0.1 * ((outcome == "unreachable") - self.cut_off)
         if outcome in ("served", "error"):
-            unit.waiting, unit.met, unit.missed = now, now, 0
-            unit.failing += 0.15 * ((outcome == "error") - unit.failing)
+            unit.silent_since, unit.met, unit.connection_failures = now, now, 0
+            unit.error_rate += 0.15 * ((outcome == "error") - unit.error_rate)
         late = outcome in ("timeout", "cancelled") and latency >= self.relay.admission.patience(workload)
         if outcome == "served" or late:
             times = latency / max(1.0, shot.invocation.size) / workload.mean
             unit.pace += 0.1 * (min(8.0, 8.0 if late else times) - unit.pace)
-        unit.missed += (outcome in ("reset", "unreachable")) * (1 + (latency > SECOND // 10))
+        unit.connection_failures += (outcome in ("reset", "unreachable")) * (1 + (latency > SECOND // 10))
         if outcome == "served":
             unit.rest = 0
         elif (
             outcome == "full"
-            or unit.missed > 1
-            or (late and unit.waiting <= shot.sent)
+            or unit.connection_failures > 1
+            or (late and unit.silent_since <= shot.sent)
             or (outcome == "error" and self.stands_out(unit))
         ):
-            unit.rest = min(self.LONGEST_REST, 2 * unit.rest or self.REST)
-            unit.rest_until = now + unit.rest  # dead, drained, silent or failing alone: it rests, and goes
+            unit.rest = min(self.MAX_EJECTION_TIME, 2 * unit.rest or self.REST)
+            unit.ejected_until = now + unit.rest  # dead, drained, silent or failing alone: it rests, and goes
             for row in self.relay.rows:  # to the end of the row
                 row.sort(key=lambda other: other is unit)
         super().backward(shot, outcome, latency)
 
 
-class Guide:
+class LoadTracking:
     """Stands in for load reports that are missing, late or false: a relay drawn by hash is told of each shot,
     and asked which of a few units has the least at hand.  A silent one is left out a while."""
 
@@ -351,69 +359,69 @@
     def __init__(self, relay: "Relay") -> None:
         self.relay, facts = relay, relay.facts
         self.on = facts["may_tell"] and facts["relays"] > 1
-        self.order = sorted(range(facts["relays"]), key=lambda at: mix(0, at))[: self.SEATS]
+        self.order = sorted(range(facts["relays"]), key=lambda at: stable_hash(0, at))[: self.SEATS]
         self.mute = dict.fromkeys(self.order, 0)  # until when each is left out
         self.asked: dict[int, Invocation] = {}  # kept until the answer or the end of the wait
-        self.missed, self.told, self.began, self.ends = 0, 0, 0, Ring(2 * SECOND, BUCKETS)
+        self.connection_failures, self.told, self.began, self.ends = 0, 0, 0, SlidingSum(2 * SECOND, BUCKETS)
         self.loads: defaultdict[int, Load] = defaultdict(Load)  # the keeper's: what all have at a unit
 
-    def keeper(self) -> int:
+    def tracker_index(self) -> int:
         return next((at for at in self.order if self.on and self.mute[at] <= self.relay.now), -1)
 
     def keeps(self, invocation: Invocation, near: list[Unit]) -> bool:
         """Asks once for each shot; `resume` goes on with it."""
-        keeper, relay = self.keeper(), self.relay
-        if keeper < 0 or len(near) < 2 or invocation.asked > len(invocation.shots):
+        tracker_index, relay = self.tracker_index(), self.relay
+        if tracker_index < 0 or len(near) < 2 or invocation.asked > len(invocation.shots):
             return False
         near.sort(key=lambda unit: unit.zone != relay.facts["zone"])  # its own first, all else being equal
         invocation.asked, invocation.near = len(invocation.shots) + 1, near
         self.asked[invocation.number] = invocation
         relay.host.wake(min(relay.now + self.WAIT, invocation.give_up), relay.WAKE_ASKED + invocation.number)
-        self.send(keeper, notes.ask_note(invocation.number, [unit.number for unit in near]))
+        self.send(tracker_index, notes.ask_note(invocation.number, [unit.number for unit in near]))
         return True
 
-    def send(self, keeper: int, data: bytes) -> None:
-        (self.hear if keeper == self.relay.index else self.relay.host.tell)(keeper, data)
+    def send(self, tracker_index: int, data: bytes) -> None:
+        (self.hear if tracker_index == self.relay.index else self.relay.host.send_note)(tracker_index, data)
 
     def resume(self, number: int, place: int = -1) -> None:
         if (invocation := self.asked.pop(number, None)) is None:
             return
-        self.missed = 0 if place >= 0 else self.missed + 1
-        if self.missed > 1:
-            self.mute[self.keeper()], self.missed = self.relay.now + self.MUTE, 0
-        if not invocation.over:
+        self.connection_failures = 0 if place >= 0 else self.connection_failures + 1
+        if self.connection_failures > 1:
+            self.mute[self.tracker_index()], self.connection_failures = self.relay.now + self.MUTE, 0
+        if not invocation.is_over:
             invocation.best = invocation.near[place] if 0 <= place < len(invocation.near) else None
             if place == NO_ROOM or not self.relay.trial.forward(invocation):
                 self.relay.intake.end(invocation)
 
-    def tell(self, unit: Unit, outcome: str = "", times: float = 0.0) -> None:
+    def send_note(self, unit: Unit, outcome: str = "", times: float = 0.0) -> None:
         """How many shots this relay has at the unit now, and what came of the last."""
-        if (keeper := self.keeper()) >= 0:
+        if (tracker_index := self.tracker_index()) >= 0:
             self.told, came = self.told + 1, 255 if outcome == "error" else min(254, int(16 * times))
-            self.send(keeper, notes.state_note(self.told, unit.number, unit.out, came))
+            self.send(tracker_index, notes.load_note(self.told, unit.number, unit.open_shots, came))
 
     def least(self, sender: int, keys: tuple[int, ...]) -> int:
         loads, now, since = [self.loads[key] for key in keys], self.relay.now, self.relay.now - self.WAIT
-        usual = sorted(load.failing for load in loads)[len(loads) // 2]
+        usual = sorted(load.error_rate for load in loads)[len(loads) // 2]
         costs = [
             (load.at_hand(since, NAMED) + 0.5 + self.NEARER * place)
             * max(1.0, load.pace / USUAL)
-            * (1 + 20 * max(0.0, load.failing - OWN - 2 * usual))
+            * (1 + 20 * max(0.0, load.error_rate - OWN - 2 * usual))
             for place, load in enumerate(loads)
         ]
         place = costs.index(min(costs))
         promise = min([each.promised for each in self.relay.workloads], default=SECOND)
         pace = max(LEAST, self.ends.total(now)) / (len(self.loads) * self.ends.span)
-        if loads[place].out > self.HELD * promise * pace and now - self.began > 2 * self.ends.span:
+        if loads[place].open_shots > self.HELD * promise * pace and now - self.began > 2 * self.ends.span:
             return NO_ROOM  # not by one that has just begun to be told
         loads[place].given.append((sender, now))
         return place
 
     def hear(self, sender: int, data: bytes) -> None:
-        figures = notes.read_shots(data)
+        figures = notes.read_tracker_note(data)
         if len(data) == 6:
             self.began = self.began if self.ends.total(self.relay.now) else self.relay.now
-            self.loads[figures[1]].tell(sender, figures[0], *figures[2:], self.relay.now)
+            self.loads[figures[1]].send_note(sender, figures[0], *figures[2:], self.relay.now)
             self.ends.add(self.relay.now, figures[3] > 0)
         elif len(data) == 5 and sender in self.order:
             self.resume(*figures)
@@ -421,14 +429,14 @@
             self.send(sender, notes.answer_note(figures[0], self.least(sender, figures[2:])))
 
 
-class Gate(Stage):
+class Gate(ChainStage):
     """Every send passes here; each of the five rules is kept at one place of it."""
 
     COLD_PART = 1.5  # of an even share, for what a cold unit can do now
 
     def __init__(self, relay: "Relay") -> None:
         super().__init__(relay)
-        self.taken = [Ring(self.facts["exposure_span"], BUCKETS) for _ in relay.workloads]
+        self.taken = [SlidingSum(self.facts["exposure_span"], BUCKETS) for _ in relay.workloads]
         self.tried = defaultdict(lambda: [Tries(ring.span, BUCKETS) for ring in self.taken])  # by build
         self.even = 0.0  # sent to warm units so far, for a weight of one
         self.sound = 1.0  # part of the latest shots that came to an answer
@@ -445,10 +453,10 @@
             return False
         shot = Shot(invocation, unit, now, relay.trial.group_of(unit), relay.warmth(unit))
         invocation.shots.append(shot)
-        unit.waiting = unit.waiting if unit.out else now
-        unit.out += 1
+        unit.silent_since = unit.silent_since if unit.open_shots else now
+        unit.open_shots += 1
         relay.admission.shots += 1
-        relay.guide.tell(unit)
+        relay.load_tracking.send_note(unit)
         if shot.warmth >= 1:
             self.even += invocation.size / max(relay.warm_room, unit.weight)
         unit.credit -= invocation.size
@@ -469,13 +477,13 @@
     # No invocation is lost, and nothing is sent for one that is over.
     def answerable(self, invocation: Invocation) -> bool:
         few = len(invocation.shots) < self.facts["most_shots"]
-        return few and not invocation.over and self.relay.now < invocation.give_up
+        return few and not invocation.is_over and self.relay.now < invocation.give_up
 
     # No effect twice: what may have run goes out again, or is rejected, only as its workload allows.
     def may_repeat(self, invocation: Invocation, unit: Unit | None = None) -> bool:
         workload, first = invocation.workload, invocation.may_have_run()
-        if workload.effect == "harmless" or first is None or invocation.out():
-            return not invocation.out()  # one shot at a time, also where two are allowed
+        if workload.effect == "harmless" or first is None or invocation.open_shots():
+            return not invocation.open_shots()  # one shot at a time, also where two are allowed
         if workload.effect != "stamped" or self.relay.now >= first.sent + workload.memory:
             return False
         return (
@@ -545,7 +553,7 @@
     def new_build(self) -> None:
         size = len(self.relay.trial.lately)
         kinds = [
-            [group * size + row + column for row in range(0, size, ROW) for column in columns]
+            [group * size + row + column for row in range(0, size, CELLS_PER_WORKLOAD) for column in columns]
             for group, columns in TOLD
         ]
         self.pooled = notes.Pool(len(GROUPS) * size, kinds)  # what the others told
@@ -557,7 +565,9 @@
 
     def draw(self) -> None:
         relay = self.relay
-        self.order = sorted(range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -mix(relay.build, at))
+        self.order = sorted(
+            range(max(self.facts["relays"], relay.index + 1)), key=lambda at: -stable_hash(relay.build, at)
+        )
         self.place, self.verdict = self.order.index(relay.index), 0
 
     def sitting(self) -> bool:
@@ -566,31 +576,33 @@
         alive = [
             index
             for index in self.order[: JUDGES + 1]
-            if index == relay.index or relay.now - self.heard.get(index, relay.since) < FRESH
+            if index == relay.index or relay.now - self.heard.get(index, relay.since) < JUDGE_TIMEOUT
         ]
         return relay.index in alive[:JUDGES] or (self.place < self.voters and not self.facts["may_tell"])
 
-    def tell(self) -> None:
+    def send_note(self) -> None:
         """Cumulative counts to the judges and the next in line: each second what is new, every fourth time
         all; new failures each half: what turns bad late must go before the next build is due.  The baseline's
         too: else a judge of many hears first of whoever saw the canary fail, and sends a good build back."""
-        relay, trial, tell = self.relay, self.relay.trial, self.relay.host.tell
+        relay, trial, send_note = self.relay, self.relay.trial, self.relay.host.send_note
         counts = [count for name in GROUPS for count in trial.groups[name]]  # the canary's first
         counts = [count - base for count, base in zip(counts, self.base)]
         matched = 2 * len(trial.lately)  # cells of canary and baseline
-        pressing = any(counts[at] > self.told[at] for at in range(1, matched, ROW))
-        thin = 1 + min(THINNEST, self.facts["relays"] // CROWD)  # else thousands of relays drown their judges
+        pressing = any(counts[at] > self.told[at] for at in range(1, matched, CELLS_PER_WORKLOAD))
+        thin = 1 + min(
+            MAX_EXTRA_TURNS, self.facts["relays"] // RELAYS_PER_TURN
+        )  # else thousands of relays drown their judges
         turn = (self.beat // 2 + relay.index) % thin == 0 or self.place <= JUDGES
         if trial.build < 0 or not self.facts["may_tell"] or not (turn and (self.beat % 2 or pressing)):
             return
         if self.verdict and self.voters > JUDGES and self.sitting():
-            tell(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # if it was lost
+            send_note(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))  # if it was lost
         whole = (self.beat // 2 + relay.index) % 4 == 0
-        cells, self.told = notes.new_cells(counts, [] if whole else self.told, ROW), counts
+        cells, self.told = notes.new_cells(counts, [] if whole else self.told, CELLS_PER_WORKLOAD), counts
         for data in notes.count_notes(trial.build, self.born, cells, len(counts)):
             for index in self.order[: JUDGES + 1] if cells or self.place <= JUDGES else ():
                 if index != relay.index:
-                    tell(index, data)
+                    send_note(index, data)
         if max(counts, default=0) > FULL:  # from here on as if it had started anew
             self.base, self.born = [base + count for base, count in zip(self.base, counts)], relay.now
             self.told = [0] * len(counts)
@@ -608,7 +620,7 @@
             and (figures[1] == relay.stage or figures[2] == BACK)
         ):  # a judge's word
             self.verdict, crowd = figures[2], self.voters / self.facts["votes_per_second"] - 1.5
-            self.busy_until = relay.now + int(max(0.0, crowd) * relay.chance.share() * SECOND)
+            self.busy_until = relay.now + int(max(0.0, crowd) * relay.random.share() * SECOND)
             if self.place < self.voters:
                 self.vote()
 
@@ -618,7 +630,7 @@
 
     def told_by(self, group: int, *columns: int) -> dict[int, int]:
         """What each relay told of a group, in these columns of its rows, and what this one counted itself."""
-        own = sum(sum(self.relay.trial.groups[GROUPS[group]][column::ROW]) for column in columns)
+        own = sum(sum(self.relay.trial.groups[GROUPS[group]][column::CELLS_PER_WORKLOAD]) for column in columns)
         return self.pooled.told[TOLD.index((group, columns))] | {self.relay.index: own}
 
     def others(self, told: dict[int, int]) -> list[list[list[int]]]:
@@ -669,30 +681,30 @@
     def judge(self) -> None:
         relay, pooled = self.relay, self.pool()
         recent, brief, minute = self.windows.take(self.beat, pooled)
-        seen = [unit.failing for unit in relay.units.values() if unit.build == relay.build]
+        seen = [unit.error_rate for unit in relay.units.values() if unit.build == relay.build]
         wide, broad = sum(each > 0.03 for each in seen) >= WIDE, BROAD * sum(each > 0.002 for each in seen)
         known = sum(row[0] + row[1] for row in pooled[1]) >= LEAST // 2  # else nothing to be held against
         before, thin = self.verdict, sum(row[0] + row[1] for row in pooled[0]) < LEAST
-        heard = 1 + 2 * sum(relay.now - at < 2 * FRESH for at in self.heard.values())
+        heard = 1 + 2 * sum(relay.now - at < 2 * JUDGE_TIMEOUT for at in self.heard.values())
         deaf = self.facts["may_tell"] and heard < self.facts["relays"]  # then what is thin was lost
         # Departure: fewer failures, beyond chance and on a quarter of its units: a build that turns bad late
-        chance = sqrt(BEYOND**2 + 2 * log(max(1.0, (relay.now - self.begun) / STEADY)))
-        failing = (
+        random = sqrt(BEYOND**2 + 2 * log(max(1.0, (relay.now - self.begun) / STEADY)))
+        error_rate = (
             any(self.fails(each, pooled[1]) for each in (pooled[0], recent[0], brief[0])[: 2 + wide])
             or broad > max(len(seen), 8)
-            and max(surplus(pooled, each) for each in (brief, minute)) > chance
+            and max(surplus(pooled, each) for each in (brief, minute)) > random
         )
         rest = self.contradicted(0) or self.contradicted(1)
         # that relay's word counts no more, nor what came of it; who told of a million served hides nothing
-        failing = self.fails(*(rest or self.others(self.told_by(0, 0, 1)))[:2]) or failing and not rest
-        if known and failing:
+        error_rate = self.fails(*(rest or self.others(self.told_by(0, 0, 1)))[:2]) or error_rate and not rest
+        if known and error_rate:
             self.verdict = BACK
         elif not self.verdict and relay.phase == ON_TRIAL and relay.now >= self.due():
             known = not thin or (relay.now >= self.due() + PATIENCE and not deaf)
             self.verdict = BACK if self.worse(*pooled) else ON * known
         if self.verdict != before:
             if self.voters > JUDGES:  # at once: until the next beat a build waits for its voters
-                relay.host.tell(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))
+                relay.host.send_note(-1, notes.verdict_note(relay.build, relay.stage, self.verdict))
             relay.host.log(
                 f"verdict {self.verdict} on build {relay.build} stage {relay.stage}:"
                 + "".join(f" {row[0]}-{row[1]}@{median(row[2:], EDGES):.2f}" for rows in pooled for row in rows)
@@ -700,9 +712,9 @@
 
     def vote(self) -> None:
         relay, now, ballot = self.relay, self.relay.now, (self.relay.build, self.relay.stage, self.verdict)
-        stands = self.cast == ballot and now - self.cast_at < self.facts["vote_life"] // 2
+        may_still_send = self.cast == ballot and now - self.cast_at < self.facts["vote_life"] // 2
         useless = self.verdict == ON and (relay.phase != ON_TRIAL or self.facts["control"] == "timer")
-        if self.verdict and not stands and not useless and now >= self.busy_until:
+        if self.verdict and not may_still_send and not useless and now >= self.busy_until:
             self.busy_until, self.voted = now + self.facts["vote_wait"] + SECOND // 10, ballot
             relay.host.vote(*ballot)
 
@@ -711,7 +723,7 @@
         if answer == "ok":
             self.cast, self.cast_at = self.voted, self.relay.now
         elif answer != "timeout":  # moot, full or an error: it does not count; soon again
-            self.busy_until += int((0.2 + 0.3 * self.relay.chance.share()) * SECOND)
+            self.busy_until += int((0.2 + 0.3 * self.relay.random.share()) * SECOND)
 
 
 class Relay:
@@ -721,32 +733,34 @@
 
     def __init__(self, host: Host, facts: dict[str, Any], seed: int, now: int) -> None:
         self.host, self.now, self.born, self.since = host, now, now, now
-        self.facts = ABSENT | {name: fact for name, fact in facts.items() if fact != []}
-        self.chance, self.index = Chance(seed), self.facts["index"]
-        self.workloads = [Workload(at, ROW, ABSENT | each) for at, each in enumerate(self.facts["workloads"])]
+        self.facts = DEFAULTS | {name: fact for name, fact in facts.items() if fact != []}
+        self.random, self.index = RandomGenerator(seed), self.facts["index"]
+        self.workloads = [
+            Workload(at, CELLS_PER_WORKLOAD, DEFAULTS | each) for at, each in enumerate(self.facts["workloads"])
+        ]
         self.units: dict[int, Unit] = {}
         self.leaving: set[int] = set()  # those that drain: their successors may share their machines
         self.rows: tuple[list[Unit], ...] = ([], [])  # of earlier builds, and on trial
         self.known: dict[int, Invocation] = {}  # taken, and not over or with shots still out
-        self.build, self.stage, self.phase, self.told_cap = -1, 0, RELEASED, 1.0
+        self.build, self.stage, self.phase, self.stated_cap = -1, 0, RELEASED, 1.0
         self.lowered, self.higher_cap = 0, 0.0  # when a cap was lowered, and from what
         self.usual_work, self.patience, self.cold_share = 0.0, SECOND, [(0.0, 0.0)] * 2  # the last by row
         self.room, self.warm_room, self.crowd = 0.01, 0.0, 1.0  # weights: all, warm; units over machines
         self.beside, self.alone = self.facts["layout"] == "beside", False  # earlier ones stay; none left
-        self.choice, self.admission, self.gate = Choice(self), Admission(self), Gate(self)
+        self.choice, self.admission, self.gate = UnitChoice(self), Admission(self), Gate(self)
         self.intake, self.trial = Intake(self), Trial(self)
-        self.judge, self.guide = Judge(self), Guide(self)
-        self.seats: list[Any] = []  # stages of other choices, before the choice of unit
+        self.judge, self.load_tracking = Judge(self), LoadTracking(self)
+        self.extra_stages: list[Any] = []  # stages of other choices, before the choice of unit
         self.tier = lambda unit: 0  # how far a unit is, where a seat knows
         self.on_vote_answer = self.judge.answered
         link(self.intake, self.admission, self.trial, self.choice, self.gate)
-        host.wake(now + int((1 + self.chance.share()) * SECOND / 4), self.WAKE_BEAT)
+        host.wake(now + int((1 + self.random.share()) * SECOND / 4), self.WAKE_BEAT)
 
     def seat(self, stage: Any) -> None:
         """A stage between the choice of build and that of the unit; it is told of the list and of time."""
-        self.seats.append(stage)
-        self.guide.on = False  # who keeps to zones chooses alone
-        link(self.trial, *self.seats, self.choice)
+        self.extra_stages.append(stage)
+        self.load_tracking.on = False  # who keeps to zones chooses alone
+        link(self.trial, *self.extra_stages, self.choice)
 
     def warmth(self, unit: Unit) -> float:
         """The part of its capacity that a unit has at the least."""
@@ -762,7 +776,7 @@
         self.rows = in_rows(ordered, self.on_trial)
         self.alone = self.beside and all(unit.build >= self.build for unit in ordered)
         self.trial.weigh()
-        for seat in self.seats:
+        for seat in self.extra_stages:
             seat.arrange()
 
     def on_trial(self, build: int) -> bool:
@@ -770,7 +784,7 @@
 
     def cap(self, build: int) -> float:
         grace = self.now < self.lowered + self.facts["drain_grace"] and not self.rows[0]
-        return self.facts["caps"][0] if build != self.build else max(self.told_cap, grace * self.higher_cap)
+        return self.facts["caps"][0] if build != self.build else max(self.stated_cap, grace * self.higher_cap)
 
     def on_list(self, kind: str, entries: list[tuple]) -> None:
         kept = self.units if kind == "changes" else {}
@@ -779,7 +793,7 @@
         for number, build, state, zone, cell, weight, started in entries:
             unit = self.units.get(number)
             if unit is None or unit.build != build or unit.started < started:
-                unit = Unit(number, build, started, self.gate.even, mix(self.index, number))
+                unit = Unit(number, build, started, self.gate.even, stable_hash(self.index, number))
             unit.weight, unit.open, unit.zone, unit.cell = max(weight, 0.01), state == "open", zone, cell
             kept[number] = unit
             (self.leaving.add if state == "draining" else self.leaving.discard)(number)
@@ -792,7 +806,7 @@
         self.usual_work += 0.01 * (work - self.usual_work) if self.usual_work else work
         size = work / self.usual_work if work else 1.0
         invocation = Invocation(number, self.workloads[workload], customer, key, give_up, size, repeat)
-        invocation.luck = self.chance.share()
+        invocation.luck = self.random.share()
         self.known[number] = invocation
         self.gate.taken[workload].add(self.now)
         for build, tries in self.gate.tried.items():
@@ -800,7 +814,7 @@
         self.intake.forward(invocation)
 
     def on_outcome(
-        self, number: int, place: int, outcome: str, over: bool, latency: int, load: dict[str, float] | None
+        self, number: int, place: int, outcome: str, is_over: bool, latency: int, load: dict[str, float] | None
     ) -> None:
         invocation = self.known.get(number)
         if invocation is None:
@@ -809,57 +823,57 @@
         if load:
             unit = shot.unit
             unit.util, unit.queue, unit.load_at = load.get("util", 0.0), load.get("queue", 0.0), self.now
-        invocation.over |= over and outcome != "served"
+        invocation.is_over |= is_over and outcome != "served"
         self.gate.backward(shot, outcome, latency)
 
     def on_started(self, number: int, place: int) -> None:
         if number in self.known:
-            self.known[number].over = True  # an answer's stream has begun: nothing more may be sent
+            self.known[number].is_over = True  # an answer's stream has begun: nothing more may be sent
 
-    def stands(self, number: int, place: int) -> bool:
+    def may_still_send(self, number: int, place: int) -> bool:
         """Whether a shot may go out once its connection is up: guards against a list or cap changed since."""
         unit = self.known[number].shots[place].unit
         return self.gate.listed(unit) and (not self.on_trial(unit.build) or self.cap(unit.build) > 0)
 
     def on_abandoned(self, number: int) -> None:
         invocation = self.known.get(number)
-        if invocation and not invocation.over:
-            invocation.over = True
-            if invocation.out() and self.facts["may_cancel"]:
+        if invocation and not invocation.is_over:
+            invocation.is_over = True
+            if invocation.open_shots() and self.facts["may_cancel"]:
                 self.host.cancel(number, len(invocation.shots) - 1)  # nobody waits for it any more
 
     def on_wake(self, token: int) -> None:
         if token == self.WAKE_BEAT:
             due, after = self.judge.due(), self.now + SECOND // 2  # no wait is lost at the horizon
             self.host.wake(due if self.now < due < after else after, self.WAKE_BEAT)
-            self.known = {number: each for number, each in self.known.items() if not each.over or each.out()}
+            self.known = {number: each for number, each in self.known.items() if not each.is_over or each.open_shots()}
             self.patience = max([self.admission.patience(each) for each in self.workloads], default=SECOND)
-            busy = (unit for unit in self.units.values() if unit.out)
-            self.admission.stuck = sum(unit.out for unit in busy if not self.choice.fit(unit))
+            busy = (unit for unit in self.units.values() if unit.open_shots)
+            self.admission.stuck = sum(unit.open_shots for unit in busy if not self.choice.fit(unit))
             for unit in self.units.values():  # what is not tried again is slowly forgiven
-                if unit.failing or unit.pace != 1:
-                    unit.pace, unit.failing = unit.pace + 0.03 * (1 - unit.pace), 0.97 * unit.failing
+                if unit.error_rate or unit.pace != 1:
+                    unit.pace, unit.error_rate = unit.pace + 0.03 * (1 - unit.pace), 0.97 * unit.error_rate
             self.trial.lately = [count * (1 if self.rows[1] else 0.92) for count in self.trial.lately]
             self.choice.few = max(self.choice.FEW, 0.99 * self.choice.few)
             self.judge.consider()
             (self.trial.weigh if self.judge.beat % 40 else self.arrange)()  # who went to the end is forgiven
-            self.judge.tell()
-            self.guide.loads = forget(self.guide.loads, self.now - self.guide.LIFE)
-            for seat in self.seats:
+            self.judge.send_note()
+            self.load_tracking.loads = forget(self.load_tracking.loads, self.now - self.load_tracking.LIFE)
+            for seat in self.extra_stages:
                 seat.beat()
         elif token >= self.WAKE_ASKED:
-            self.guide.resume(token - self.WAKE_ASKED)
+            self.load_tracking.resume(token - self.WAKE_ASKED)
         elif token - self.WAKE_LATE in self.known:
             self.intake.overdue(self.known[token - self.WAKE_LATE])
 
-    def on_told(self, sender: int, data: bytes) -> None:
-        (self.guide if notes.of_shots(data) else self.judge).hear(sender, data)
+    def on_note(self, sender: int, data: bytes) -> None:
+        (self.load_tracking if notes.is_tracker_note(data) else self.judge).hear(sender, data)
 
     def on_stage(self, build: int, stage: int, phase: int, cap: float, age: int) -> None:
-        if build == self.build and cap < self.told_cap:
-            self.lowered, self.higher_cap = self.now, self.told_cap
+        if build == self.build and cap < self.stated_cap:
+            self.lowered, self.higher_cap = self.now, self.stated_cap
         earlier = self.build, self.stage, self.phase
-        self.build, self.stage, self.phase, self.told_cap = build, stage, phase, cap
+        self.build, self.stage, self.phase, self.stated_cap = build, stage, phase, cap
         if build != earlier[0]:
             self.trial.new_build(build)
             self.judge.new_build()
@@ -870,9 +884,9 @@
             self.judge.draw()
             self.arrange()
 
-    def on_flag(self, unit: int, workload: int, age: int) -> None:
+    def on_wrong_answer(self, unit: int, workload: int, age: int) -> None:
         build, share = self.units[unit].build if unit in self.units else 0, self.trial.share
         mine = build == self.build  # some reports are false: of both builds they count alike
-        if mine or build and self.rows[1] and self.chance.share() * (1 - share) < share:
+        if mine or build and self.rows[1] and self.random.share() * (1 - share) < share:
             group = self.trial.groups["canary" if mine else "baseline"]
             group[self.workloads[workload].row.start + 1] += 1
--- a/tealsail/settings.py
+++ b/tealsail/settings.py
@@ -8,7 +8,7 @@
 EFFECTS = {"read_like": "harmless", "idempotency_key": "stamped", "non_idempotent": "one-shot"}
 
 # path (without the places of list items) -> the module's name
-NAMES = {
+NAMES_BY_PATH = {
     "fleetSize": "relays",
     "index": "index",
     "zone": "zone",
@@ -138,21 +138,21 @@
     return value
 
 
-def flat(pairs: dict[str, str]) -> Iterator[tuple[list[str], Any]]:
+def flat_leaves(pairs: dict[str, str]) -> Iterator[tuple[list[str], Any]]:
     """The wire's form: a list of objects has its places in the path, and its length under `count`."""
     for path, text in pairs.items():
-        name = NAMES.get(path)
+        name = NAMES_BY_PATH.get(path)
         yield path.split("."), text if name in LIST_VALUES else plain(text)
 
 
-def nested(tree: dict[str, Any], path: tuple[str, ...] = ()) -> Iterator[tuple[list[str], Any]]:
+def nested_leaves(tree: dict[str, Any], path: tuple[str, ...] = ()) -> Iterator[tuple[list[str], Any]]:
     """A real relay's form: objects in objects, and lists of objects."""
     for name, value in tree.items():
         if isinstance(value, dict):
-            yield from nested(value, (*path, name))
+            yield from nested_leaves(value, (*path, name))
         elif isinstance(value, list) and value and isinstance(value[0], dict):
             for place, item in enumerate(value):
-                yield from nested(item, (*path, name, str(place)))
+                yield from nested_leaves(item, (*path, name, str(place)))
         else:
             yield [*path, name], value
 
@@ -163,14 +163,14 @@
     for parts, value in leaves:
         path = ".".join(parts)
         if len(parts) == 3 and parts[1].isdigit():
-            listed, name = NAMES.get(parts[0]), NAMES.get(parts[2])
+            listed, name = NAMES_BY_PATH.get(parts[0]), NAMES_BY_PATH.get(parts[2])
             if listed and name:
                 items = known.setdefault(listed, [])
                 while len(items) <= int(parts[1]):
                     items.append({})
                 items[int(parts[1])][name] = named(name, value)
-        elif path in NAMES:
-            known[NAMES[path]] = named(NAMES[path], value)
+        elif path in NAMES_BY_PATH:
+            known[NAMES_BY_PATH[path]] = named(NAMES_BY_PATH[path], value)
     if known.get("customers"):  # whoever else asks: not on the account of one that is listed
         known["customers"].append({"name": NOBODY, "share": 0})
     return known
--- a/tealsail/setup/document.py
+++ b/tealsail/setup/document.py
@@ -90,7 +90,7 @@
     recording: Recording | None = None
     zones: Zones | None = None
 
-    def seats(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
+    def extra_stages(self, facts: dict[str, Any]) -> list[Callable[[Any], Any]]:
         """What takes a seat in the module's chain (tealsail/facade.py), for the platform's settings.  Raises
         BadDocument where they don't fit."""
         if self.zones is None:
--- a/tealsail/setup/facts.py
+++ b/tealsail/setup/facts.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from ..settings import NAMES
+from ..settings import NAMES_BY_PATH
 
-PATHS = {name: path for path, name in NAMES.items()}
+PATHS = {name: path for path, name in NAMES_BY_PATH.items()}
 MOST = 1e9  # tenths of a ms, and any count
 
 
--- a/tealsail/world/builds.py
+++ b/tealsail/world/builds.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .draws import TURNS, share
+from .random_draws import TURNS, share
 
 
 class Build(NamedTuple):
--- a/tealsail/world/clients.py
+++ b/tealsail/world/clients.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from . import draws
-from .draws import Gaps, Sorts, share
+from .random_draws import Gaps, Sorts, share
 
 STREAM, TRY = 10**7, 10**12  # numbers: try * TRY + stream * STREAM + place in the stream
 SECOND = 10_000
--- a/tealsail/world/day.py
+++ b/tealsail/world/day.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..record.lines import Fault as FaultLine, Stage, Vote
+from ..record.lines import Fault as FaultLine, StageChanged, Vote
 from .builds import Build
 from .clients import Clients, Habits, Workload
-from .desk import Desk, Plan
-from .draws import PICKS, Table, share
 from .faults import Fault
 from .fleet import Fleet, Layout
 from .network import Network, Paths, Trouble
-from .roster import Roster
+from .platform import Desk, Plan
+from .random_draws import PICKS, Table, share
 from .unit import NEVER, Kind, Unit
+from .unit_list import Roster
 
 OTHER = 1_000_000  # draws of a line's second party, apart from its first's
 TURN = 400  # tenths of a ms: of a relay that has a share of a core
@@ -152,7 +152,7 @@
             desk.orders = []
         if desk.news:
             desk.news, self.moved = False, True
-            self.lines.append(Stage(now, desk.state.build, desk.state.stage, desk.state.phase, desk.state.cap))
+            self.lines.append(StageChanged(now, desk.state.build, desk.state.stage, desk.state.phase, desk.state.cap))
         for entry in fleet.changes:
             self.round_due = min(self.round_due, self.roster.change(now, entry))
         self.lines += fleet.lines
--- a/tealsail/world/draws.py
+++ b/tealsail/world/draws.py
@@ -9,7 +9,7 @@
 from statistics import NormalDist
 from typing import NamedTuple
 
-from ..parts import mix
+from ..parts import stable_hash
 
 POINTS = 512  # parts of a table
 ARRIVALS, WORK, FATE, SPEED, LIST, NOTES, RETRY, TURNS, PICKS, OWN = range(1, 11)  # what draws are for
@@ -17,7 +17,7 @@
 
 def share(seed: int, purpose: int, *whom: int) -> float:
     """Evenly between 0 and 1, the same for the same arguments on any machine."""
-    return (mix(seed, purpose, *whom, 0) >> 11) / (1 << 53)
+    return (stable_hash(seed, purpose, *whom, 0) >> 11) / (1 << 53)
 
 
 class Table(NamedTuple):
@@ -79,7 +79,7 @@
     MASK = (1 << 64) - 1
 
     def __init__(self, *seed: int) -> None:
-        self.state = mix(*seed, 0)
+        self.state = stable_hash(*seed, 0)
 
     def share(self) -> float:
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & self.MASK
--- a/tealsail/world/evenness.py
+++ b/tealsail/world/evenness.py
@@ -15,8 +15,8 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from ..record.lines import Came, Done, Head, Life, Line, Log, Met, Ran, Unit
-from .draws import Gaps
+from ..record.lines import ConnectionOpened, Head, Line, Log, RelayEvent, ShotAnswered, ShotEnded, ShotStarted, Unit
+from .random_draws import Gaps
 
 SPAN, HERD = 50_000, 1_000  # tenths of a ms: windows of evenness, of herds
 FEWEST, THIN = 5, 10  # units of a build, shots for each of them in a window that counts
@@ -74,12 +74,12 @@
         self.handlers = {
             Head: self.head,
             Unit: self.unit,
-            Ran: self.ran,
-            Done: self.done,
-            Came: self.done,
-            Met: self.meet,
+            ShotStarted: self.ran,
+            ShotAnswered: self.done,
+            ShotEnded: self.done,
+            ConnectionOpened: self.meet,
             Log: self.log,
-            Life: self.life,
+            RelayEvent: self.life,
         }
 
     def __call__(self, line: Line) -> None:
@@ -128,7 +128,7 @@
             self.idle = max(self.idle, self.sums[one.build] - one.even)
 
     # shots
-    def ran(self, line: Ran) -> None:
+    def ran(self, line: ShotStarted) -> None:
         one = self.units.get(line.unit)
         if one is None:
             return
@@ -181,7 +181,7 @@
                 (*spread([window.got[name] for name in names]), *spread([window.drawn[name] for name in names]))
             )
 
-    def done(self, line: Done | Came) -> None:
+    def done(self, line: ShotAnswered | ShotEnded) -> None:
         self.ended((line.relay, line.number, line.place))
 
     def ended(self, key: tuple[int, int, int]) -> None:
@@ -192,7 +192,7 @@
             if not one.hand and one.open and one.sound:
                 self.empty[one.build].add(name)
 
-    def meet(self, line: Met) -> None:
+    def meet(self, line: ConnectionOpened) -> None:
         self.met[line.unit, line.at // SECOND] += 1
 
     # who acts
@@ -201,7 +201,7 @@
             self.words[line.relay] = line.text.split()[1]
             self.count(line.at)
 
-    def life(self, line: Life) -> None:
+    def life(self, line: RelayEvent) -> None:
         """With a relay that ends its shots end; the model has no line for each of them, and units seemed busy for
         good."""
         if line.event == "down":
--- a/tealsail/world/fleet.py
+++ b/tealsail/world/fleet.py
@@ -11,9 +11,9 @@
 from ..record.lines import Unit as UnitLine
 from . import draws
 from .builds import Build
-from .draws import Table, share
-from .roster import Entry
+from .random_draws import Table, share
 from .unit import NEVER, Kind, Unit
+from .unit_list import Entry
 
 
 class Layout(NamedTuple):
--- a/tealsail/world/network.py
+++ b/tealsail/world/network.py
@@ -3,7 +3,7 @@
 
 from typing import Any, NamedTuple
 
-from .draws import NOTES, share
+from .random_draws import NOTES, share
 
 
 class Paths(NamedTuple):
--- a/tealsail/world/roster.py
+++ b/tealsail/world/roster.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .draws import LIST, share
+from .random_draws import LIST, share
 
 
 class Entry(NamedTuple):
--- a/tealsail/world/rules.py
+++ b/tealsail/world/rules.py
@@ -14,7 +14,19 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from ..record.lines import Came, End, Head, Life, Line, News, Ran, Shot, Take, Told, Unit
+from ..record.lines import (
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    News,
+    RelayEvent,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    Unit,
+)
 
 NEVER_RAN = ("full", "unreachable", "moot")
 MOST_TOLD = 50  # breaches kept word for word
@@ -44,7 +56,7 @@
 
     __slots__ = ("take", "out", "ran", "ran_at", "ended", "left", "doubt")
 
-    def __init__(self, take: Take) -> None:
+    def __init__(self, take: InvocationTaken) -> None:
         self.take, self.out, self.ran, self.ran_at, self.ended, self.left = take, {}, False, 0, False, False
         self.doubt: dict[int, int] = {}  # copies whose end may still be on its way to whoever looks: since when
 
@@ -81,15 +93,15 @@
         self.last = 0
         self.handlers = {
             Head: self.head,
-            Take: self.take,
-            Shot: self.shot,
-            Came: self.came,
-            End: self.end,
-            Ran: self.ran,
+            InvocationTaken: self.take,
+            ShotSent: self.shot,
+            ShotEnded: self.came,
+            InvocationEnded: self.end,
+            ShotStarted: self.ran,
             Unit: self.unit,
-            Told: self.told,
+            EntryReceived: self.told,
             News: self.stood,
-            Life: self.life,
+            RelayEvent: self.life,
         }
 
     def __call__(self, line: Line) -> None:
@@ -120,11 +132,11 @@
         self.fall = float(self.facts.get("fall_multiple", 2.0)), int(self.facts.get("fall_span", 20_000))
 
     # 1 and 2
-    def take(self, line: Take) -> None:
+    def take(self, line: InvocationTaken) -> None:
         self.open[line.relay, line.number] = Open(line)
         self.taken.setdefault(line.relay, deque()).append(line.at)
 
-    def end(self, line: End) -> None:
+    def end(self, line: InvocationEnded) -> None:
         one = self.open.get((line.relay, line.number))
         if one is None:
             return self.breach(line.at, "lost", f"relay {line.relay} answered {line.number}, which it had not taken")
@@ -141,7 +153,7 @@
         while self.closed and self.closed[0][0] < line.at - FORGET:
             self.open.pop(self.closed.popleft()[1], None)
 
-    def shot(self, line: Shot) -> None:
+    def shot(self, line: ShotSent) -> None:
         one = self.open.get((line.relay, line.number))
         if one and one.left and self.halted(line.relay, one.take.at, line.at):
             pass  # its client left while it was stopped: it reads the query before that
@@ -163,7 +175,7 @@
         self.drained(line)
         self.exposed(line)
 
-    def came(self, line: Came) -> None:
+    def came(self, line: ShotEnded) -> None:
         one = self.open.get((line.relay, line.number))
         if one and line.place in one.out:
             sent = one.out.pop(line.place)
@@ -174,7 +186,7 @@
                 one.ran, one.ran_at = True, sent
 
     # 3
-    def told(self, line: Told) -> None:
+    def told(self, line: EntryReceived) -> None:
         listed = self.listed.setdefault(line.relay, {})
         warned = self.warned.setdefault(line.relay, {})
         if line.state == "open":
@@ -183,7 +195,7 @@
         else:
             warned.setdefault(line.unit, line.at)
 
-    def drained(self, line: Shot) -> None:
+    def drained(self, line: ShotSent) -> None:
         since = self.warned.get(line.relay, {}).get(line.unit)
         if since is not None and line.at > since + self.grace + self.slack.time + self.halted(
             line.relay, since, line.at
@@ -201,7 +213,7 @@
         if line.event == "fell":
             self.breach(line.at, "cold", f"{line.unit} fell over")
 
-    def ran(self, line: Ran) -> None:
+    def ran(self, line: ShotStarted) -> None:
         cold = self.cold.get(line.unit)
         if cold is None:
             return
@@ -229,7 +241,7 @@
             self.lowered[line.relay] = line.at, before.cap
         self.news[line.relay] = line
 
-    def cap(self, line: Shot, build: int) -> float | None:
+    def cap(self, line: ShotSent, build: int) -> float | None:
         """The share that binds for that build at that relay; None where it is not on trial.  A lower one binds
         after the grace, for what is sent from then on."""
         news = self.news.get(line.relay)
@@ -241,7 +253,7 @@
         late = self.slack.time + self.halted(line.relay, at, line.at)
         return max(news.cap, higher) if line.at <= at + self.grace + late else news.cap
 
-    def exposed(self, line: Shot) -> None:
+    def exposed(self, line: ShotSent) -> None:
         build = self.listed.get(line.relay, {}).get(line.unit, line.build)
         cap = self.cap(line, build)
         if cap is None:
@@ -260,7 +272,7 @@
                 line.at, "exposure", f"relay {line.relay}: {len(tried)} shots at build {build}, {allowed:.1f} allowed"
             )
 
-    def life(self, line: Life) -> None:
+    def life(self, line: RelayEvent) -> None:
         """A relay that starts knows nothing of what it was told before."""
         halts = self.halts.setdefault(line.relay, deque(maxlen=MOST_HALTS))
         if line.event == "stopped":
--- a/tealsail/world/spill.py
+++ b/tealsail/world/spill.py
@@ -6,7 +6,7 @@
 
 from collections import deque
 
-from ..record.lines import Head, Line, Shot, Take, Unit
+from ..record.lines import Head, InvocationTaken, Line, ShotSent, Unit
 
 SECOND = 10_000
 
@@ -35,14 +35,14 @@
                 self.relays = [zones[relay % len(zones)] for relay in range(line.day["fleet"]["relays"])]
             case Unit(_, unit, _, zone):
                 self.zone_of[unit] = zone
-            case Take(at, relay):
+            case InvocationTaken(at, relay):
                 asked = self.asked.setdefault(self.relays[relay], deque())
                 asked.append(at)
                 while asked[0] <= at - self.USUAL:
                     asked.popleft()
                 rate = len(asked) / self.USUAL * SECOND if at > self.USUAL else 0.0
                 self.usual[self.relays[relay]] = max(self.usual.get(self.relays[relay], 0.0), rate)
-            case Shot(at, relay, _, _, unit):
+            case ShotSent(at, relay, _, _, unit):
                 zone = self.zone_of.get(unit, "")
                 if zone != self.relays[relay]:
                     self.foreign(at, zone)
--- a/tealsail/world/unit.py
+++ b/tealsail/world/unit.py
@@ -9,9 +9,9 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from ..parts import Ring
+from ..parts import SlidingSum
 from .builds import Build
-from .draws import FATE, OWN, WORK, Table, share
+from .random_draws import FATE, OWN, WORK, Table, share
 
 NEVER = 1 << 60
 COLD_STEP = 500  # tenths of a ms: how often a cold unit's speed is taken anew
@@ -84,7 +84,7 @@
         self.working = self.count = 0
         self.queue: deque[Job] = deque()
         self.rate = 0.0
-        self.received = Ring(kind.fall_span, 20)
+        self.received = SlidingSum(kind.fall_span, 20)
         self.reports: deque[tuple[int, float, float]] = deque(maxlen=REPORTS)
         self.said: list[tuple[Any, str]] = []
         self.taken: list[tuple[Any, int]] = []  # (ref, work) of what was let in, for the record
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -4,7 +4,7 @@
 import unittest
 import unittest.mock
 
-from tealsail.adapter.frames import serve
+from tealsail.adapter.protocol import serve
 
 START = "ENLIST relay=3 rngSeed=5 requestClasses.count=1 requestClasses.0.effect=read_like limits.maxAttempts=3\n"
 UNITS = (
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -2,7 +2,18 @@
 
 import unittest
 
-from tealsail.record.lines import Came, End, Head, Life, News, Ran, Shot, Take, Told, Unit
+from tealsail.record.lines import (
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    News,
+    RelayEvent,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    Unit,
+)
 from tealsail.world.rules import Slack, check
 
 SECOND = 10_000
@@ -18,12 +29,12 @@
 }
 
 
-def take(number: int, at: int = 0, workload: int = 0, relay: int = 0) -> Take:
-    return Take(at, relay, number, at, workload, 0, "k", at + 3 * SECOND, number)
+def take(number: int, at: int = 0, workload: int = 0, relay: int = 0) -> InvocationTaken:
+    return InvocationTaken(at, relay, number, at, workload, 0, "k", at + 3 * SECOND, number)
 
 
-def shot(number: int, at: int, place: int = 0, unit: str = "u1", build: int = 1, relay: int = 0) -> Shot:
-    return Shot(at, relay, number, place, unit, build, 100)
+def shot(number: int, at: int, place: int = 0, unit: str = "u1", build: int = 1, relay: int = 0) -> ShotSent:
+    return ShotSent(at, relay, number, place, unit, build, 100)
 
 
 class Rules(unittest.TestCase):
@@ -37,10 +48,10 @@
             self.broken(
                 take(1),
                 shot(1, 0),
-                Came(50, 0, 1, 0, "reset"),
+                ShotEnded(50, 0, 1, 0, "reset"),
                 shot(1, 50, 1),
-                Came(90, 0, 1, 1, "served"),
-                End(90, 0, 1, "served"),
+                ShotEnded(90, 0, 1, 1, "served"),
+                InvocationEnded(90, 0, 1, "served"),
             ),
             {},
         )
@@ -48,20 +59,24 @@
     def test_never_answered_answered_twice_too_late_or_never_taken(self) -> None:
         for lines in (
             [take(1)],
-            [take(1), End(1, 0, 1, "served"), End(2, 0, 1, "rejected")],
-            [take(1), End(3 * SECOND + 501, 0, 1, "forfeited")],
-            [End(1, 0, 9, "served")],
+            [take(1), InvocationEnded(1, 0, 1, "served"), InvocationEnded(2, 0, 1, "rejected")],
+            [take(1), InvocationEnded(3 * SECOND + 501, 0, 1, "forfeited")],
+            [InvocationEnded(1, 0, 9, "served")],
         ):
             self.assertEqual(self.broken(*lines), {"lost": 1})
 
     def test_what_a_dead_relay_had_is_not_lost_by_the_rule(self) -> None:
-        self.assertEqual(self.broken(take(1), shot(1, 0), Life(50, 0, "down"), End(50, 0, 1, "lost")), {})
+        self.assertEqual(
+            self.broken(take(1), shot(1, 0), RelayEvent(50, 0, "down"), InvocationEnded(50, 0, 1, "lost")), {}
+        )
 
     def test_a_shot_for_what_is_over(self) -> None:
-        self.assertEqual(self.broken(take(1), End(1, 0, 1, "rejected"), shot(1, 2)), {"lost": 1})
+        self.assertEqual(self.broken(take(1), InvocationEnded(1, 0, 1, "rejected"), shot(1, 2)), {"lost": 1})
 
     def test_a_second_copy_while_one_is_out(self) -> None:
-        self.assertEqual(self.broken(take(1), shot(1, 0), shot(1, 10, 1, "u2"), End(20, 0, 1, "served")), {"twice": 1})
+        self.assertEqual(
+            self.broken(take(1), shot(1, 0), shot(1, 10, 1, "u2"), InvocationEnded(20, 0, 1, "served")), {"twice": 1}
+        )
 
     def test_on_sockets_an_end_that_is_seen_a_moment_late_is_no_copy_and_one_much_later_is(self) -> None:
         for late, found in ((400, {}), (900, {"twice": 1})):
@@ -70,18 +85,18 @@
                     take(1),
                     shot(1, 0),
                     shot(1, 10, 1, "u2"),
-                    Came(10 + late, 0, 1, 0, "cancelled"),
-                    End(2000, 0, 1, "served"),
+                    ShotEnded(10 + late, 0, 1, 0, "cancelled"),
+                    InvocationEnded(2000, 0, 1, "served"),
                     slack=Slack(time=500),
                 ),
                 found,
             )
 
     def test_one_shot_work_that_may_have_run_goes_out_again_or_is_rejected(self) -> None:
-        begun = [take(1, workload=1), shot(1, 0), Came(50, 0, 1, 0, "reset")]
-        self.assertEqual(self.broken(*begun, shot(1, 60, 1), End(90, 0, 1, "forfeited")), {"twice": 1})
-        self.assertEqual(self.broken(*begun, End(90, 0, 1, "rejected")), {"twice": 1})
-        self.assertEqual(self.broken(*begun, End(90, 0, 1, "forfeited")), {})
+        begun = [take(1, workload=1), shot(1, 0), ShotEnded(50, 0, 1, 0, "reset")]
+        self.assertEqual(self.broken(*begun, shot(1, 60, 1), InvocationEnded(90, 0, 1, "forfeited")), {"twice": 1})
+        self.assertEqual(self.broken(*begun, InvocationEnded(90, 0, 1, "rejected")), {"twice": 1})
+        self.assertEqual(self.broken(*begun, InvocationEnded(90, 0, 1, "forfeited")), {})
 
     def test_one_shot_work_that_never_ran_may_go_again(self) -> None:
         for outcome in ("full", "unreachable", "moot"):
@@ -89,10 +104,10 @@
                 self.broken(
                     take(1, workload=1),
                     shot(1, 0),
-                    Came(5, 0, 1, 0, outcome),
+                    ShotEnded(5, 0, 1, 0, outcome),
                     shot(1, 6, 1),
-                    Came(9, 0, 1, 1, "served"),
-                    End(9, 0, 1, "served"),
+                    ShotEnded(9, 0, 1, 1, "served"),
+                    InvocationEnded(9, 0, 1, "served"),
                 ),
                 {},
             )
@@ -103,25 +118,25 @@
                 self.broken(
                     take(1, workload=2),
                     shot(1, 0),
-                    Came(50, 0, 1, 0, "reset"),
+                    ShotEnded(50, 0, 1, 0, "reset"),
                     shot(1, again, 1),
-                    End(again + 9, 0, 1, "forfeited"),
+                    InvocationEnded(again + 9, 0, 1, "forfeited"),
                 ),
                 found,
             )
 
     def test_a_drained_unit_gets_nothing_after_the_grace_and_again_once_it_is_back(self) -> None:
-        told = Told(100, 0, "u1", 1, "draining", 0)
+        told = EntryReceived(100, 0, "u1", 1, "draining", 0)
         for at, found in ((100 + SECOND, {}), (101 + SECOND, {"drains": 1})):
-            self.assertEqual(self.broken(told, take(1, at), shot(1, at), End(at, 0, 1, "served")), found)
+            self.assertEqual(self.broken(told, take(1, at), shot(1, at), InvocationEnded(at, 0, 1, "served")), found)
         self.assertEqual(
             self.broken(
                 told,
-                Told(200, 0, "u1", 1, "gone", 0),
-                Told(300, 0, "u1", 2, "open", 300),
+                EntryReceived(200, 0, "u1", 1, "gone", 0),
+                EntryReceived(300, 0, "u1", 2, "open", 300),
                 take(1, 5 * SECOND),
                 shot(1, 5 * SECOND),
-                End(5 * SECOND, 0, 1, "served"),
+                InvocationEnded(5 * SECOND, 0, 1, "served"),
             ),
             {},
         )
@@ -129,21 +144,23 @@
     def test_a_cold_unit_sent_more_than_its_limit_within_the_span(self) -> None:
         runs = Unit(100, "u1", 1, "a", "runs", 2.0, 0.5, 4 * SECOND)  # can do 1.0 then: 40,000 in a second
         for each, found in ((3900, {}), (4200, {"cold": 1})):
-            self.assertEqual(self.broken(runs, *(Ran(100 + 10 * n, 0, n, 0, "u1", each) for n in range(10))), found)
-        self.assertEqual(self.broken(runs, *(Ran(100 + 1200 * n, 0, n, 0, "u1", 4200) for n in range(10))), {})
-        self.assertEqual(self.broken(runs, Ran(5 * SECOND, 0, 1, 0, "u1", 900_000)), {})  # warm by then
+            self.assertEqual(
+                self.broken(runs, *(ShotStarted(100 + 10 * n, 0, n, 0, "u1", each) for n in range(10))), found
+            )
+        self.assertEqual(self.broken(runs, *(ShotStarted(100 + 1200 * n, 0, n, 0, "u1", 4200) for n in range(10))), {})
+        self.assertEqual(self.broken(runs, ShotStarted(5 * SECOND, 0, 1, 0, "u1", 900_000)), {})  # warm by then
         self.assertEqual(self.broken(runs, Unit(200, "u1", 1, "a", "fell", 2.0, 0.5, 4 * SECOND)), {"cold": 1})
 
     def test_exposure_beyond_the_cap_in_the_span(self) -> None:
         lines = [take(number) for number in range(20)]
-        news = [News(0, 0, 2, 0, "on trial", 0.2), Told(0, 0, "u2", 2, "open", 0)]
+        news = [News(0, 0, 2, 0, "on trial", 0.2), EntryReceived(0, 0, "u2", 2, "open", 0)]
         for many, found in ((5, {}), (6, {"exposure": 1})):
             self.assertEqual(
                 self.broken(
                     *news,
                     *lines,
                     *(shot(number, 10, unit="u2", build=2) for number in range(many)),
-                    *(End(20, 0, number, "served") for number in range(20)),
+                    *(InvocationEnded(20, 0, number, "served") for number in range(20)),
                 ),
                 found,
             )
@@ -154,7 +171,7 @@
             take(2),
             take(3),
             *(shot(number, 10, unit="u2", build=2) for number in (1, 2, 3)),
-            *(End(20, 0, number, "served") for number in (1, 2, 3)),
+            *(InvocationEnded(20, 0, number, "served") for number in (1, 2, 3)),
         ]
         self.assertEqual(self.broken(News(0, 0, 2, 0, "released", 1.0), *lines), {})
         self.assertEqual(self.broken(News(0, 0, 2, 0, "on trial", 0.0), *lines), {"exposure": 2})
@@ -165,7 +182,7 @@
         early = [
             line
             for number in range(5)
-            for line in (take(number, 100), shot(number, 100, build=2), End(120, 0, number, "served"))
+            for line in (take(number, 100), shot(number, 100, build=2), InvocationEnded(120, 0, number, "served"))
         ]
         lower = News(200, 0, 2, 0, "going back", 0.0)
         late = [
@@ -174,7 +191,7 @@
             for line in (
                 take(number, 300 + SECOND),
                 shot(number, 300 + SECOND, build=2),
-                End(300 + SECOND, 0, number, "served"),
+                InvocationEnded(300 + SECOND, 0, number, "served"),
             )
         ]
         self.assertEqual(self.broken(*news, *early, lower), {})
@@ -183,11 +200,11 @@
     def test_a_relay_that_starts_anew_knows_nothing_of_before(self) -> None:
         self.assertEqual(
             self.broken(
-                Told(0, 0, "u1", 1, "draining", 0),
-                Life(10, 0, "up"),
+                EntryReceived(0, 0, "u1", 1, "draining", 0),
+                RelayEvent(10, 0, "up"),
                 take(1, 3 * SECOND),
                 shot(1, 3 * SECOND),
-                End(3 * SECOND, 0, 1, "served"),
+                InvocationEnded(3 * SECOND, 0, 1, "served"),
             ),
             {},
         )
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -3,9 +3,9 @@
 import unittest
 
 from hypothesis import given, strategies as st
+from tealsail.choices.zone_recovery import OUT, RAMP, UP, WAITING, Returning
+from tealsail.choices.zone_reports import ALERT, EACH, MOST_WORDS, Hearsay, Seen, Word, decode, encode
 
-from tealsail.choices.hearsay import ALERT, EACH, MOST_WORDS, Hearsay, Seen, Word, decode, encode
-from tealsail.choices.returning import OUT, RAMP, UP, WAITING, Returning
 from tealsail.choices.spill import Give, View, split
 from tealsail.choices.tiers import Tier, Zoning, tiers
 from tealsail.notes import read as read_note
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.defer import Deferred
 
-from tealsail.choices.pipelining import MOST_ANSWER_BYTES, MOST_ANSWER_BYTES_IN_ALL, MOST_AT_ONCE, may_begin
+from tealsail.choices.pipelining import MAX_ANSWER_BYTES, MAX_ANSWER_BYTES_IN_ALL, MAX_AT_ONCE, may_begin
 from tealsail.net import clients, messages
 from tealsail.net.counters import Counters
 
@@ -99,7 +99,7 @@
         self.assertEqual(self.end_codes(), ["crowded"])
 
     def test_too_many_queued_queries_end_the_connection_after_those_under_way(self) -> None:
-        for piece, at_hand in ((7, MOST_AT_ONCE), (1 << 20, 0)):
+        for piece, at_hand in ((7, MAX_AT_ONCE), (1 << 20, 0)):
             transport, before = self.client(), len(self.taken)
             transport.feed(client_query() * 300, piece=piece)
             transport.feed(client_query())
@@ -111,7 +111,7 @@
             self.assertTrue(sent.startswith(messages.value_response(VALUE) * at_hand + b"E"))
             self.assertEqual(sent.count(b"C08P01\0"), 1)
             self.assertTrue(transport.settle())
-        self.assertEqual((len(self.taken), self.end_codes()), (MOST_AT_ONCE, ["flood"]))
+        self.assertEqual((len(self.taken), self.end_codes()), (MAX_AT_ONCE, ["flood"]))
 
     def test_connection_without_a_query_makes_room_first(self) -> None:
         old, silent = self.client(), self.client()
@@ -171,21 +171,21 @@
 
     def test_number_of_queries_under_way_is_bounded_until_the_first_is_answered(self) -> None:
         transport = self.client()
-        transport.feed(client_query() * MOST_AT_ONCE)
+        transport.feed(client_query() * MAX_AT_ONCE)
         transport.feed(client_query() * 2)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE)
         self.taken[1].callback(VALUE)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE)
         self.taken[0].callback(VALUE)
-        self.assertEqual(len(self.taken), MOST_AT_ONCE + 2)
+        self.assertEqual(len(self.taken), MAX_AT_ONCE + 2)
 
     def test_bytes_of_answers_that_wait_for_an_earlier_one_are_bounded(self) -> None:
-        self.assertTrue(may_begin(0, MOST_ANSWER_BYTES, MOST_ANSWER_BYTES_IN_ALL))
-        self.assertFalse(may_begin(1, MOST_ANSWER_BYTES, MOST_ANSWER_BYTES))
-        self.assertFalse(may_begin(1, 0, MOST_ANSWER_BYTES_IN_ALL))
+        self.assertTrue(may_begin(0, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES_IN_ALL))
+        self.assertFalse(may_begin(1, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES))
+        self.assertFalse(may_begin(1, 0, MAX_ANSWER_BYTES_IN_ALL))
         transport, other = self.client(), self.client()
         transport.feed(client_query() * 2)
-        self.taken[1].callback(VALUE._replace(row=messages.DataRow(bytes(MOST_ANSWER_BYTES), 1)))
+        self.taken[1].callback(VALUE._replace(row=messages.DataRow(bytes(MAX_ANSWER_BYTES), 1)))
         transport.feed(client_query())
         other.feed(client_query() * 2)
         self.assertEqual(len(self.taken), 4)
@@ -204,13 +204,13 @@
 
     def test_client_that_disconnects_cancels_all_its_requests(self) -> None:
         transport = self.client()
-        transport.feed(client_query() * MOST_AT_ONCE)
+        transport.feed(client_query() * MAX_AT_ONCE)
         transport.feed(client_query() * 2)
         self.taken[1].callback(VALUE)
         transport.drop()
-        begun = list(range(MOST_AT_ONCE))
+        begun = list(range(MAX_AT_ONCE))
         self.assertEqual(
-            (self.cancelled, len(self.taken), self.end_codes()), (begun[:1] + begun[2:], MOST_AT_ONCE, ["left"])
+            (self.cancelled, len(self.taken), self.end_codes()), (begun[:1] + begun[2:], MAX_AT_ONCE, ["left"])
         )
         self.assertEqual((self.clients.answer_bytes, self.clients.connections), (0, {}))
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -5,7 +5,7 @@
 
 from hypothesis import assume, given, strategies as st
 
-from tealsail.choices.clock import GAP, Clock, Stamps
+from tealsail.choices.clock import MIN_GAP_S, Clock, StartTimes
 from tealsail.net.discovery import read_news
 from tealsail.net.relay import Relay
 
@@ -48,7 +48,7 @@
         hands.steady, hands.wall = hands.steady + 30, hands.wall + 30
         now = hands.clock()
         self.assertEqual(([round(gap) for gap in hands.gaps], now), ([30], int((START + 32) * SECOND)))
-        hands.run(GAP)
+        hands.run(MIN_GAP_S)
         self.assertEqual(len(hands.gaps), 1)
 
     @given(STEPS, st.floats(2, 3600))
@@ -56,26 +56,26 @@
         self, step, age
     ) -> None:
         hands = Hands()
-        stamps = Stamps(hands.clock)
+        stamps = StartTimes(hands.clock)
         started = int((hands.wall - age) * SECOND)
-        first = stamps.of(7, started)
+        first = stamps.start_time(7, started)
         hands.wall += step
         hands.clock.look()
-        self.assertEqual(stamps.of(7, started), first)  # not started anew
+        self.assertEqual(stamps.start_time(7, started), first)  # not started anew
         again = int((hands.wall - 1) * SECOND)
         assume(again != started)
-        self.assertAlmostEqual(hands.clock() - stamps.of(7, again), SECOND, delta=20)
+        self.assertAlmostEqual(hands.clock() - stamps.start_time(7, again), SECOND, delta=20)
 
     def test_a_start_ahead_of_now_is_now(self) -> None:
         hands = Hands()  # a clock behind the platform's would keep a unit cold for as long
-        self.assertEqual(Stamps(hands.clock).of(7, int((START + 3600) * SECOND)), hands.clock())
-        self.assertEqual(Stamps(hands.clock).of(8, 0), 0)
+        self.assertEqual(StartTimes(hands.clock).start_time(7, int((START + 3600) * SECOND)), hands.clock())
+        self.assertEqual(StartTimes(hands.clock).start_time(8, 0), 0)
 
     def test_what_left_the_list_is_forgotten(self) -> None:
-        stamps = Stamps(Hands().clock)
+        stamps = StartTimes(Hands().clock)
         for number in range(100):
-            stamps.of(number, 1)
-        stamps.keep({3, 500})
+            stamps.start_time(number, 1)
+        stamps.retain({3, 500})
         self.assertEqual(set(stamps.known), {3})
 
 
@@ -142,7 +142,7 @@
         self.reactor.advance(0)
         self.reactor.advance(0.1)
         self.assertIsNone(shot.group)
-        self.assertEqual(shot.unit.rest_until, 0)  # the unit is not blamed
+        self.assertEqual(shot.unit.ejected_until, 0)  # the unit is not blamed
         wire.settle()
         self.assertIn(b"C", second.sent())
         self.assertEqual(self.relay.counters.counts["clock.gaps"], 1)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,9 +20,9 @@
 import unittest
 from collections.abc import Callable
 
+from tealsail.choices.backoff import FIRST_LIST_WAIT_S
 from twisted.internet.epollreactor import EPollReactor
 
-from tealsail.choices.pauses import UNTOLD
 from tealsail.net.relay import DRAIN_CHECK_S, STOP_GRACE_S, Relay
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, client_query, message
@@ -83,7 +83,7 @@
         self.addCleanup(self.reactor.removeAll)
         self.addCleanup(self.close_sockets)
         if not held:
-            self.advance(UNTOLD)
+            self.advance(FIRST_LIST_WAIT_S)
         return self.relay
 
     def close_sockets(self) -> None:
@@ -696,7 +696,7 @@
 
     def test_silent_discovery_holds_clients_only_for_a_moment(self) -> None:
         client = self.first_query()
-        self.advance(UNTOLD)
+        self.advance(FIRST_LIST_WAIT_S)
         self.accept_query().sendall(ROW + READY)
         self.assertTrue(self.receive_until(client, ROW + READY).endswith(ROW + READY))
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -3,20 +3,20 @@
 import unittest
 
 from tealsail.facade import (
-    CallOff,
-    Departed,
+    CancelShot,
+    ClientLeft,
     Facade,
-    Flagged,
     Forfeit,
-    Heard,
     Listed,
+    NoteReceived,
     Outcome,
     Reject,
-    Shoot,
-    Standing,
+    RolloutState,
+    SendShot,
     Units,
+    WrongAnswer,
 )
-from tealsail.notes import answer_note, read_shots
+from tealsail.notes import answer_note, read_tracker_note
 
 from .fake import HARMLESS, ONE_SHOT, SECOND
 
@@ -40,7 +40,7 @@
             relays=3,
         )
         self.facade = Facade(facts, 7, self.clock)
-        self.facade.report(Standing(1, 1, "released", 1.0, 0))
+        self.facade.report(RolloutState(1, 1, "released", 1.0, 0))
         self.facade.report(Units("whole", [Listed(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
 
     def pick(self, workload: str = "basket") -> tuple:
@@ -48,7 +48,7 @@
 
     def test_a_step_for_every_pick_and_for_every_outcome_until_the_answer(self) -> None:
         number, first = self.pick()
-        self.assertIsInstance(first, Shoot)
+        self.assertIsInstance(first, SendShot)
         self.clock.now += 300
         further = self.facade.report(Outcome(number, 0, "unreachable"))
         self.assertEqual((further.place, {first.unit, further.unit}), (1, {5, 6}))
@@ -62,24 +62,25 @@
                 self.facade.relay.facts,
                 relays=9,
                 index=min(
-                    {*range(9)} - {*Facade(dict(self.facade.relay.facts, relays=9), 7, self.clock).relay.guide.order}
+                    {*range(9)}
+                    - {*Facade(dict(self.facade.relay.facts, relays=9), 7, self.clock).relay.load_tracking.order}
                 ),
             ),
             7,
             self.clock,
         )
-        facade.report(Standing(1, 1, "released", 1.0, 0))
+        facade.report(RolloutState(1, 1, "released", 1.0, 0))
         facade.report(Units("whole", [Listed(unit, 1, "open", 0, 0, 1.0, 0) for unit in (5, 6)]))
         self.facade = facade
         (kept, none), (alone, also) = self.pick(), self.pick("order")
         keeper, asked = facade.tick().notes[0]
-        self.assertEqual((none, also, read_shots(asked)[0]), (None, None, kept))
-        self.assertIsNone(facade.report(Heard(keeper, answer_note(kept, 1))))
+        self.assertEqual((none, also, read_tracker_note(asked)[0]), (None, None, kept))
+        self.assertIsNone(facade.report(NoteReceived(keeper, answer_note(kept, 1))))
         ((number, step),) = facade.tick().steps
-        self.assertEqual((number, step.unit), (kept, read_shots(asked)[3]))
-        self.clock.now += facade.relay.guide.WAIT
+        self.assertEqual((number, step.unit), (kept, read_tracker_note(asked)[3]))
+        self.clock.now += facade.relay.load_tracking.WAIT
         ((number, step),) = facade.tick().steps  # no answer: by itself
-        self.assertEqual((number, type(step)), (alone, Shoot))
+        self.assertEqual((number, type(step)), (alone, SendShot))
         self.assertIsNone(facade.report(Outcome(kept, 0, "served")))
 
     def test_a_one_shot_invocation_that_may_have_run_is_forfeited_and_an_untouched_one_rejected(self) -> None:
@@ -91,17 +92,17 @@
     def test_calling_off_and_notes_come_out_of_the_tick_that_is_due(self) -> None:
         number, _ = self.pick()
         self.facade.tick()
-        self.facade.report(Departed(number))
+        self.facade.report(ClientLeft(number))
         self.assertEqual(self.facade.due, self.clock.now)
-        self.assertEqual(self.facade.tick().calls_off, [CallOff(number, 0)])
+        self.assertEqual(self.facade.tick().cancellations, [CancelShot(number, 0)])
         self.assertGreater(self.facade.due, self.clock.now)
-        self.facade.report(Standing(2, 0, "on trial", 0.5, 0))
+        self.facade.report(RolloutState(2, 0, "on trial", 0.5, 0))
         notes = []
         for _ in range(8):
             self.clock.now = max(self.clock.now, self.facade.due)
             notes += self.facade.tick().notes
         self.assertEqual({note.relay for note in notes}, {1, 2})
-        self.facade.report(Heard(1, notes[0].data))
+        self.facade.report(NoteReceived(1, notes[0].data))
         self.assertIn(1, self.facade.relay.judge.heard)
 
     def test_a_picked_shot_stands_until_the_list_or_the_cap_is_against_it(self) -> None:
@@ -110,15 +111,15 @@
         self.facade.report(Units("changes", [Listed(step.unit, 1, "draining", 0, 0, 1.0, 0)]))
         self.assertFalse(self.facade.stands(number, 0))
         self.facade.report(Units("whole", [Listed(8, 2, "open", 0, 0, 1.0, 0)]))
-        self.facade.report(Standing(2, 0, "on trial", 0.5, 0))
+        self.facade.report(RolloutState(2, 0, "on trial", 0.5, 0))
         number, step = self.pick()
         self.assertTrue(self.facade.stands(number, 0))
         self.clock.now += 2 * SECOND
-        self.facade.report(Standing(2, 0, "going back", 0.0, 0))
+        self.facade.report(RolloutState(2, 0, "going back", 0.0, 0))
         self.assertFalse(self.facade.stands(number, 0))
 
     def test_a_fault_of_the_module_costs_at_most_that_invocation_and_is_logged(self) -> None:
-        self.facade.report(Flagged(5, 99, 0))  # build 1, and no workload of that number
+        self.facade.report(WrongAnswer(5, 99, 0))  # build 1, and no workload of that number
         number, _ = self.pick()
         self.facade.relay.choice.cost = lambda unit: 1 / 0
         self.assertEqual(self.facade.report(Outcome(number, 0, "unreachable")), Forfeit())
@@ -127,4 +128,4 @@
             [line.split(":")[0] for line in self.facade.tick().lines], ["fault IndexError", "fault ZeroDivisionError"]
         )
         del self.facade.relay.choice.cost
-        self.assertIsInstance(self.pick()[1], Shoot)
+        self.assertIsInstance(self.pick()[1], SendShot)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -12,7 +12,20 @@
 from tealsail.lab.loopback import addresses, clock_offset
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.script import Unclear, read_script
-from tealsail.record.lines import Came, Done, End, Head, Life, Log, Met, Ran, Shot, Take, Told, Unit
+from tealsail.record.lines import (
+    ConnectionOpened,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Log,
+    RelayEvent,
+    ShotAnswered,
+    ShotEnded,
+    ShotSent,
+    ShotStarted,
+    Unit,
+)
 from tealsail.world.evenness import Evenness
 from tealsail.world.network import Network, Paths, Trouble
 from tealsail.world.rules import Rules
@@ -135,7 +148,7 @@
         runs.Model(scenario, seed, [*judged.listeners, lines.append]).play()
         result = judged.result(0)
         self.assertEqual([str(each) for each in judged.breaches], [])
-        return result, lines, [line for line in lines if isinstance(line, Life) and line.at]
+        return result, lines, [line for line in lines if isinstance(line, RelayEvent) and line.at]
 
     def test_the_keeper_is_paused_others_find_one_and_it_comes_back_without_harm(self) -> None:
         result, lines, lives = self.play("at 3s pause the keeper for 5s")
@@ -145,18 +158,20 @@
         acted = [
             line
             for line in lines
-            if isinstance(line, (Shot, End)) and line.relay == keeper and 3 * SECOND < line.at < 8 * SECOND
+            if isinstance(line, (ShotSent, InvocationEnded))
+            and line.relay == keeper
+            and 3 * SECOND < line.at < 8 * SECOND
         ]
-        self.assertEqual([line for line in acted if isinstance(line, Shot)], [])
+        self.assertEqual([line for line in acted if isinstance(line, ShotSent)], [])
         self.assertGreater(len(result.owners), 1)
         self.assertGreater(result.figures["service"], 0.85)  # it has an eighth of all for five twelfths of the day
 
     def test_one_killed_while_it_is_stopped_loses_what_it_had_not_read_and_no_more(self) -> None:
         _, lines, lives = self.play("at 3s pause relay 0 for 5s\nat 5s kill relay 0 for 1s")
         self.assertEqual([line.event for line in lives], ["stopped", "down", "up"])
-        lost = [line for line in lines if isinstance(line, End) and line.answer == "lost"]
+        lost = [line for line in lines if isinstance(line, InvocationEnded) and line.answer == "lost"]
         self.assertGreater(len(lost), 20)
-        taken = {line.number: line.at for line in lines if isinstance(line, Take) and line.relay == 0}
+        taken = {line.number: line.at for line in lines if isinstance(line, InvocationTaken) and line.relay == 0}
         self.assertTrue(all(2.5 * SECOND < taken[line.number] <= 5 * SECOND for line in lost))
 
     def test_a_share_of_a_core_and_a_clock_that_is_fast_keep_the_rules(self) -> None:
@@ -175,7 +190,9 @@
         )
         gone = {
             relay: min(
-                line.at for line in lines if isinstance(line, Told) and line.relay == relay and line.state == "gone"
+                line.at
+                for line in lines
+                if isinstance(line, EntryReceived) and line.relay == relay and line.state == "gone"
             )
             for relay in range(8)
         }
@@ -190,7 +207,7 @@
 
     def test_one_relay_gets_fifty_times_the_others(self) -> None:
         _, lines, _ = self.play("", clients={"rate": 200, "hot": 50})
-        mine = [line.relay for line in lines if isinstance(line, Take)]
+        mine = [line.relay for line in lines if isinstance(line, InvocationTaken)]
         self.assertAlmostEqual(mine.count(0) / len(mine), 50 / 57, delta=0.03)
 
 
@@ -199,7 +216,7 @@
     lines = [
         line
         for number, (at, work, unit) in enumerate(shots)
-        for line in (Ran(at, 0, number, 0, unit, work), Done(at + work, 0, number, 0, unit, "served"))
+        for line in (ShotStarted(at, 0, number, 0, unit, work), ShotAnswered(at + work, 0, number, 0, unit, "served"))
     ]
     return sorted(lines, key=lambda line: line.at)
 
@@ -226,9 +243,9 @@
         """200 relays were killed, and units seemed busy for the rest of the day: waste 0.19 in the model, 0.05 in the
         trial."""
         lines = [
-            Ran(0, 3, 1, 0, "u0", 100),
-            Ran(5, 4, 2, 0, "u0", 100),
-            Life(10, 3, "down"),
+            ShotStarted(0, 3, 1, 0, "u0", 100),
+            ShotStarted(5, 4, 2, 0, "u0", 100),
+            RelayEvent(10, 3, "down"),
             *rows((20, 100, "u1"), (30, 100, "u0")),
         ]
         evenness = self.look(lines)
@@ -254,7 +271,9 @@
             for at, keeper in ((10, 4), (20_000, 5))
             for relay in range(12)
         ]
-        evenness = self.look([*lines, *(Met(30_000 + at, 1, "u1") for at in range(7)), *rows((40_000, 5, "u0"))])
+        evenness = self.look(
+            [*lines, *(ConnectionOpened(30_000 + at, 1, "u1") for at in range(7)), *rows((40_000, 5, "u0"))]
+        )
         self.assertEqual([each.split()[1] for each in evenness.owners], ["keeper=4", "keeper=5"])
         self.assertEqual(evenness.figures()["handshakes_most"], 7)
         self.assertEqual(evenness.figures()["keepers_at_once"], 2)
@@ -296,12 +315,12 @@
         rules = Rules()
         rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
         for line in (
-            Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
-            Life(500, 1, "stopped"),
-            Life(5_500, 1, "on"),
-            Shot(5_600, 1, 7, 0, "u1", 1, 100),
-            Came(5_700, 1, 7, 0, "served"),
-            End(ended, 1, 7, "served"),
+            InvocationTaken(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
+            RelayEvent(500, 1, "stopped"),
+            RelayEvent(5_500, 1, "on"),
+            ShotSent(5_600, 1, 7, 0, "u1", 1, 100),
+            ShotEnded(5_700, 1, 7, 0, "served"),
+            InvocationEnded(ended, 1, 7, "served"),
         ):
             rules(line)
         rules.close()
@@ -315,13 +334,13 @@
         for stopped, breaches in ((True, 0), (False, 1)):
             rules = Rules()
             rules(Head(0, 1, "model", "a", 1, {"workloads": [{"name": "x", "effect": "harmless"}]}))
-            halt = [Life(500, 1, "stopped"), Life(5_500, 1, "on")] if stopped else []
+            halt = [RelayEvent(500, 1, "stopped"), RelayEvent(5_500, 1, "on")] if stopped else []
             for line in sorted(
                 [
-                    Take(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
+                    InvocationTaken(0, 1, 7, 0, 0, 0, "k", 1_000, 7),
                     *halt,
-                    End(1_000, 1, 7, "left"),
-                    Shot(5_600, 1, 7, 0, "u1", 1, 100),
+                    InvocationEnded(1_000, 1, 7, "left"),
+                    ShotSent(5_600, 1, 7, 0, "u1", 1, 100),
                 ],
                 key=lambda line: line.at,
             ):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -5,8 +5,8 @@
 from math import erfc, sqrt
 
 from tealsail import policy
-from tealsail.notes import Pool, answer_note, ask_note, count_notes, read, read_shots, state_note, verdict_note
-from tealsail.parts import mix, rank_test
+from tealsail.notes import Pool, answer_note, ask_note, count_notes, load_note, read, read_tracker_note, verdict_note
+from tealsail.parts import rank_test, stable_hash
 from tests.fake import ONE_SHOT, SECOND, Story
 
 BACK, ON = [policy.BACK], [policy.ON]
@@ -16,7 +16,7 @@
     def judged(self, canary: dict, baseline: dict, age: int = 10 * SECOND, **facts) -> list[int]:
         story = Story(**facts)
         story.trial(age=age)
-        story.relay.on_told(1, story.evidence(canary, baseline))
+        story.relay.on_note(1, story.evidence(canary, baseline))
         story.beat()
         return story.votes()
 
@@ -38,7 +38,7 @@
             story = Story()
             story.trial()
             story.update_list([story.unit(100 + number, state=state) for number in range(3)], kind="changes")
-            story.relay.on_told(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
+            story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -49,7 +49,7 @@
         story = Story()
         story.trial()
         story.update_list([story.unit(3, 2, started=story.relay.now)], kind="changes")
-        story.relay.on_told(1, story.evidence(alike, alike))
+        story.relay.on_note(1, story.evidence(alike, alike))
         story.beat()
         self.assertEqual(story.votes(), [])
 
@@ -74,15 +74,15 @@
         story.trial(age=0)
         early, late = (story.evidence(dict(served=n), dict(served=n)) for n in (5, 30))
         for data in (early, late, early, b"junk", late[:-1]):
-            story.relay.on_told(1, data)
+            story.relay.on_note(1, data)
         self.assertEqual(story.relay.judge.pool()[0][0][0], 30)
-        story.relay.on_told(1, story.evidence(dict(served=4), dict(served=4), start=99))  # restarted since
+        story.relay.on_note(1, story.evidence(dict(served=4), dict(served=4), start=99))  # restarted since
         self.assertEqual(story.relay.judge.pool()[0][0][0], 34)
 
     def busy(self, seconds: int, failing: float) -> list[int]:
         """A released build, judged for so long by what four relays at 240 outcomes a second tell; the baseline
         had 0.3% failures."""
-        story = Story(units=40, relays=5, index=max(range(5), key=lambda at: mix(2, at)))  # a judge
+        story = Story(units=40, relays=5, index=max(range(5), key=lambda at: stable_hash(2, at)))  # a judge
         story.trial(many=20)
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
         size = len(story.relay.judge.pooled.sums)
@@ -93,7 +93,7 @@
             cells = [(0, served - failed), (1, failed), (10, 7200), (11, 22)]
             for sender in {*range(5)} - {story.relay.index}:
                 for data in count_notes(2, 5, cells, size):
-                    story.relay.on_told(sender, data)
+                    story.relay.on_note(sender, data)
             story.beat()
         return story.votes()
 
@@ -130,7 +130,7 @@
     def test_votes_are_answered_renewed_and_never_for_an_old_stage(self) -> None:
         story = Story(vote_life=6 * SECOND, vote_wait=SECOND)
         story.trial()
-        story.relay.on_told(1, story.evidence(dict(served=60), dict(served=60)))
+        story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
         story.beat()
         story.beat()
         self.assertEqual(story.votes(), ON)  # not again while one is under way
@@ -150,7 +150,7 @@
         story = Story()
         story.trial()
         story.relay.on_stage(2, 1, policy.RELEASED, 1.0, 0)
-        story.relay.on_told(1, story.evidence(dict(served=100, failed=20), dict(served=100)))
+        story.relay.on_note(1, story.evidence(dict(served=100, failed=20), dict(served=100)))
         story.beat()
         self.assertEqual(story.votes(), BACK)
 
@@ -229,7 +229,7 @@
         story.trial(many=2)
         for _ in range(20):
             for unit in (0, 3):  # of the earlier build, and of that on trial
-                story.relay.on_flag(unit, 0, 0)
+                story.relay.on_wrong_answer(unit, 0, 0)
         self.assertEqual([story.relay.trial.groups[name][1] for name in ("canary", "baseline")], [20, 20])
 
     def test_slower_than_idle_machines_is_no_fault_if_no_slower_than_they_were_with_the_work(self) -> None:
@@ -238,7 +238,7 @@
             story = Story(layout=layout)
             story.trial()
             story.relay.trial.groups["before"][2 + before] = 60
-            story.relay.on_told(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
+            story.relay.on_note(1, story.evidence(dict(served=60, bucket=5), dict(served=60, bucket=3)))
             story.beat()
             self.assertEqual((layout, before, story.votes()), (layout, before, votes))
 
@@ -247,7 +247,7 @@
         for layout, votes in (("beside", ON), ("in_place", [])):
             story = Story(8, layout=layout, stage_shares=[1.0])
             story.trial(many=4)
-            story.relay.on_told(1, story.evidence(dict(served=60), dict(served=60)))
+            story.relay.on_note(1, story.evidence(dict(served=60), dict(served=60)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -287,7 +287,7 @@
             story = Story()
             story.trial()
             for sender, told in ((1, honest), (2, honest), (3, honest), (5, (canary, baseline))):
-                story.relay.on_told(sender, story.evidence(*told))
+                story.relay.on_note(sender, story.evidence(*told))
             story.beat()
             self.assertEqual(story.votes(), votes, canary)
 
@@ -306,7 +306,7 @@
             (10, judges[0], ON, ON + BACK),
         ):
             judge.place = place
-            story.relay.on_told(sender, verdict_note(2, 0, *said))
+            story.relay.on_note(sender, verdict_note(2, 0, *said))
             story.beat()
             story.relay.on_vote_answer("ok")
             self.assertEqual(story.votes(), votes)
@@ -457,7 +457,7 @@
             story.relay.judge.order.insert(0, 0)
             story.later(9 * SECOND)
             for sender in range(1, heard + 1):
-                story.relay.on_told(sender, story.evidence(dict(served=0), dict(served=0)))
+                story.relay.on_note(sender, story.evidence(dict(served=0), dict(served=0)))
             story.beat()
             self.assertEqual(story.votes(), votes)
 
@@ -482,7 +482,7 @@
         shots = []
         for index in range(300):
             story = Story(units=10, relays=300, index=index, may_tell=False)
-            story.relay.chance.state = mix(index)
+            story.relay.chance.state = stable_hash(index)
             story.update_list([story.unit(number, started=story.relay.now * (number > 7)) for number in range(10)])
             story.serve()
             shots += story.sent()
@@ -494,43 +494,45 @@
     """Units that report nothing: one relay is told of all shots, and asked."""
 
     def story(self, **facts) -> Story:
-        seats = Story(relays=9, load_via="none").relay.guide.order
+        seats = Story(relays=9, load_via="none").relay.load_tracking.order
         return Story(relays=9, index=min({*range(9)} - {*seats}), load_via="none", **facts)
 
     def test_the_keeper_names_the_unit_with_the_least_at_hand_and_the_shot_goes_there(self) -> None:
         story = self.story()
         number = story.take()
         ((keeper, asked),) = story.host.of("tell")
-        self.assertEqual((story.sent(), keeper), ([], story.relay.guide.order[0]))
-        self.assertEqual(read_shots(asked)[:2], (number, 4))
-        story.relay.on_told(keeper, answer_note(number, 2))
-        self.assertEqual(story.sent(number), [read_shots(asked)[2 + 2]])
+        self.assertEqual((story.sent(), keeper), ([], story.relay.load_tracking.order[0]))
+        self.assertEqual(read_tracker_note(asked)[:2], (number, 4))
+        story.relay.on_note(keeper, answer_note(number, 2))
+        self.assertEqual(story.sent(number), [read_tracker_note(asked)[2 + 2]])
         other = Story(relays=9, index=keeper, load_via="none")
         for count, (unit, out) in enumerate(((0, 2), (1, 1), (2, 0), (3, 1))):
-            other.relay.on_told(5, state_note(count, unit, out, 0))
-        other.relay.on_told(5, state_note(1, 1, 9, 0))  # doubled, late: an older count
-        other.relay.on_told(7, ask_note(77, [0, 1, 2, 3]))
+            other.relay.on_note(5, load_note(count, unit, out, 0))
+        other.relay.on_note(5, load_note(1, 1, 9, 0))  # doubled, late: an older count
+        other.relay.on_note(7, ask_note(77, [0, 1, 2, 3]))
         self.assertEqual(other.host.of("tell")[-1], (7, answer_note(77, 2)))
 
     def test_without_an_answer_it_goes_on_alone_and_a_silent_keeper_is_left_out(self) -> None:
         story = self.story()
         for _ in range(2):
             number = story.take()
-            story.later(story.relay.guide.WAIT)
+            story.later(story.relay.load_tracking.WAIT)
             story.relay.on_wake(story.relay.WAKE_ASKED + number)
             self.assertEqual(len(story.sent(number)), 1)
-        self.assertEqual(story.relay.guide.keeper(), story.relay.guide.order[1])
+        self.assertEqual(story.relay.load_tracking.keeper(), story.relay.load_tracking.order[1])
         other = story.take()
-        story.relay.on_told(min({*range(1, 9)} - {*story.relay.guide.order}), answer_note(other, 1))  # not asked
+        story.relay.on_note(
+            min({*range(1, 9)} - {*story.relay.load_tracking.order}), answer_note(other, 1)
+        )  # not asked
         self.assertEqual(story.sent(other), [])
-        story.relay.on_told(story.relay.guide.order[0], answer_note(number, 1))  # too late: nothing twice
+        story.relay.on_note(story.relay.load_tracking.order[0], answer_note(number, 1))  # too late: nothing twice
         self.assertEqual(len(story.sent(number)), 1)
 
     def test_who_has_gone_while_the_answer_was_awaited_gets_no_shot_and_what_is_over_time_its_answer(self) -> None:
         story = self.story()
         gone, late = story.take(), story.take()
         story.relay.on_abandoned(gone)
-        story.relay.on_told(story.relay.guide.order[0], answer_note(gone, 0))
+        story.relay.on_note(story.relay.load_tracking.order[0], answer_note(gone, 0))
         story.later(4 * SECOND)
         story.relay.on_wake(story.relay.WAKE_ASKED + late)
         self.assertEqual((story.sent(), [number for number, _ in story.host.of("reject")]), ([], [late]))
@@ -541,9 +543,9 @@
         numbers = [story.take() for _ in range(20)]
         story.update_list([story.unit(number) for number in range(2)])
         for number in numbers:
-            story.relay.on_told(story.relay.guide.order[0], answer_note(number, 0))
+            story.relay.on_note(story.relay.load_tracking.order[0], answer_note(number, 0))
         self.assertTrue(set(story.sent()) <= {0, 1})
-        self.assertFalse(story.relay.guide.asked)
+        self.assertFalse(story.relay.load_tracking.asked)
 
     def test_a_flood_of_what_fails_everywhere_is_no_work_for_cold_units(self) -> None:
         """Two thousand a second that failed at once at any unit: a cold one fell over by its even share of them."""
@@ -557,97 +559,97 @@
 
     def test_where_any_unit_would_be_late_who_asks_gives_up_at_once_and_names_a_time_to_come_back(self) -> None:
         """Each of a hundred relays learnt of a jam from its own few answers, and a fifth of them were late."""
-        story = Story(relays=9, index=self.story().relay.guide.order[0])
-        story.relay.on_told(7, ask_note(75, [0, 1, 2, 3]))  # asked before it is told anything
+        story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
+        story.relay.on_note(7, ask_note(75, [0, 1, 2, 3]))  # asked before it is told anything
         for count in range(100):  # 50 ends a second at four units, 20 shots each at hand
             story.later(200)
-            story.relay.on_told(5, state_note(count, count % 4, 20, 16))
+            story.relay.on_note(5, load_note(count, count % 4, 20, 16))
             if count == 9:  # one that has just begun to be told knows no pace: a tenth of a
-                story.relay.on_told(7, ask_note(76, [0, 1, 2, 3]))  # start's first seconds was turned away
+                story.relay.on_note(7, ask_note(76, [0, 1, 2, 3]))  # start's first seconds was turned away
         for _, answer in story.host.of("tell")[:2]:
-            self.assertLess(read_shots(answer)[1], 4)
+            self.assertLess(read_tracker_note(answer)[1], 4)
         for count in range(200, 400):
             story.later(200)
-            story.relay.on_told(5, state_note(count, count % 4, 20, 16))
-        story.relay.on_told(7, ask_note(77, [0, 1, 2, 3]))
+            story.relay.on_note(5, load_note(count, count % 4, 20, 16))
+        story.relay.on_note(7, ask_note(77, [0, 1, 2, 3]))
         self.assertEqual(story.host.of("tell")[-1], (7, answer_note(77, policy.NO_ROOM)))
         for unit in range(4):
-            story.relay.on_told(5, state_note(500 + unit, unit, 2, 16))
-        story.relay.on_told(7, ask_note(78, [0, 1, 2, 3]))
-        self.assertLess(read_shots(story.host.of("tell")[-1][1])[1], 4)
+            story.relay.on_note(5, load_note(500 + unit, unit, 2, 16))
+        story.relay.on_note(7, ask_note(78, [0, 1, 2, 3]))
+        self.assertLess(read_tracker_note(story.host.of("tell")[-1][1])[1], 4)
         asking = self.story(may_advise=True, longest_advice=SECOND)
         number = asking.take()
-        asking.relay.on_told(asking.relay.guide.order[0], answer_note(number, policy.NO_ROOM))
+        asking.relay.on_note(asking.relay.load_tracking.order[0], answer_note(number, policy.NO_ROOM))
         self.assertEqual((asking.sent(), asking.host.of("reject")), ([], [(number, SECOND // 2)]))
 
     def test_of_units_with_as_little_at_hand_the_askers_zone_comes_first(self) -> None:
         story = self.story(zone=1)
         story.update_list([story.unit(number, zone=number % 2) for number in range(6)])
         story.take()
-        asked = read_shots(story.host.of("tell")[-1][1])[2:]
+        asked = read_tracker_note(story.host.of("tell")[-1][1])[2:]
         self.assertEqual([unit % 2 for unit in asked], [1, 1, 1, 0, 0, 0])
-        keeper = Story(relays=9, index=story.relay.guide.order[0])
-        keeper.relay.on_told(7, ask_note(1, list(asked)))
+        keeper = Story(relays=9, index=story.relay.load_tracking.order[0])
+        keeper.relay.on_note(7, ask_note(1, list(asked)))
         self.assertEqual(keeper.host.of("tell")[-1], (7, answer_note(1, 0)))
 
     def test_a_unit_that_fails_a_fifth_keeps_its_shots_and_one_that_fails_most_does_not(self) -> None:
         """Work was led away from the first units of a build that turned bad: half the failures were seen, and it went
         back 0.5 to 0.7 s later (simulated), often only after the next build was offered."""
         for every, kept in ((5, True), (1, False)):
-            story = Story(relays=9, index=self.story().relay.guide.order[0])
+            story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
             named = []
             for count in range(400):
                 story.later(100)
-                story.relay.on_told(7, ask_note(count, [0, 1, 2, 3]))
-                place = read_shots(story.host.of("tell")[-1][1])[1]
+                story.relay.on_note(7, ask_note(count, [0, 1, 2, 3]))
+                place = read_tracker_note(story.host.of("tell")[-1][1])[1]
                 named.append(place)
                 for out, came in ((1, 0), (0, 255 if place == 0 and not named.count(0) % every else 16)):
-                    story.relay.on_told(7, state_note(2 * count + 1 - out, place, out, came))
+                    story.relay.on_note(7, load_note(2 * count + 1 - out, place, out, came))
                     story.later(100 * out)
             self.assertEqual(named[200:].count(0) > 25, kept)
 
     def test_a_shot_that_was_told_of_is_not_counted_as_named_too(self) -> None:
         """For a tenth of a second each shot counted twice, and its unit as busy after it had ended: at 70% of use a
         third of all shots came to a busy unit while another stood empty (simulated: 0.35 to 0.23)."""
-        story = Story(relays=9, index=self.story().relay.guide.order[0])
+        story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
 
         def named(number: int, sender: int) -> int:
-            story.relay.on_told(sender, ask_note(number, [0, 1]))
-            return read_shots(story.host.of("tell")[-1][1])[1]
+            story.relay.on_note(sender, ask_note(number, [0, 1]))
+            return read_tracker_note(story.host.of("tell")[-1][1])[1]
 
         self.assertEqual([named(1, 7), named(2, 7), named(3, 8)], [0, 1, 0])  # named and not told of yet: at hand
-        story.relay.on_told(7, state_note(1, 0, 1, 0))
-        story.relay.on_told(7, state_note(2, 0, 0, 16))  # sent, and served
+        story.relay.on_note(7, load_note(1, 0, 1, 0))
+        story.relay.on_note(7, load_note(2, 0, 0, 16))  # sent, and served
         self.assertEqual(
-            story.relay.guide.loads[0].given, [(-1, story.relay.now), (8, story.relay.now)]
+            story.relay.load_tracking.loads[0].given, [(-1, story.relay.now), (8, story.relay.now)]
         )  # another's stays
-        story.relay.on_told(8, state_note(1, 0, 1, 0))
-        story.relay.on_told(8, state_note(2, 0, 0, 16))
+        story.relay.on_note(8, load_note(1, 0, 1, 0))
+        story.relay.on_note(8, load_note(2, 0, 0, 16))
         for count, out in ((3, 1), (4, 0)):
-            story.relay.on_told(7, state_note(count, 1, out, 16 - 16 * out))
+            story.relay.on_note(7, load_note(count, 1, out, 16 - 16 * out))
         self.assertEqual(named(4, 7), 1)  # both are empty: the one named less of late, since in a fixed order
-        story.relay.on_told(7, state_note(5, 1, 1, 0))
-        story.relay.on_told(7, state_note(6, 1, 0, 16))
-        story.later(2 * story.relay.guide.WAIT)  # a unit got nothing for 50 times its mean gap
+        story.relay.on_note(7, load_note(5, 1, 1, 0))
+        story.relay.on_note(7, load_note(6, 1, 0, 16))
+        story.later(2 * story.relay.load_tracking.WAIT)  # a unit got nothing for 50 times its mean gap
         self.assertEqual(named(5, 7), 0)
 
     def test_a_unit_a_little_slower_than_usual_is_not_starved_and_a_slow_one_is_passed_round(self) -> None:
         """A unit whose last answers happened to be long got nothing for twenty times its mean gap."""
         for times, first in ((20, 0), (80, 1)):
-            story = Story(relays=9, index=self.story().relay.guide.order[0])
+            story = Story(relays=9, index=self.story().relay.load_tracking.order[0])
             for count in range(60):
-                story.relay.on_told(5, state_note(count + 1, 0, 0, times))
-            story.relay.on_told(7, ask_note(1, [0, 1]))
-            self.assertEqual(read_shots(story.host.of("tell")[-1][1])[1], first)
+                story.relay.on_note(5, load_note(count + 1, 0, 0, times))
+            story.relay.on_note(7, ask_note(1, [0, 1]))
+            self.assertEqual(read_tracker_note(story.host.of("tell")[-1][1])[1], first)
 
     def test_what_keepers_know_is_forgotten_with_the_relays_that_told_it(self) -> None:
-        story = Story(relays=9, index=self.story().relay.guide.order[0], load_via="none")
+        story = Story(relays=9, index=self.story().relay.load_tracking.order[0], load_via="none")
         for sender in range(5):
-            story.relay.on_told(sender, state_note(1, 3, 7, 0))
-        self.assertEqual(story.relay.guide.loads[3].out, 35)
+            story.relay.on_note(sender, load_note(1, 3, 7, 0))
+        self.assertEqual(story.relay.load_tracking.loads[3].out, 35)
         story.later(6 * SECOND)
         story.beat()
-        self.assertFalse(story.relay.guide.loads)
+        self.assertFalse(story.relay.load_tracking.loads)
 
 
 class Serving(unittest.TestCase):
@@ -667,14 +669,14 @@
 
     def test_a_silent_unit_rests_and_is_tried_again_with_one_shot(self) -> None:
         story = Story(units=2)
-        unit, story.relay.admission.cut_at = story.relay.units[0], 1 << 60
+        unit, story.relay.admission.limit_cut_at = story.relay.units[0], 1 << 60
         for _ in range(30):
             number = story.take()
             if story.sent(number)[0] == 0:
                 story.report_outcome(number, "cancelled", latency=SECOND)
             story.report_outcome(number, "served", place=len(story.sent(number)) - 1)
         self.assertLess(story.sent().count(0), 5)
-        story.later(unit.rest_until)
+        story.later(unit.ejected_until)
         self.assertTrue(story.relay.choice.fit(unit))
         unit.out, unit.waiting = 1, story.relay.now
         self.assertFalse(story.relay.choice.fit(unit))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,18 @@
 from tealsail.lab.script import Unclear, read_script
 from tealsail.lab.virtual import Model
 from tealsail.record import files
-from tealsail.record.lines import Came, End, Head, Log, Shot, Stage, Take, Told, Vote, encode
+from tealsail.record.lines import (
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    Log,
+    ShotEnded,
+    ShotSent,
+    StageChanged,
+    Vote,
+    encode,
+)
 from tealsail.world.unit import Unit
 
 SECOND = 10_000
@@ -141,7 +152,7 @@
 
     def play(self, seed: int = 1, **more: Any) -> tuple[Any, list]:
         lines: list = []
-        figures, rules = Figures(), runs.Rules()
+        figures, rules = Figures(), runs.RuleChecker()
         model = Model(convert(day(**more)), seed, [lines.append, figures, rules]).play()
         rules.close()
         self.assertEqual(([str(each) for each in rules.breaches], model.faults), ([], 0))
@@ -166,7 +177,7 @@
         result, lines = self.play()
         self.assertEqual(result.figures["released.2"], 1.0)
         self.assertGreater(result.figures["service"], 0.97)
-        self.assertEqual(len(self.of(lines, Take)), len(self.of(lines, End)))
+        self.assertEqual(len(self.of(lines, InvocationTaken)), len(self.of(lines, InvocationEnded)))
 
     def test_a_good_build_brought_in_while_all_units_jam_is_not_sent_back(self) -> None:
         """Three places in five at once: the new build was blamed for it (8 of 9 days, units 1.5 to 2.2 times
@@ -209,7 +220,7 @@
             self.play(seconds=8, fleet={"relays": 20, "units": 4}, clients={"rate": 120}, unit=unit)
             for unit in ({"connections": 10, "handshake_work_ms": 5.0}, {})
         )
-        self.assertTrue(self.of(lines, Came, outcome="full"))
+        self.assertTrue(self.of(lines, ShotEnded, outcome="full"))
         self.assertTrue(0.75 < few.figures["service"] < many.figures["service"])
 
     def test_a_bad_build_goes_back_early(self) -> None:
@@ -224,7 +235,7 @@
 
     def test_a_build_that_turns_bad_five_to_eleven_seconds_after_its_units_start(self) -> None:
         result, lines = self.play(seconds=30, builds={"errors": 0.5, "turns_s": [5, 11]})
-        errors = [line.at for line in self.of(lines, Came, outcome="error")]
+        errors = [line.at for line in self.of(lines, ShotEnded, outcome="error")]
         self.assertGreater(min(errors), 7 * SECOND)
         self.assertIn("back_s.2", result.figures)
 
@@ -234,43 +245,45 @@
         result, lines = self.play(
             clients={"rate": 200, "repeats": 2}, unit={"cores": 0.8}, script=surge, builds={"offered_s": 90}
         )
-        self.assertGreater(len({line.first for line in self.of(lines, Take)}), 4000 + 0.9 * 200 * 0.3 * 4 * 8)
-        repeats = [line for line in self.of(lines, Take) if line.number != line.first]
+        self.assertGreater(
+            len({line.first for line in self.of(lines, InvocationTaken)}), 4000 + 0.9 * 200 * 0.3 * 4 * 8
+        )
+        repeats = [line for line in self.of(lines, InvocationTaken) if line.number != line.first]
         self.assertGreater(len(repeats), 20)
         self.assertLess(result.figures["service"], calm.figures["service"])
-        seen = {line.number for line in self.of(lines, Take)}
-        self.assertEqual(len(seen), len(self.of(lines, Take)))  # each repeat has a number of its own
+        seen = {line.number for line in self.of(lines, InvocationTaken)}
+        self.assertEqual(len(seen), len(self.of(lines, InvocationTaken)))  # each repeat has a number of its own
 
     def test_a_list_eight_seconds_behind_while_stages_go_on(self) -> None:
         _, lines = self.play(script="from 3s for 8s list stale")
-        told = [line.at for line in self.of(lines, Told)]
+        told = [line.at for line in self.of(lines, EntryReceived)]
         self.assertEqual([at for at in told if 4 * SECOND < at < 11 * SECOND], [])
         self.assertTrue([at for at in told if at > 11 * SECOND])
-        self.assertTrue(self.of(lines, Came, outcome="full") or self.of(lines, Came, outcome="unreachable"))
+        self.assertTrue(self.of(lines, ShotEnded, outcome="full") or self.of(lines, ShotEnded, outcome="unreachable"))
 
     def test_a_relay_killed_and_back_in_the_middle_of_a_trial(self) -> None:
         result, lines = self.play(script="at 3s kill relay 0 for 2s")
-        lost = self.of(lines, End, answer="lost")
+        lost = self.of(lines, InvocationEnded, answer="lost")
         self.assertTrue(all(line.relay == 0 and line.at == 3 * SECOND for line in lost))
-        between = [line for line in self.of(lines, Take, relay=0) if 3 * SECOND < line.at < 5 * SECOND]
+        between = [line for line in self.of(lines, InvocationTaken, relay=0) if 3 * SECOND < line.at < 5 * SECOND]
         self.assertEqual(between, [])
-        self.assertTrue([line for line in self.of(lines, Take, relay=0) if line.at > 5 * SECOND])
+        self.assertTrue([line for line in self.of(lines, InvocationTaken, relay=0) if line.at > 5 * SECOND])
         self.assertEqual(result.figures["released.2"], 1.0)
 
     def test_a_planned_restart_of_a_relay_loses_nothing(self) -> None:
         result, lines = self.play(script="at 3s restart relay 0")
-        self.assertEqual(self.of(lines, End, answer="lost"), [])
-        taken = [line.at for line in self.of(lines, Take, relay=0)]
+        self.assertEqual(self.of(lines, InvocationEnded, answer="lost"), [])
+        taken = [line.at for line in self.of(lines, InvocationTaken, relay=0)]
         self.assertTrue([at for at in taken if 3 * SECOND < at < 3.5 * SECOND])
         self.assertEqual([at for at in taken if 3.5 * SECOND < at < 4.1 * SECOND], [])
         self.assertTrue([at for at in taken if at > 5 * SECOND])
 
     def test_a_silent_platform_holds_the_stage_and_the_day_goes_on(self) -> None:
         _, lines = self.play(script="from 3s for 7s platform silent")
-        moved = [line.at for line in self.of(lines, Stage) if 3 * SECOND < line.at < 10 * SECOND]
+        moved = [line.at for line in self.of(lines, StageChanged) if 3 * SECOND < line.at < 10 * SECOND]
         self.assertEqual(moved, [])
         self.assertTrue(self.of(lines, Vote, answer="nothing"))
-        self.assertTrue([line for line in self.of(lines, Stage) if line.at > 10 * SECOND])
+        self.assertTrue([line for line in self.of(lines, StageChanged) if line.at > 10 * SECOND])
 
     def test_units_that_die_hang_slow_down_fall_silent_and_fail(self) -> None:
         result, lines = self.play(
@@ -279,7 +292,7 @@
             "from 8s for 2s slow 1 unit x 5\nfrom 10s for 2s silence 1 unit\n"
             "from 12s for 2s fail 80% of answers of 1 unit\nat 14s drain 1 unit",
         )
-        seen = {line.outcome for line in self.of(lines, Came)}
+        seen = {line.outcome for line in self.of(lines, ShotEnded)}
         self.assertTrue({"served", "error", "unreachable"} <= seen, seen)
         self.assertGreater(result.figures["service"], 0.9)
 
@@ -289,13 +302,13 @@
             network={"far_ms": 12.0},
             script="from 1s for 15s notes lost\nfrom 5s for 2s cut relay 0 from zone b",
         )
-        self.assertTrue(self.of(lines, Came, relay=0, outcome="unreachable"))
-        self.assertEqual(self.of(lines, Came, relay=1, outcome="unreachable"), [])
+        self.assertTrue(self.of(lines, ShotEnded, relay=0, outcome="unreachable"))
+        self.assertEqual(self.of(lines, ShotEnded, relay=1, outcome="unreachable"), [])
         self.assertIn("service.zone.b", result.figures)
 
     def test_settings_of_the_relays_are_an_option_too(self) -> None:
         _, lines = self.play(settings={"limits.maxAttempts": 1}, script="at 4s kill 2 units for 2s")
-        self.assertEqual({line.place for line in self.of(lines, Shot)}, {0})
+        self.assertEqual({line.place for line in self.of(lines, ShotSent)}, {0})
 
     def test_the_platforms_clock_moves_stages_without_votes(self) -> None:
         result, lines = self.play(platform={"by_clock_ms": 2000})
@@ -306,9 +319,9 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "a.record.gz"
             runs.play(convert(day(seconds=5)), 1, path)
-            first = [line.intended for line in files.read(path) if isinstance(line, Take)]
+            first = [line.intended for line in files.read(path) if isinstance(line, InvocationTaken)]
             _, lines = self.play(seed=9, seconds=5, clients={"trace": str(path)})
-            self.assertEqual([line.intended for line in self.of(lines, Take)], first)
+            self.assertEqual([line.intended for line in self.of(lines, InvocationTaken)], first)
             with self.assertRaisesRegex(BadScenario, "no workload fetch"):
                 Model(convert(day(clients={"trace": str(path)}, workload=[{"name": "other"}])), 1, [])
             with self.assertRaisesRegex(BadScenario, "can't surge"):
@@ -319,7 +332,7 @@
         lines: list = []
         Model(scenario, 1, [lines.append]).play()
         self.assertLessEqual(len({line.relay for line in self.of(lines, Log) if "verdict" in line.text}), 12)
-        self.assertTrue(self.of(lines, Stage, stage=1))
+        self.assertTrue(self.of(lines, StageChanged, stage=1))
 
 
 class Figured(unittest.TestCase):
@@ -337,16 +350,16 @@
 
     def test_repeats_belong_to_their_first_try_and_count_from_when_it_was_meant(self) -> None:
         found = self.result(
-            Take(100, 0, 1, 0, 0, 0, "", 30_000, 1),
-            End(110, 0, 1, "rejected"),
-            Take(900, 0, 2, 0, 0, 0, "", 30_000, 1),
-            End(1_001, 0, 2, "served"),
-            Take(2000, 0, 3, 2000, 0, 0, "", 30_000, 3),
-            End(2_050, 0, 3, "rejected"),
-            Take(2100, 0, 4, 2000, 0, 0, "", 30_000, 3),
-            End(2_500, 0, 4, "served"),
-            Take(5000, 0, 5, 5000, 0, 0, "", 30_000, 5),
-            End(5_010, 0, 5, "forfeited"),
+            InvocationTaken(100, 0, 1, 0, 0, 0, "", 30_000, 1),
+            InvocationEnded(110, 0, 1, "rejected"),
+            InvocationTaken(900, 0, 2, 0, 0, 0, "", 30_000, 1),
+            InvocationEnded(1_001, 0, 2, "served"),
+            InvocationTaken(2000, 0, 3, 2000, 0, 0, "", 30_000, 3),
+            InvocationEnded(2_050, 0, 3, "rejected"),
+            InvocationTaken(2100, 0, 4, 2000, 0, 0, "", 30_000, 3),
+            InvocationEnded(2_500, 0, 4, "served"),
+            InvocationTaken(5000, 0, 5, 5000, 0, 0, "", 30_000, 5),
+            InvocationEnded(5_010, 0, 5, "forfeited"),
         )
         self.assertAlmostEqual(found["service"], 1 / 3)
         self.assertAlmostEqual(found["late"], 1 / 3)
@@ -354,7 +367,7 @@
         self.assertEqual(found["rejected"], 0)
 
     def test_harm_is_what_the_build_on_trial_touched_and_was_not_kept(self) -> None:
-        on_trial = Stage(10, 2, 0, "on trial", 0.2)
+        on_trial = StageChanged(10, 2, 0, "on trial", 0.2)
         found = self.result(
             on_trial,
             *(
@@ -366,9 +379,9 @@
                     (4, 1, "served"),
                 )
                 for line in (
-                    Take(20, 0, number, 20, 0, 0, "", 30_000, number),
-                    Shot(20, 0, number, 0, "u", build, 10),
-                    End(50, 0, number, answer),
+                    InvocationTaken(20, 0, number, 20, 0, 0, "", 30_000, number),
+                    ShotSent(20, 0, number, 0, "u", build, 10),
+                    InvocationEnded(50, 0, number, answer),
                 )
             ),
         )
@@ -480,7 +493,7 @@
             path, own = self.record(folder, 30), Path(folder) / "own.record"
             writer = files.Writer(own)
             for line in files.read(path):
-                if type(line) in (Head, Take, Shot, Came, End, Told):
+                if type(line) in (Head, InvocationTaken, ShotSent, ShotEnded, InvocationEnded, EntryReceived):
                     writer(line)
             writer.close()
             self.assertAlmostEqual(fits.fit(own).workloads[0].mean_ms, 20 + 0.6, delta=1.5)
--- a/tests/test_load_digests.py
+++ b/tests/test_load_digests.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from tealsail import notes
-from tealsail.choices import hearsay
+from tealsail.choices import zone_reports
 from tealsail.choices.digest_messages import DIGEST, QUIET_REPORT, REPORT, Message, Row, decode, encode
 from tealsail.choices.load_digests import (
     BUDGET,
@@ -26,7 +26,7 @@
 from tealsail.choices.load_owner import LIFE, LISTENS, MOST_ROWS_KEPT, LoadOwner
 from tealsail.choices.rendezvous import REPLICAS, Rendezvous
 from tealsail.net.relay import unit_number
-from tealsail.parts import Chance
+from tealsail.parts import RandomGenerator
 
 settings.register_profile("ci", max_examples=60, derandomize=True, deadline=None)
 settings.load_profile("ci")
@@ -46,7 +46,7 @@
 
     def __init__(self, relays: int, used: list[list[int]]) -> None:
         self.now = 0
-        self.machines = [LoadDigests(each, relays, 0, Chance(each)) for each in range(relays)]
+        self.machines = [LoadDigests(each, relays, 0, RandomGenerator(each)) for each in range(relays)]
         self.used, self.lost, self.stopped = used, set(), set()
         self.waiting: list[tuple[int, int, bytes]] = []
         self.bytes = Counter()
@@ -103,7 +103,7 @@
     @given(st.lists(ROWS, min_size=1, max_size=5))
     def test_a_relay_of_before_ignores_them(self, rows):
         data = encode(Message(REPORT, 0, 1, 7, tuple(rows)))
-        self.assertFalse(notes.of_shots(data))
+        self.assertFalse(notes.is_tracker_note(data))
         self.assertEqual(notes.read(data), ())
         self.assertIsNone(hearsay.decode(data))
 
@@ -239,7 +239,7 @@
         self.assertLess(net.now - followed.digest_at, DIGEST_LIFE // 2)
 
     def test_a_digest_that_was_held_up_is_as_old_as_its_report(self):
-        machine = LoadDigests(0, 2, 0, Chance(1))
+        machine = LoadDigests(0, 2, 0, RandomGenerator(1))
         machine.sent(5, 0)
         sends = []
         while not sends:
@@ -269,7 +269,7 @@
                 self.assertTrue(all(len(machine.followed) <= MOST_USED for machine in net.machines))
 
     def test_an_owner_that_is_asked_by_all_keeps_to_it_and_says_so(self):
-        machine = LoadDigests(0, 1_300, 0, Chance(1))
+        machine = LoadDigests(0, 1_300, 0, RandomGenerator(1))
         pause = 0
         for at in range(0, 5 * SECOND, 50):
             machine.tick(at)
@@ -282,7 +282,7 @@
 
     def test_reports_of_its_own_leave_an_owner_enough_to_answer(self):
         """Guards against owners that fall silent under their own reports, and are left out for it."""
-        machine = LoadDigests(0, 1_300, 0, Chance(1))
+        machine = LoadDigests(0, 1_300, 0, RandomGenerator(1))
         for unit in UNITS[:32]:
             machine.sent(unit, 0)
         answered = 0
@@ -296,7 +296,7 @@
 
     def test_owners_of_one_unit_at_a_time_are_worked_out(self):
         """Guards against a timer that keeps requests waiting for 64 units' orders at once."""
-        machine = LoadDigests(0, 1_300, 0, Chance(1))
+        machine = LoadDigests(0, 1_300, 0, RandomGenerator(1))
         for unit in UNITS[:32]:
             machine.sent(unit, 0)
         for count in range(1, 5):
@@ -304,7 +304,7 @@
             self.assertEqual(sum(bool(each.owners) for each in machine.followed.values()), count)
 
     def test_spoilt_foreign_and_old_messages_are_dropped_and_counted(self):
-        machine = LoadDigests(0, 3, 0, Chance(1))
+        machine = LoadDigests(0, 3, 0, RandomGenerator(1))
         good = report(5, Row(7, 1, 1.0, 0, 0))
         machine.received(1, good, 1)
         for sender, data, why in (
@@ -319,14 +319,14 @@
         self.assertEqual(machine.owner.others(0, 7, LISTENS + 2).out, 1)
 
     def test_one_line_a_minute(self):
-        machine = LoadDigests(0, 3, 0, Chance(1))
+        machine = LoadDigests(0, 3, 0, RandomGenerator(1))
         for at in range(0, 130 * SECOND, SECOND // 2):
             machine.received(1, bytes(24), at)
             machine.tick(at)
         self.assertIn(len(machine.lines), (2, 3))
 
     def test_an_owner_answers_for_no_unit_that_it_has_just_begun_to_hear_of(self):
-        machine = LoadDigests(0, 3, 0, Chance(1))
+        machine = LoadDigests(0, 3, 0, RandomGenerator(1))
         for sequence, at in enumerate(range(SECOND, 5 * SECOND, SECOND // 2), 1):
             machine.tick(at)
             sends = machine.received(1, report(sequence, Row(7, 1, 1.0, 0, 0)), at)
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -3,8 +3,8 @@
 import unittest
 
 from hypothesis import given, strategies as st
+from tealsail.choices.rate_limits import SECOND, MessageLimits, RateLimiter, count_message_limits
 
-from tealsail.choices.flood import SECOND, Flood, Limits, limits
 from tealsail.lab.judging import Fleet, heard, mixed
 from tealsail.notes import PAST, STARTS, Pool, count_notes, read
 from tealsail.parts import beyond
@@ -113,26 +113,26 @@
 class Floods(unittest.TestCase):
     """How many notes are taken, of one sender and of all."""
 
-    def taken(self, flood: Flood, notes: list[int], now: int = 0) -> dict[int, int]:
+    def taken(self, flood: RateLimiter, notes: list[int], now: int = 0) -> dict[int, int]:
         found: dict[int, int] = {}
         for sender in notes:
             found[sender] = found.get(sender, 0) + flood.allows(sender, now)
         return found
 
     def test_one_mad_relay_gets_its_part_and_the_others_are_all_heard(self) -> None:
-        flood = Flood(limits(60))
+        flood = RateLimiter(count_message_limits(60))
         notes = [0] * 200 + [sender for sender in range(1, 50) for _ in range(2)] + [0] * 100_000
         found = self.taken(flood, notes)
         self.assertEqual((found[0], {found[sender] for sender in range(1, 50)}), (28, {2}))
 
     def test_five_mad_relays_and_all_together_too_much_each_honest_one_is_heard_once(self) -> None:
-        flood = Flood(Limits(100, 400))
+        flood = RateLimiter(MessageLimits(100, 400))
         found = self.taken(flood, [mad for _ in range(1000) for mad in range(5)] + list(range(5, 1000)) * 2)
         self.assertEqual({found[sender] for sender in range(5, 1000)}, {1})
         self.assertLess(sum(found[mad] for mad in range(5)), 250)
 
     def test_a_second_later_all_are_heard_again_and_the_table_is_emptied(self) -> None:
-        flood = Flood(Limits(10, 400))
+        flood = RateLimiter(MessageLimits(10, 400))
         self.taken(flood, [7] * 50)
         self.assertEqual(self.taken(flood, [7] * 3, SECOND), {7: 3})
         for second in range(2, 100):
@@ -142,7 +142,7 @@
     def test_what_honest_relays_tell_at_the_most_is_under_the_limit(self) -> None:
         for cells in (30, 60, 240, 1920):
             counts = [(cell, 1 << 20) for cell in range(cells)]  # each as two figures
-            self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, limits(cells).each)
+            self.assertLessEqual(2 * len(count_notes(7, 1, counts, cells)) + 12, count_message_limits(cells).each)
 
 
 class Judges(unittest.TestCase):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -168,7 +168,7 @@
     STATE = b'{"Revision":42,"Wave":1,"State":"canary","MaxShare":0.28,"AgeMs":310}'
 
     def test_answers_notifications_and_pings(self) -> None:
-        state = platform.RolloutState(42, 1, "on trial", 0.28, 310)
+        state = platform.PlatformState(42, 1, "on trial", 0.28, 310)
         for line, read in (
             (b'{"jsonrpc":"2.0","id":11,"result":' + self.STATE + b"}", platform.CallResult(11, state, "")),
             (b'{"jsonrpc":"2.0","id":10,"result":true}', platform.CallResult(10, None, "")),
@@ -217,7 +217,7 @@
             "dcs": "x",
             "limits.dialTimeout": "250.0",
         }
-        nested = settings.facts(settings.nested(tree))
-        self.assertEqual(nested.pop("customers", []), [])
-        self.assertEqual(nested, settings.facts(settings.flat(pairs)))
-        self.assertEqual(nested["workloads"], [dict(name="a", promised=12000, effect="one-shot")])
+        nested_leaves = settings.facts(settings.nested_leaves(tree))
+        self.assertEqual(nested_leaves.pop("customers", []), [])
+        self.assertEqual(nested_leaves, settings.facts(settings.flat_leaves(pairs)))
+        self.assertEqual(nested_leaves["workloads"], [dict(name="a", promised=12000, effect="one-shot")])
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -6,16 +6,17 @@
 from itertools import accumulate
 from types import SimpleNamespace
 
-from tealsail.choices.pauses import Pauses, by_fleet, first_question
-from tealsail.parts import Chance
-from tealsail.world.keeper import Keeper
+from tealsail.choices.backoff import Backoff, fleet_backoff, initial_request_delay
+from tealsail.world.discovery_server import DiscoveryServer
+
+from tealsail.parts import RandomGenerator
 
 RELAYS, WITHIN = 40, 10.0
 
 
-def play(due: list[float], pauses: list[Pauses], whole: bool) -> tuple[Counter, int]:
+def play(due: list[float], pauses: list[Backoff], whole: bool) -> tuple[Counter, int]:
     """40 s: questions by tenth of a second, and how many relays were answered; who is answered asks no more."""
-    keeper, asked, answered = Keeper(), Counter(), 0
+    keeper, asked, answered = DiscoveryServer(), Counter(), 0
     heap = sorted(zip(due, range(len(due))))
     while heap and heap[0][0] < 40:
         now, number = heapq.heappop(heap)
@@ -31,15 +32,15 @@
     def test_a_fleet_that_starts_together_is_answered_relay_by_relay(self) -> None:
         """What 40 relays did before: all at once, and all again after 0.1, 0.2 .. 2 s, in the same moments."""
         asked, answered = play(
-            [0.0] * RELAYS, [Pauses(SimpleNamespace(share=lambda: 0.5)) for _ in range(RELAYS)], whole=True
+            [0.0] * RELAYS, [Backoff(SimpleNamespace(share=lambda: 0.5)) for _ in range(RELAYS)], whole=True
         )
         self.assertLess(answered, RELAYS // 2)
         self.assertGreater(max(asked[at] for at in asked if at > 100), RELAYS // 2)  # ten seconds on: still in step
         for seed in range(10):
-            chances = [Chance(100 * seed + number) for number in range(RELAYS)]
+            chances = [RandomGenerator(100 * seed + number) for number in range(RELAYS)]
             asked, answered = play(
-                [first_question(each, RELAYS, WITHIN, True, True) for each in chances],
-                [by_fleet(each, RELAYS, WITHIN) for each in chances],
+                [initial_request_delay(each, RELAYS, WITHIN, True, True) for each in chances],
+                [fleet_backoff(each, RELAYS, WITHIN) for each in chances],
                 whole=False,
             )
             self.assertGreater(answered, 0.8 * RELAYS)
@@ -48,14 +49,16 @@
     def test_connections_that_ended_together_are_not_made_anew_together(self) -> None:
         tries = Counter(
             int(10 * at)
-            for pauses in [Pauses(Chance(number)) for number in range(RELAYS)]
+            for pauses in [Backoff(RandomGenerator(number)) for number in range(RELAYS)]
             for at in accumulate(pauses.next() for _ in range(20))
         )
         self.assertLessEqual(max(tries[at] for at in range(20, 200)), RELAYS // 4)
 
     def test_a_relay_asks_often_enough_to_count_as_asking_whatever_it_is_told_to_wait(self) -> None:
         for relays in (1, 3, 40, 5000):
-            pauses, chance = by_fleet(Chance(relays), relays, WITHIN), Chance(relays)
+            pauses, chance = fleet_backoff(RandomGenerator(relays), relays, WITHIN), RandomGenerator(relays)
             self.assertLessEqual(pauses.next(), 1.9 * max(0.1, 0.05 * relays))
             self.assertLess(max(pauses.next(least) for least in (0, 3, 60) for _ in range(50)), 0.85 * WITHIN)
-            self.assertLess(max(first_question(chance, relays, WITHIN, True, True) for _ in range(50)), 0.5 * WITHIN)
+            self.assertLess(
+                max(initial_request_delay(chance, relays, WITHIN, True, True) for _ in range(50)), 0.5 * WITHIN
+            )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,16 @@
 from tealsail.lab.figures import Result
 from tealsail.lab.scenario import convert
 from tealsail.record import files
-from tealsail.record.lines import End, Fault, Life, Line, Log, Ran, Take, Told
+from tealsail.record.lines import (
+    EntryReceived,
+    Fault,
+    InvocationEnded,
+    InvocationTaken,
+    Line,
+    Log,
+    RelayEvent,
+    ShotStarted,
+)
 
 from .test_lab import SECOND, day
 
@@ -41,16 +50,18 @@
             lines = list(files.read(path))
         self.assertEqual([each.text for each in breaches], [])  # of the rules; no relay crashed or lost a request
         self.assertEqual(result.breaches, {})
-        answers = [(line.relay, line.number) for line in lines if isinstance(line, End)]
+        answers = [(line.relay, line.number) for line in lines if isinstance(line, InvocationEnded)]
         self.assertEqual(
-            sorted(answers), sorted({(line.relay, line.number) for line in lines if isinstance(line, Take)})
+            sorted(answers), sorted({(line.relay, line.number) for line in lines if isinstance(line, InvocationTaken)})
         )
         self.assertEqual(sum(isinstance(line, Fault) for line in lines), len(script.strip().splitlines()))
         self.assertGreater(result.figures["service"], MIN_SERVICE)
         return result, lines
 
     def lives(self, lines: list[Line], *events: str) -> list[tuple[int, int]]:
-        return [(line.at, line.relay) for line in lines if isinstance(line, Life) and line.event in events and line.at]
+        return [
+            (line.at, line.relay) for line in lines if isinstance(line, RelayEvent) and line.event in events and line.at
+        ]
 
     def test_the_load_tracker_is_paused_and_comes_back_and_two_relays_get_a_third_of_a_core(self) -> None:
         result, lines = self.play("at 1.5s pause the keeper for 3s\nfrom 4s for 2s hold 2 relays to 30%")
@@ -82,7 +93,7 @@
         self.assertEqual(killed | {keeper}, {1, 3, 5, 7, keeper})  # the first may not have been up again
         self.assertIn(len({relay for at, relay in downs if at > 5.9 * SECOND}), (1, 2))
         for relay in range(8):  # up and down take turns, also where a relay was killed while it came up
-            events = [line.event for line in lines if isinstance(line, Life) and line.relay == relay]
+            events = [line.event for line in lines if isinstance(line, RelayEvent) and line.relay == relay]
             self.assertEqual(events, (["up", "down"] * len(events))[: len(events)])
 
     def test_relays_are_cut_from_each_other_one_way_and_both_from_the_list_and_from_the_platform(self) -> None:
@@ -96,7 +107,7 @@
             relay: [
                 line.at
                 for line in lines
-                if isinstance(line, Told) and line.relay == relay and line.at and line.state == "gone"
+                if isinstance(line, EntryReceived) and line.relay == relay and line.at and line.state == "gone"
             ]
             for relay in range(8)
         }
@@ -109,7 +120,7 @@
             "from 1s for 4s notes lost 30%\nfrom 1s for 4s notes late 50ms 50%\nfrom 1s for 4s notes doubled\n"
             "from 2s for 4s notes reordered 300ms\nfrom 2s for 4s notes replayed after 2s 50%"
         )
-        self.assertGreater(sum(isinstance(line, Ran) for line in lines), 500)
+        self.assertGreater(sum(isinstance(line, ShotStarted) for line in lines), 500)
 
     def test_clocks_step_by_an_hour_and_run_a_fifth_fast(self) -> None:
         _, lines = self.play(
@@ -117,7 +128,9 @@
             "from 1s for 4s run clocks of relay 5 x 1.2"
         )
         by = [
-            line.relay for line in lines if isinstance(line, End) and line.answer == "served" and line.at > 3 * SECOND
+            line.relay
+            for line in lines
+            if isinstance(line, InvocationEnded) and line.answer == "served" and line.at > 3 * SECOND
         ]
         self.assertEqual(set(by), set(range(8)))
 
@@ -131,7 +144,7 @@
         )
         first: dict[int, int] = {}
         for line in lines:
-            if isinstance(line, Told) and line.build == 2:
+            if isinstance(line, EntryReceived) and line.build == 2:
                 first.setdefault(line.relay, line.at)
         self.assertEqual(sum(at >= 3.5 * SECOND for at in first.values()), 4)
         self.assertEqual({relay for at, relay in self.lives(lines, "down") if at >= 5 * SECOND}, set(range(8)))
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -12,7 +12,17 @@
 from tealsail.net.counters import Counters
 from tealsail.net.relay import Relay
 from tealsail.record import files
-from tealsail.record.lines import VERSION, Came, Close, End, Head, News, Shot, Take, Told
+from tealsail.record.lines import (
+    VERSION,
+    Close,
+    EntryReceived,
+    Head,
+    InvocationEnded,
+    InvocationTaken,
+    News,
+    ShotEnded,
+    ShotSent,
+)
 from tealsail.record.recorder import Recorder
 from tealsail.setup import document
 
@@ -32,7 +42,7 @@
             ({"recording": {"file": "a", "keys": "some"}}, r"recording\.keys: invalid enum"),
             ({"what": 1}, "unknown field `what`"),
         ):
-            with self.assertRaisesRegex(document.BadDocument, expected) as caught:
+            with self.assertRaisesRegex(document.InvalidDocument, expected) as caught:
                 document.convert(tree, "t.toml")
             self.assertNotIn("\n", str(caught.exception))
         self.assertEqual(document.convert({"recording": {"file": "a"}}).recording.keys, "hashed")
@@ -41,7 +51,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("[recording\n")
             file.flush()
-            with self.assertRaisesRegex(document.BadDocument, r"\.toml: "):
+            with self.assertRaisesRegex(document.InvalidDocument, r"\.toml: "):
                 document.read(file.name)
 
     def test_relay_without_a_document_imports_none_of_its_libraries(self) -> None:
@@ -120,16 +130,16 @@
         self.reactor.advance(0.6)
         wire.settle()
         relay.record.close()
-        first, second = self.lines(Take)
+        first, second = self.lines(InvocationTaken)
         self.assertEqual((first.first, second.first, first.workload, second.workload), (first.number, -1, 0, 1))
         self.assertEqual((len(first.key), first.key == second.key, "7f3a" in first.key), (16, True, False))
         self.assertEqual(first.give_up - first.at, 4800)
-        shot = self.lines(Shot)[0]
+        shot = self.lines(ShotSent)[0]
         self.assertEqual((shot.unit, shot.build, shot.number), ("s-1", 41, first.number))
-        came = self.lines(Came)[0]
+        came = self.lines(ShotEnded)[0]
         self.assertEqual((came.outcome, came.at - shot.at), ("served", 300))
-        self.assertEqual([line.answer for line in self.lines(End)][0], "served")
-        self.assertEqual([(line.unit, line.state) for line in self.lines(Told)], [("s-1", "open")])
+        self.assertEqual([line.answer for line in self.lines(InvocationEnded)][0], "served")
+        self.assertEqual([(line.unit, line.state) for line in self.lines(EntryReceived)], [("s-1", "open")])
         self.assertEqual([(line.build, line.phase) for line in self.lines(News)], [(41, "released")])
         self.assertEqual(self.lines(Head)[0].facts["workloads"][0]["name"], "basket")
         self.assertEqual(self.lines(Close)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
@@ -143,8 +153,8 @@
         client.feed(client_query())
         client.drop()
         relay.record.close()
-        self.assertEqual([line.answer for line in self.lines(End)], ["forfeited", "left"])
-        self.assertEqual({line.key for line in self.lines(Take)}, {""})
+        self.assertEqual([line.answer for line in self.lines(InvocationEnded)], ["forfeited", "left"])
+        self.assertEqual({line.key for line in self.lines(InvocationTaken)}, {""})
 
     def recorder(self, path: Path | str, most_bytes: int = 1 << 20, most_waiting: int = 1000) -> Recorder:
         self.counters = Counters()
@@ -168,30 +178,30 @@
 
         recorder.writer = StalledWriter()
         for number in range(500):
-            recorder.note(End(number, 0, number, "served"))
+            recorder.note(InvocationEnded(number, 0, number, "served"))
         dropped = self.counters.counts["record.dropped"]
         self.assertTrue(399 <= dropped <= 400, dropped)
         gate.set()
-        recorder.waiting.put(None)
+        recorder.queued_lines.put(None)
         recorder.thread.join()
         write.close()
-        self.assertEqual(len(self.lines(End)), 500 - dropped)
+        self.assertEqual(len(self.lines(InvocationEnded)), 500 - dropped)
 
     def test_file_at_its_limit_ends_the_record_with_its_last_line(self) -> None:
         path = self.path.with_name("n0.record")
         recorder = self.recorder(path, most_bytes=50_000, most_waiting=100_000)
         for number in range(20_000):
-            recorder.note(End(number, 0, number, "served"))
+            recorder.note(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertLess(path.stat().st_size, 80_000)
         self.assertIsInstance(list(files.read(path))[-1], Close)
-        recorder.note(End(1, 0, 1, "served"))
+        recorder.note(InvocationEnded(1, 0, 1, "served"))
         self.assertGreater(self.counters.counts["record.dropped"], 0)
 
     def test_full_disk_ends_the_record_and_not_the_relay(self) -> None:
         recorder = self.recorder("/dev/full", most_waiting=100_000)
         for number in range(50_000):
-            recorder.note(End(number, 0, number, "served"))
+            recorder.note(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertIn("No space left", recorder.problem)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 from tealsail.net import relay_configuration
 from tealsail.net.relay import Relay
-from tealsail.notes import ask_note, state_note
+from tealsail.notes import ask_note, load_note
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response, message
 
@@ -228,7 +228,7 @@
     def test_rollout_states_between_answers_and_each_answer_to_a_vote(self) -> None:
         wire, answers = self.platform(), []
         self.send_state(wire, build=42, phase="canary", cap=0.28)
-        self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.told_cap), (42, 0.28))
+        self.assertEqual((self.relay.facade.relay.build, self.relay.facade.relay.stated_cap), (42, 0.28))
         self.relay.platform.on_vote_answer = answers.append
         for error, answer in (("BUSY", "full"), ("STALE", "moot"), ("FAILED", "error"), ("SYNTAX", "error")):
             self.relay.platform.vote(42, 0, "on")
@@ -340,13 +340,13 @@
         for silent and chose without one when it was busiest."""
         attempts = 900  # a second; a relay on a whole core makes fewer than 700
         for number in range(attempts):
-            beginning = state_note(2 * number, 7, 1, 0)
-            end = state_note(2 * number + 1, 7, 0, 16)
+            beginning = load_note(2 * number, 7, 1, 0)
+            end = load_note(2 * number + 1, 7, 0, 16)
             for note in (ask_note(number, [7, 8]), beginning, end):
                 self.reactor.udp.datagramReceived(note, ("127.0.0.2", 7946))
         self.assertEqual(self.relay.counters.counts["peers.shed"], 0)
         for number in range(7_000):
-            self.reactor.udp.datagramReceived(state_note(number, 7, 1, 0), ("127.0.0.2", 7946))
+            self.reactor.udp.datagramReceived(load_note(number, 7, 1, 0), ("127.0.0.2", 7946))
         self.assertGreater(self.relay.counters.counts["peers.shed"], 6_500)
 
     def test_id_of_an_open_invocation_is_an_error_until_its_answer(self) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tealsail import policy
-from tealsail.parts import Chance
+from tealsail.parts import RandomGenerator
 from tests.fake import HARMLESS, ONE_SHOT, SECOND, STAMPED, Story
 
 
@@ -137,7 +137,7 @@
 
     def test_no_window_holds_more_wherever_it_begins_and_a_cap_of_one_rejects_nothing(self) -> None:
         for cap in (0.3, 0.7, 1.0):
-            story, taken, chance = Story(stage_shares=[0.25]), [], Chance(5)
+            story, taken, chance = Story(stage_shares=[0.25]), [], RandomGenerator(5)
             story.relay.on_stage(2, 1, policy.ON_TRIAL, cap, 10 * SECOND)
             story.update_list([story.unit(number, 2) for number in range(4)])
             for _ in range(900):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -182,7 +182,7 @@
     """Play one sequence of events: requests, every kind of answer, messages of other relays, changes of the list and of
     the rollout state.  Returns the datagrams that the relay sent, with their addresses, in order."""
     reactor = driven.reactor
-    tracker = driven.relay.facade.relay.guide.order[0]
+    tracker = driven.relay.facade.relay.load_tracking.order[0]
     answered = 0
     for step in range(900):
         driven.step()
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -2,10 +2,11 @@
 
 import unittest
 
+from tealsail.choices.live_settings import LiveSettings, RestartNeeded
+from tealsail.setup.validation import InvalidSettings, check_settings
+
 from tealsail import policy
-from tealsail.choices.switch import Fixed, Switch
 from tealsail.net import relay_configuration
-from tealsail.setup.facts import BadFacts, check
 
 from . import test_relay
 from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, Story, client_query, error_response
@@ -64,15 +65,15 @@
 
     def test_the_settings_of_both_kinds_of_deployment_pass(self) -> None:
         for facts in (MOVED, STAYED, {}):
-            check(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
-        with self.assertRaises(BadFacts):
-            check(dict(MOVED, relays=180, step=0, workloads=[HARMLESS]))
+            check_settings(dict(facts, relays=180, workloads=[dict(HARMLESS, name="a"), dict(ONE_SHOT, name="b")]))
+        with self.assertRaises(InvalidSettings):
+            check_settings(dict(MOVED, relays=180, step=0, workloads=[HARMLESS]))
 
 
 class Switched(unittest.TestCase):
-    def story(self, **facts) -> tuple[Story, Switch]:
+    def story(self, **facts) -> tuple[Story, LiveSettings]:
         story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **facts)
-        return story, Switch(story.relay, self.now(story))
+        return story, LiveSettings(story.relay, self.now(story))
 
     @staticmethod
     def now(story: Story, **more: object) -> dict:
@@ -89,7 +90,7 @@
             switch.change(dict(before, **dict(MOVED, back_votes=8)))
             self.assertEqual(story.relay.judge.voters, 11)
             switch.change(before)
-            switch.settle()
+            switch.end_transition()
             self.assertEqual(
                 (story.relay.facts, story.relay.trial.share, story.relay.judge.voters), (before, share, policy.JUDGES)
             )
@@ -103,7 +104,7 @@
             switch.change(self.now(story, most_shots=new))
             story.report_outcome(taken, "unreachable")
             self.assertEqual((len(story.sent(taken)), len(story.host.of("reject"))), (1, 1))
-            switch.settle()
+            switch.end_transition()
             later = story.take()
             for place in range(new):
                 story.report_outcome(later, "unreachable", place=place)
@@ -118,7 +119,7 @@
             (dict(workloads=[HARMLESS]), "requestClasses"),
             (dict(workloads=[HARMLESS, dict(ONE_SHOT, effect="harmless")]), "requestClasses"),
         ):
-            with self.assertRaisesRegex(Fixed, f"{name}: needs a restart"):
+            with self.assertRaisesRegex(RestartNeeded, f"{name}: needs a restart"):
                 switch.change(self.now(story, drain_grace=1, **more))
         self.assertEqual(story.relay.facts, before)
 
@@ -155,7 +156,7 @@
 
     def test_a_file_that_cannot_be_used_moves_nothing_not_even_discovery(self) -> None:
         for tree in (config(discovery="127.0.0.1:8600", settings=settings(fleetSize=3)),):
-            self.assertRaises(Fixed, self.relay.reconfigure, told(tree))
+            self.assertRaises(RestartNeeded, self.relay.reconfigure, told(tree))
         self.assertEqual(self.reactor.pending_connects(8600), [])
 
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -10,7 +10,7 @@
 from tealsail.lab.loopback.trial import Trial
 from tealsail.lab.scenario import convert
 from tealsail.record import files
-from tealsail.record.lines import Came, End, Life, Ran, Stage, Take
+from tealsail.record.lines import InvocationEnded, InvocationTaken, RelayEvent, ShotEnded, ShotStarted, StageChanged
 
 from .test_lab import SECOND, day
 
@@ -52,14 +52,15 @@
         result, lines, scenario = self.play(seconds=8, platform=QUICK, builds={"offered_s": 0.5})
         self.assertGreater(result.figures["service"], 0.9)
         self.assertIn("released_s.2", result.figures)
-        takes = {line.number: (line.workload, line.customer, line.key) for line in self.of(lines, Take)}
-        work = {line.number: line.work for line in self.of(lines, Ran)}
+        takes = {line.number: (line.workload, line.customer, line.key) for line in self.of(lines, InvocationTaken)}
+        work = {line.number: line.work for line in self.of(lines, ShotStarted)}
         modelled: list = []
         runs.Model(scenario, 5, [modelled.append]).play()
         self.assertEqual(
-            takes, {line.number: (line.workload, line.customer, line.key) for line in self.of(modelled, Take)}
+            takes,
+            {line.number: (line.workload, line.customer, line.key) for line in self.of(modelled, InvocationTaken)},
         )
-        expected = {line.number: line.work for line in self.of(modelled, Ran)}
+        expected = {line.number: line.work for line in self.of(modelled, ShotStarted)}
         self.assertGreater(len(set(work) & set(expected)), 700)
         self.assertTrue(all(work[number] == expected[number] for number in set(work) & set(expected)))
 
@@ -73,12 +74,14 @@
         )
         self.assertIn("back_s.2", result.figures)
         for relay in (0, 1):  # killed; restarted in order
-            self.assertEqual([line.event for line in self.of(lines, Life) if line.relay == relay], ["up", "down", "up"])
-        self.assertEqual({line.relay for line in self.of(lines, End) if line.answer == "lost"} - {0}, set())
-        again = [line for line in self.of(lines, Take) if line.relay == 0 and line.at > 4 * SECOND]
+            self.assertEqual(
+                [line.event for line in self.of(lines, RelayEvent) if line.relay == relay], ["up", "down", "up"]
+            )
+        self.assertEqual({line.relay for line in self.of(lines, InvocationEnded) if line.answer == "lost"} - {0}, set())
+        again = [line for line in self.of(lines, InvocationTaken) if line.relay == 0 and line.at > 4 * SECOND]
         self.assertGreater(len(again), 100)
-        self.assertIn("error", {line.outcome for line in self.of(lines, Came)})
-        self.assertEqual(len(self.of(lines, End)), len(self.of(lines, Take)))
+        self.assertIn("error", {line.outcome for line in self.of(lines, ShotEnded)})
+        self.assertEqual(len(self.of(lines, InvocationEnded)), len(self.of(lines, InvocationTaken)))
 
     def test_real_relays_in_three_zones_one_of_which_is_lost_and_comes_back(self) -> None:
         result, lines, _ = self.play(
@@ -101,11 +104,11 @@
             result, lines, _ = self.play(
                 seconds=11, builds=builds | {"offered_s": 0.5}, clients={"rate": rate}, platform=QUICK
             )
-            errors = [line.at for line in self.of(lines, Came) if line.outcome == "error"]
+            errors = [line.at for line in self.of(lines, ShotEnded) if line.outcome == "error"]
             self.assertTrue(errors)
             self.assertIn("back_s.2", result.figures)
             if "turns_s" in builds:
-                first = min(line.at for line in self.of(lines, Stage))
+                first = min(line.at for line in self.of(lines, StageChanged))
                 self.assertGreater(min(errors), first + 2 * SECOND)
 
 
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from tealsail.choices.connection_lifetimes import ANSWER_REST_S
 from twisted.internet.error import ConnectionDone
 
-from tealsail.choices.endings import REST
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
@@ -22,7 +22,7 @@
         self.stands = True
 
     def shoot(self, number: int = 1, wait: float = 1.0) -> list[units.ShotResult]:
-        self.reactor.advance(REST)  # a connection that has just answered is not reused at once
+        self.reactor.advance(ANSWER_REST_S)  # a connection that has just answered is not reused at once
         shot = self.units.shoot(number, lambda: b"text", wait, lambda: self.stands)
         self.shot, results = shot, []
         shot.done.addCallback(results.append)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,14 +3,14 @@
 import unittest
 
 from hypothesis import given, settings, strategies as st
+from tealsail.world.platform import Desk, Plan
+from tealsail.world.unit_list import Entry, Roster
 
-from tealsail.world import draws
+from tealsail.world import random_draws
 from tealsail.world.builds import Build
 from tealsail.world.clients import STREAM, TRY, Clients, Habits, Workload
-from tealsail.world.desk import Desk, Plan
 from tealsail.world.fleet import Fleet, Layout
 from tealsail.world.network import Network, Paths, Trouble
-from tealsail.world.roster import Entry, Roster
 from tealsail.world.unit import NEVER, Asked, Kind, Unit
 
 MS, SECOND = 10, 10_000
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,10 +8,10 @@
 from tealsail.lab.figures import Figures
 from tealsail.lab.scenario import BadScenario, convert
 from tealsail.lab.virtual import Model
-from tealsail.record.lines import End, Log, Shot, Stage, Take, Unit
-from tealsail.setup.document import BadDocument, Zones, convert as document
-from tealsail.world.rules import Rules
-from tealsail.world.spill import Spill
+from tealsail.record.lines import InvocationEnded, InvocationTaken, Log, ShotSent, StageChanged, Unit
+from tealsail.setup.document import InvalidDocument, Zones, convert as document
+from tealsail.world.rules import RuleChecker
+from tealsail.world.spill import SpillChecker
 
 from .test_lab import SECOND, day
 
@@ -21,7 +21,7 @@
 class Days(unittest.TestCase):
     """Three zones, two relays and six units each, at two fifths of what they can do."""
 
-    def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, Spill, Model]:
+    def play(self, seed: int = 1, zones: dict | None = ZONES, **more: Any) -> tuple[Any, list, SpillChecker, Model]:
         tree = dict(
             seconds=30,
             fleet={"relays": 6, "units": 18, "zones": ["a", "b", "c"]},
@@ -34,12 +34,12 @@
         for name, value in more.items():
             tree[name] = tree.get(name, {}) | value if isinstance(value, dict) else value
         lines: list = []
-        figures, rules = Figures(), Rules()
-        spill = Spill((zones or {}).get("spill_over", 0.5))
+        figures, rules = Figures(), RuleChecker()
+        spill = SpillChecker((zones or {}).get("spill_over", 0.5))
         model = Model(convert(day(**tree)), seed, [lines.append, figures, rules, spill]).play()
         rules.close()
         self.assertEqual(([str(each) for each in rules.breaches], model.faults), ([], 0))
-        self.assertLess(rules.nearest["cold"], 1)
+        self.assertLess(rules.peak_fraction["cold"], 1)
         self.zone_of = {line.unit: line.zone for line in lines if type(line) is Unit}
         return figures.result(), lines, spill, model
 
@@ -48,7 +48,7 @@
         return sum(
             self.zone_of[line.unit] == zone and ("abc"[line.relay % 3] == zone) == own
             for line in lines
-            if type(line) is Shot and first * SECOND <= line.at < last * SECOND
+            if type(line) is ShotSent and first * SECOND <= line.at < last * SECOND
         )
 
     def test_nothing_leaves_its_zone_while_all_is_in_order(self) -> None:
@@ -73,11 +73,11 @@
         self.assertEqual(spill.breaches, 0)
         self.assertGreater(result.figures["rejected.zone.b"], 0.3)
         self.assertLess(result.figures["rejected.zone.a"], 0.02)
-        taken = {(line.relay, line.number): line.at for line in lines if type(line) is Take}
+        taken = {(line.relay, line.number): line.at for line in lines if type(line) is InvocationTaken}
         waits = [
             line.at - taken[line.relay, line.number]
             for line in lines
-            if type(line) is End and line.answer == "rejected" and line.at > 15 * SECOND
+            if type(line) is InvocationEnded and line.answer == "rejected" and line.at > 15 * SECOND
         ]
         self.assertEqual(max(waits), 0)
 
@@ -97,11 +97,13 @@
 
     def test_a_zone_that_is_cut_off_from_one_relay_is_no_news_for_the_others(self) -> None:
         result, lines, _, model = self.play(script="from 10s for 10s cut relay 1 from zone b")
-        away = [line.relay for line in lines if type(line) is Shot and self.zone_of[line.unit] != "abc"[line.relay % 3]]
+        away = [
+            line.relay for line in lines if type(line) is ShotSent and self.zone_of[line.unit] != "abc"[line.relay % 3]
+        ]
         self.assertLess(sum(relay != 1 for relay in away), 10)
         self.assertGreater(away.count(1), 300)
         self.assertGreater(result.figures["service.zone.b"], 0.95)
-        seat = model.doors[1].facade.relay.seats[0]
+        seat = model.doors[1].facade.relay.extra_stages[0]
         self.assertGreater(seat.counts["probes"], 5)  # it looked again, and found the zone back
         self.assertEqual(seat.zones[1].back.state in ("ramp", "up"), True)
 
@@ -117,7 +119,7 @@
         from_c = [
             self.zone_of[line.unit]
             for line in lines
-            if type(line) is Shot and line.relay % 3 == 2 and 14 * SECOND <= line.at < 22 * SECOND
+            if type(line) is ShotSent and line.relay % 3 == 2 and 14 * SECOND <= line.at < 22 * SECOND
         ]
         self.assertGreater(from_c.count("b"), 0.4 * len(from_c))
 
@@ -130,7 +132,7 @@
                 script="from 9s for 8s list stale\nat 10s lose zone b\nat 13s lose zone c",
             )
         return sum(
-            type(line) is Shot and line.relay % 3 == 2 and self.zone_of[line.unit] == "b" and line.at > 13 * SECOND
+            type(line) is ShotSent and line.relay % 3 == 2 and self.zone_of[line.unit] == "b" and line.at > 13 * SECOND
             for line in lines
         )
 
@@ -144,7 +146,7 @@
             seconds=40, script=script, list={"late_ms": [50, 100]}, fleet={"notice_ms": 300}
         )
         self.assertEqual(spill.breaches, 0)
-        self.assertGreaterEqual(max(door.facade.relay.seats[0].zones[1].back.flaps for door in model.doors), 3)
+        self.assertGreaterEqual(max(door.facade.relay.extra_stages[0].zones[1].back.flaps for door in model.doors), 3)
         self.assertGreater(result.figures["service"], 0.96)
 
     def test_a_zone_lost_while_the_list_is_eight_seconds_stale(self) -> None:
@@ -169,7 +171,7 @@
 
     def test_one_shot_work_whose_zone_died_after_it_was_sent_is_forfeited_and_never_sent_again(self) -> None:
         _, lines, _, _ = self.play(seconds=14, script="at 10s lose zone b")  # the checker holds the rule
-        ends = [line for line in lines if type(line) is End and line.answer == "forfeited"]
+        ends = [line for line in lines if type(line) is InvocationEnded and line.answer == "forfeited"]
         self.assertTrue(ends)
 
     def test_the_only_near_units_run_the_build_on_trial_and_the_cap_binds(self) -> None:
@@ -181,10 +183,10 @@
             unit={"cores": 8.0},
             platform={"shares": [0.34, 1.0], "caps": [0.1, 1.0]},
         )
-        first = next(line.at for line in lines if type(line) is Stage)
+        first = next(line.at for line in lines if type(line) is StageChanged)
         self.assertGreater(
             sum(
-                type(line) is Shot and self.zone_of[line.unit] != "abc"[line.relay % 3] and line.at > first
+                type(line) is ShotSent and self.zone_of[line.unit] != "abc"[line.relay % 3] and line.at > first
                 for line in lines
             ),
             20,
@@ -222,10 +224,10 @@
             ({"spill_over": -1}, r"spill_over: expected `float` >= 0"),
             ({"what": 1}, "unknown field"),
         ):
-            with self.assertRaisesRegex(BadDocument, why):
-                document({"zones": tree}).seats({"zones": ["a", "b", "c"], "zone": "a"})
-        with self.assertRaisesRegex(BadDocument, "this relay's zone 'z' is none of a, b"):
-            document({"zones": {}}).seats({"zones": ["a", "b"], "zone": "z"})
+            with self.assertRaisesRegex(InvalidDocument, why):
+                document({"zones": tree}).extra_stages({"zones": ["a", "b", "c"], "zone": "a"})
+        with self.assertRaisesRegex(InvalidDocument, "this relay's zone 'z' is none of a, b"):
+            document({"zones": {}}).extra_stages({"zones": ["a", "b"], "zone": "z"})
         with self.assertRaisesRegex(BadScenario, "document: .*no zone x"):
             convert(day(document={"zones": {"costs": {"a x": 1.0}}}))
 
