--- a/tealsail/lab/scale/director.py
+++ b/tealsail/lab/scale/director.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from ...facade import Facade, PlatformState
+from ...facade import Facade, RolloutState
 from ...record.files import read
 from ...record.lines import VERSION, Close, Head, InvocationTaken, Line, RelayEvent, Unit as UnitLine
 from ...world.day import Day, RelayCommand
@@ -87,7 +87,7 @@
     facade = Facade(scenario.facts(0), 1, lambda: 0)
     owners = dict.fromkeys(facade.relay.load_tracking.order)
     for build in (scenario.build, *(each.number for each in scenario.builds)):
-        facade.report(PlatformState(build, 0, "on trial", scenario.platform.caps[0], 0))
+        facade.report(RolloutState(build, 0, "on trial", scenario.platform.caps[0], 0))
         owners |= dict.fromkeys(facade.relay.judge.order[:LAST_LINE])
     return [relay for relay in owners if relay < scenario.fleet.relays]
 
