--- a/tealsail/net/recording.py
+++ b/tealsail/net/recording.py
@@ -118,7 +118,7 @@
                 )
             )
 
-    def rollout_changed(self, state: "RolloutState") -> None:
+    def rollout_changed(self, state: "PlatformState") -> None:
         self.recorder.note(News(self.now(), self.index, state.build, state.stage, state.phase, state.cap))
 
     def close(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,9 +20,9 @@
 import unittest
 from collections.abc import Callable
 
-from tealsail.choices.backoff import FIRST_LIST_WAIT_S
 from twisted.internet.epollreactor import EPollReactor
 
+from tealsail.choices.backoff import FIRST_LIST_WAIT_S
 from tealsail.net.relay import DRAIN_CHECK_S, STOP_GRACE_S, Relay
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, client_query, message
