--- a/tealsail/lab/capacity/sizing.py
+++ b/tealsail/lab/capacity/sizing.py
@@ -124,20 +124,20 @@
 
 BEAT = Place("policy", "Relay.on_wake")
 LIST = Place("policy", "Relay.on_list")
-SWITCH = Place("choices.live_settings", "Switch.change")
-ASKING = Place("policy", "Guide.keeps")
-TELLING = Place("policy", "Guide.tell")
-HEARING = Place("policy", "Guide.hear")
+SWITCH = Place("choices.live_settings", "LiveSettings.change")
+ASKING = Place("policy", "LoadTracking.ask")
+TELLING = Place("policy", "LoadTracking.report_shot")
+HEARING = Place("policy", "LoadTracking.receive")
 SERVING = Place("net.relay", "Relay.take")
-CUSTOMERS = Place("policy", "Admission.part")
-POOLING = Place("notes", "Pool.add")
-JUDGING = Place("policy", "Judge.judge")
+CUSTOMERS = Place("policy", "Admission.limit_share")
+POOLING = Place("notes", "CountPool.add")
+JUDGING = Place("policy", "Judge.update_verdict")
 NEWS = Place("net.platform", "Platform.on_message")
 WATCHING = Place("net.discovery", "Discovery.on_reply")
-RELOADS = Place("command.serve", "Reloads.read")
-SHEDDING = Place("choices.rate_limits", "Flood.allows")
+RELOADS = Place("command.serve", "ConfigurationReloader.reload")
+SHEDDING = Place("choices.rate_limits", "RateLimiter.allows")
 ARRANGING = Place("policy", "Relay.arrange")
-JUDGES_TOLD = Place("policy", "Judge.tell")
+JUDGES_TOLD = Place("policy", "Judge.send_counts")
 STARTING = Place("net.relay", "Relay.start")
 CARRIED = {
     "the process itself": STARTING,
@@ -285,7 +285,7 @@
     marks = UINT16_MAX + 1
     alike = fleet.units * (1 - (1 - 1 / marks) ** (fleet.units - 1))
     source = "worked out: even draws of 16 bits"
-    where = Place("notes", "state_note")
+    where = Place("notes", "load_note")
     yield Need(Role.TRACKER, "units that share their 16 bits", alike, 0.0, "", None, source, where, "0 are wanted")
 
 
@@ -413,7 +413,7 @@
             None,
             "not measured",
             "65,536 units x relays; messages taken in 5 s",
-            Place("parts", "forget"),
+            Place("parts", "drop_stale_senders"),
         ),
     ]
 
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from tealsail.choices.connection_lifetimes import ANSWER_REST_S
 from twisted.internet.error import ConnectionDone
 
+from tealsail.choices.connection_lifetimes import ANSWER_REST_S
 from tealsail.net import messages, units
 from tealsail.net.counters import Counters
 
