--- a/tealsail/lab/costs.py
+++ b/tealsail/lab/costs.py
@@ -39,7 +39,7 @@
 
     def listen(line: Any) -> None:
         nonlocal count
-        count += type(line).__name__ == "Take"
+        count += type(line).__name__ == "InvocationTaken"
 
     before = time.process_time()
     Model(scenario, scenario.seed, [listen]).play()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -577,7 +577,7 @@
         )
         with (
             mock.patch("tealsail.choices.zones.Zones.may_spill", lambda self, zone: True),
-            mock.patch("tealsail.choices.zones.Zones.drawn", lambda self, invocation: 1),
+            mock.patch("tealsail.choices.zones.Zones.draw_tier", lambda self, invocation: 1),
         ):
             self.assertGreater(runs.play(convert(tree), 1)[0].breaches["spill"], 0)
 
