--- a/tealsail/command/scale.py
+++ b/tealsail/command/scale.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from ..lab.capacity import slopes
-from ..lab.scale import predicted, runs
+from ..lab.scale import prediction, runs
 from ..lab.scale.results import NO_VALUE, RoleUsage, Run, Spread
 from ..lab.scenario import BadScenario, read
 from ..record.lines import InvalidRecord
@@ -106,7 +106,7 @@
     table = Table(title=f"measured costs beside the forecast from {path} for this size")
     for index, column in enumerate(("role", "cost", "forecast", "measured", "ratio", "within 20%")):
         table.add_column(column, justify="left" if index < 2 else "right")
-    compared = predicted.compare(scale_run, slopes.read(path))
+    compared = prediction.compare(scale_run, slopes.read(path))
     for each in compared:
         is_within = "yes" if each.is_within else "NO"
         amount = f"{each.predicted:.4g} ±{each.error:.2g}"
