--- a/tealsail/net/relay.py
+++ b/tealsail/net/relay.py
@@ -32,7 +32,7 @@
 from .clients import Answer, Clients, Forfeited, Rejected
 from .connections import cancel
 from .counters import Counters
-from .discovery import Discovery, Entry, News, unit_number
+from .discovery import Discovery, Entry, ListUpdate, unit_number
 from .kernel import accept_pending, set_accepting_paused
 from .peers import Peers, parse_address
 from .platform import Platform, PlatformState
@@ -114,17 +114,17 @@
         shot.done.addCallback(self.on_outcome, shot_number)
         shot.done.addErrback(relay.log_fault)
 
-    def on_outcome(self, came: ShotResult, shot_number: int) -> None:
+    def on_outcome(self, result: ShotResult, shot_number: int) -> None:
         """Report a shot's outcome; a served one answers the client before the next step."""
         self.shots.pop(shot_number, None)
-        self.relay.counters.add(f"units.{came.outcome}")
+        self.relay.counters.add(f"units.{result.outcome}")
         fields = self.relay.load_fields
-        load = {name: figure for name, figure in (came.load or {}).items() if name in fields}
+        load = {name: figure for name, figure in (result.load or {}).items() if name in fields}
         if self.relay.record:
-            self.relay.record.shot_ended(self.number, shot_number, came.outcome)
-        step = self.relay.facade.report(Outcome(self.number, shot_number, came.outcome, load or None))
-        if came.outcome == "served" and came.value:
-            self.finish(came.value)
+            self.relay.record.shot_ended(self.number, shot_number, result.outcome)
+        step = self.relay.facade.report(Outcome(self.number, shot_number, result.outcome, load or None))
+        if result.outcome == "served" and result.value:
+            self.finish(result.value)
         self.execute(step)
         self.relay.schedule_tick()
 
@@ -173,15 +173,14 @@
     ) -> None:
         self.reactor, self.configuration, self.counters = reactor, configuration, counters or Counters()
         self.clock, self.tick_at = Clock(reactor.seconds, wall or reactor.seconds, self.on_gap), 0
-        self.stamps = StartTimes(self.clock)
+        self.start_times = StartTimes(self.clock)
         relay_settings = configuration.relay_settings
         self.facade = Facade(
             relay_settings, configuration.seed, self.clock, document.extra_stages(relay_settings) if document else ()
         )
-        self.switch = LiveSettings(self.facade.relay, relay_settings)
-        max_connections = (
-            max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
-        )  # to clients, and as many to units
+        self.live_settings = LiveSettings(self.facade.relay, relay_settings)
+        # To clients, and as many to units.
+        max_connections = max(MIN_DESCRIPTORS, configuration.sockets - RESERVED_DESCRIPTORS) // 2
         self.units = Units(
             reactor,
             self.counters,
@@ -191,7 +190,7 @@
         )
         self.clients = Clients(reactor, self.take, self.clock, self.counters, max_connections)
         jitter = RandomGenerator(stable_hash(configuration.seed, relay_settings.get("index", 0)))
-        # the number of relays, and the seconds within which each asks for the list
+        # The number of relays, and the seconds within which each asks for the list.
         self.fleet_pacing = (
             relay_settings.get("relays", 1),
             relay_settings.get("ask_within", DEFAULT_ASK_WITHIN_S * TENTHS_PER_SECOND) / TENTHS_PER_SECOND,
@@ -230,9 +229,9 @@
         self.client_listener: Any = None
         self.hold_timer: Any = None  # of a client listener that is held until the list has come
         self.peer_listener: Any = None
-        self.drain_check: ShutdownWatch | None = None  # whether clients remain, once the relay drains
+        self.shutdown_watch: ShutdownWatch | None = None  # whether clients remain, once the relay drains
         self.timer: Any = None  # of the next tick
-        self.duties: tuple[int, ...] = ()  # the keeper and the judges, as last logged
+        self.duties: tuple[int, ...] = ()  # the indexes of the load tracker and the judges, as last logged
         self.clock_check_timer: Any = None
         self.shutdown: Deferred[None] | None = None  # fires when a requested stop is complete
         self.record: Any = None  # a tealsail.net.recording.Record if the operator's document asks for one
@@ -264,7 +263,10 @@
         self.schedule_tick()
 
     def start_discovery(self) -> None:
-        """Ask for the list now or soon; clients may wait in the kernel until it has come (`door_held`)."""
+        """Ask for the list at once, or after a delay that spreads the requests of a fleet that starts together.
+
+        Clients that connect before the list has come may have to wait in the kernel's backlog, see `accept_delay`.
+        """
         known = self.configuration.known
         delay = initial_request_delay(
             self.jitter,
@@ -290,7 +292,7 @@
 
     def check_clocks(self) -> None:
         """Count and log a step of the wall clock, which moves no timer; call again after CLOCK_CHECK_S."""
-        step = self.clock.look()
+        step = self.clock.measure_step()
         if step:
             self.counters.add("clock.steps")
             logger.warning("clock: the wall clock stepped by {:+.3f} s; timers and deadlines are not affected", step)
@@ -333,7 +335,7 @@
         if configuration.identity != self.configuration.identity:
             raise ValueError(f"belongs to another relay: {' '.join(configuration.identity)}")
         try:
-            settings_now = ",".join(self.switch.change(configuration.relay_settings)) or "as before"
+            settings_now = ",".join(self.live_settings.change(configuration.relay_settings)) or "as before"
             self.load_fields = configuration.relay_settings.get("load_fields", [])
             self.platform.vote_wait = (
                 configuration.relay_settings.get("vote_wait", TENTHS_PER_SECOND) / TENTHS_PER_SECOND
@@ -356,20 +358,23 @@
         )
 
     def take(self, statement: Statement, at: int) -> Deferred[Answer]:
-        """Begin an invocation that came at `at`; cancel the Deferred if the client leaves.  Raises Unclear."""
+        """Begin an invocation that came at `at`, in tenths of a millisecond by the relay's clock.
+
+        The caller cancels the Deferred if the client leaves.  Raises StatementError.
+        """
         if statement.workload not in self.facade.workloads:
             raise StatementError("no such workload")
-        if statement.id in self.open_ids:  # else units could not tell the two apart
+        if statement.id in self.open_ids:  # units tell invocations apart by it
             raise StatementError("the id of an open invocation")
         answer = ActiveInvocation(self, statement, at).answer
         self.schedule_tick()
         return answer
 
-    def listed(self, news: News, kind: str = "") -> None:
-        """Take a list of units or its changes; `kind` is that of facade.Units, by default as `news` says."""
-        kind = kind or ("whole" if news.whole else "changes")
+    def listed(self, update: ListUpdate, kind: str = "") -> None:
+        """Take a list of units or its changes; `kind` is that of facade.Units, by default as `update` says."""
+        kind = kind or ("whole" if update.whole else "changes")
         self.counters.add(f"discovery.list.{kind.replace(' ', '_')}")
-        entries = [entry for entry in news.entries if entry.address or entry.state != "ready"]
+        entries = [entry for entry in update.entries if entry.address or entry.state != "ready"]
         for entry in entries:
             if entry.state == "ready":
                 self.units.listed(unit_number(entry.id), entry.address, entry.build, entry.started_ms)
@@ -377,7 +382,7 @@
                 self.units.unlisted(unit_number(entry.id))
         if kind != "changes":
             numbers = {unit_number(entry.id) for entry in entries}
-            self.stamps.retain(numbers)
+            self.start_times.retain(numbers)
             for number in self.units.numbers():
                 if number not in numbers:
                     self.units.unlisted(number)
@@ -398,7 +403,7 @@
             self.zone_indexes.get(entry.zone, 0),
             entry.cell,
             entry.weight,
-            self.stamps.start_time(number, settings.tenths(entry.started_ms)),
+            self.start_times.start_time(number, settings.tenths(entry.started_ms)),
         )
 
     def on_rollout_state(self, state: PlatformState) -> None:
@@ -431,13 +436,13 @@
     def on_tick(self) -> None:
         """Carry out what the facade wants by itself."""
         actions = self.facade.tick()
-        self.switch.end_transition()
+        self.live_settings.end_transition()
         for line in actions.lines:
             logger.info("module: {}", line)
         for number, step in actions.steps:
             if number in self.serving:
                 self.serving[number].execute_safely(step)
-            elif isinstance(step, SendShot):  # its client has left since
+            elif isinstance(step, SendShot):  # its client has left meanwhile
                 self.facade.report(Outcome(number, step.shot_number, "moot"))
         for number, data in actions.messages:
             self.peers.send(number, data)
@@ -455,9 +460,9 @@
         logger.error("fault: {}", reason.getTraceback())
 
     def collect_choice_counts(self) -> None:
-        """Copy the counts of the stages of other choices (tealsail/choices/) into the counters."""
-        for seat in self.facade.relay.extra_stages:
-            for name, count in seat.counts.items():
+        """Copy the counts of the stages that the operator's document adds (tealsail/choices/) into the counters."""
+        for stage in self.facade.relay.extra_stages:
+            for name, count in stage.counts.items():
                 self.counters.counts[f"zones.{name}"] = count
 
     def stop(self) -> Deferred[None]:
@@ -477,8 +482,8 @@
         """
         self.accept_clients()
         self.clients.stop_sweeping()
-        deadlines = [each.get("abandon", 0) for each in self.switch.relay_settings["workloads"]]
-        self.drain_check = ShutdownWatch(self.clock(), deadlines)
+        deadlines = [each.get("abandon", 0) for each in self.live_settings.relay_settings["workloads"]]
+        self.shutdown_watch = ShutdownWatch(self.clock(), deadlines)
         self.check_drain()
 
     def check_drain(self) -> None:
@@ -487,14 +492,14 @@
         Each check accepts the connections that the kernel has already completed, so that they are served.
         """
         now = self.clock()
-        late = self.drain_check.late(now)
-        if not late:
+        is_overdue = self.shutdown_watch.is_overdue(now)
+        if not is_overdue:
             accept_pending(self.client_listener, lambda: self.counters.counts["clients.connections"])
         self.clients.close()
-        over = self.drain_check.over(now, len(self.clients.connections))
-        if late:  # clients that don't read their answers, or connect again and again, must not keep the relay for ever
+        is_over = self.shutdown_watch.is_over(now, len(self.clients.connections))
+        if is_overdue:  # clients that never read their answers, or keep reconnecting, must not hold the relay for ever
             self.clients.abort_stalled()
-        if not over:
+        if not is_over:
             self.reactor.callLater(DRAIN_CHECK_S, self.check_drain)
             return
         self.client_listener.stopListening()
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -8,7 +8,7 @@
 from tealsail.setup.validation import InvalidSettings, check_settings
 
 from . import test_relay
-from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, Story, client_query, error_response
+from .fake import HARMLESS, ONE_SHOT, READY, ROW, SECOND, RelayFixture, client_query, error_response
 from .test_relay import config, read_configuration
 
 TIMER_BESIDE = dict(
@@ -70,12 +70,12 @@
 
 
 class ChangedSettings(unittest.TestCase):
-    def story(self, **overrides) -> tuple[Story, LiveSettings]:
-        story = Story(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **overrides)
+    def story(self, **overrides) -> tuple[RelayFixture, LiveSettings]:
+        story = RelayFixture(8, workloads=(HARMLESS, ONE_SHOT), relays=9, **overrides)
         return story, LiveSettings(story.relay, self.now(story))
 
     @staticmethod
-    def now(story: Story, **more: object) -> dict:
+    def now(story: RelayFixture, **more: object) -> dict:
         return dict(story.relay.settings, **more)
 
     def test_changes_there_and_back_during_a_trial_keep_the_evidence(self) -> None:
@@ -124,7 +124,7 @@
         self.assertEqual(story.relay.settings, before)
 
 
-class OnSockets(test_relay.Story):
+class OnSockets(test_relay.RelayInMemory):
     """The relay of tests/test_relay.py, in memory, with the same fakes."""
 
     def timer_beside(self, **more: object) -> dict:
@@ -160,5 +160,5 @@
         self.assertEqual(self.reactor.pending_connects(8600), [])
 
 
-for name in [name for name in dir(test_relay.Story) if name.startswith("test_")]:
+for name in [name for name in dir(test_relay.RelayInMemory) if name.startswith("test_")]:
     setattr(OnSockets, name, None)  # its own tests run in that module
--- a/tests/test_recording.py
+++ b/tests/test_recording.py
@@ -14,20 +14,20 @@
 from tealsail.record import files
 from tealsail.record.lines import (
     VERSION,
-    Close,
     EntryReceived,
     Head,
     InvocationEnded,
     InvocationTaken,
-    News,
+    RecordEnd,
     ShotEnded,
     ShotSent,
+    StageReceived,
 )
 from tealsail.record.recorder import Recorder
 from tealsail.setup import document
 
 from .fake import READY, ROW, STARTUP, STARTUP_RESPONSE, MemoryTransport, Reactor, client_query, error_response
-from .test_relay import UNIT_PORT, config, told
+from .test_relay import UNIT_PORT, config, read_configuration
 
 NET = Path(__file__).parent.parent / "tealsail" / "net"
 HEAD = Head(0, VERSION, "relay", "n0", 0, {})
@@ -97,7 +97,7 @@
     def relay(self, **recording) -> Relay:
         self.reactor = Reactor()
         converted = document.convert({"recording": {"file": str(self.path)} | recording})
-        relay = Relay(self.reactor, told(config()), document=converted)
+        relay = Relay(self.reactor, read_configuration(config()), document=converted)
         relay.start()
         return relay
 
@@ -140,9 +140,9 @@
         self.assertEqual((came.outcome, came.at - shot.at), ("served", 300))
         self.assertEqual([line.answer for line in self.lines(InvocationEnded)][0], "served")
         self.assertEqual([(line.unit, line.state) for line in self.lines(EntryReceived)], [("s-1", "open")])
-        self.assertEqual([(line.build, line.phase) for line in self.lines(News)], [(41, "released")])
+        self.assertEqual([(line.build, line.phase) for line in self.lines(StageReceived)], [(41, "released")])
         self.assertEqual(self.lines(Head)[0].settings["workloads"][0]["name"], "basket")
-        self.assertEqual(self.lines(Close)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
+        self.assertEqual(self.lines(RecordEnd)[0].lines, sum(1 for _ in files.read(self.path)) - 1)
 
     def test_client_that_leaves_and_failed_shot_are_recorded(self) -> None:
         relay = self.relay(keys="none")
@@ -178,7 +178,7 @@
 
         recorder.writer = StalledWriter()
         for number in range(500):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         dropped = self.counters.counts["record.dropped"]
         self.assertTrue(399 <= dropped <= 400, dropped)
         gate.set()
@@ -191,23 +191,27 @@
         path = self.path.with_name("n0.record")
         recorder = self.recorder(path, most_bytes=50_000, most_waiting=100_000)
         for number in range(20_000):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertLess(path.stat().st_size, 80_000)
-        self.assertIsInstance(list(files.read(path))[-1], Close)
-        recorder.note(InvocationEnded(1, 0, 1, "served"))
+        self.assertIsInstance(list(files.read(path))[-1], RecordEnd)
+        recorder.enqueue(InvocationEnded(1, 0, 1, "served"))
         self.assertGreater(self.counters.counts["record.dropped"], 0)
 
     def test_full_disk_ends_the_record_and_not_the_relay(self) -> None:
         recorder = self.recorder("/dev/full", most_waiting=100_000)
         for number in range(50_000):
-            recorder.note(InvocationEnded(number, 0, number, "served"))
+            recorder.enqueue(InvocationEnded(number, 0, number, "served"))
         recorder.close()
         self.assertIn("No space left", recorder.problem)
 
     def test_record_that_can_not_be_opened_raises_at_the_start(self) -> None:
         with self.assertRaises(OSError):
-            Relay(Reactor(), told(config()), document=document.convert({"recording": {"file": "/nowhere/at/all"}}))
+            Relay(
+                Reactor(),
+                read_configuration(config()),
+                document=document.convert({"recording": {"file": "/nowhere/at/all"}}),
+            )
 
 
 if __name__ == "__main__":
